--- /dev/null
+++ b/tests/golden/control/control_samples.hpp
@@ -0,0 +1,31 @@
+// Values with every field set to one of its own, for messages between gateways and control members.
+#pragma once
+
+#include <cstddef>
+#include <vector>
+
+#include "control/messages.hpp"
+
+namespace beechpoint::golden {
+
+leases::Gateway sampleGateway();
+// Without load, as the directory has them.
+std::vector<leases::Gateway> sampleDirectory(std::size_t count);
+
+instances::Host sampleHost();
+// As many hosts with ids in order; the first is sampleHost().
+std::vector<instances::Host> sampleHosts(std::size_t count);
+instances::HostList sampleHostList(std::size_t count);
+control::SharedHostList sampleSharedList();
+instances::HostListChanges sampleHostChanges(std::size_t count);
+
+// As many changes, and the removal of a key.
+TableUpdate sampleTableUpdate(std::size_t count);
+
+control::PollRequest samplePollRequest();
+// With the plain fields; encoding it packs the table.
+control::PollReply samplePollReply();
+control::Share sampleShare();
+control::ShareReply sampleShareReply();
+
+}  // namespace beechpoint::golden
--- /dev/null
+++ b/tests/golden/control/equality.hpp
@@ -0,0 +1,104 @@
+// Equality of the messages that have none of their own: all their fields, one after the other.
+#pragma once
+
+#include <tuple>
+
+#include "control/messages.hpp"
+#include "control/replica_codec.hpp"
+#include "replica/messages.hpp"
+
+namespace beechpoint {
+
+inline bool operator==(const TableUpdate& left, const TableUpdate& right) {
+    return left.position == right.position && left.whole == right.whole && left.changes == right.changes;
+}
+
+}  // namespace beechpoint
+
+namespace beechpoint::leases {
+
+inline bool operator==(const SharedLease& left, const SharedLease& right) {
+    return left.gateway == right.gateway && left.age == right.age;
+}
+
+}  // namespace beechpoint::leases
+
+namespace beechpoint::control {
+
+inline auto tied(const SharedHostList& list) { return std::tie(list.version, list.readAge, list.hosts); }
+inline auto tied(const SharedHostChanges& shared) { return std::tie(shared.changes, shared.readAge); }
+inline auto tied(const PollRequest& request) {
+    return std::tie(request.gateway, request.position, request.hostList, request.waitMs, request.wantsLoad,
+                    request.directoryDigest, request.takesHostChanges, request.takesPackedState);
+}
+inline auto tied(const PollReply& reply) {
+    return std::tie(reply.status, reply.table, reply.packedTable, reply.hostList, reply.hostListVersion,
+                    reply.hostListAge, reply.liveGateways, reply.largestLive, reply.members, reply.othersLoad,
+                    reply.leaseMs, reply.directoryDigest, reply.directory, reply.hostChanges,
+                    reply.packedHostList, reply.packedHostChanges, reply.packedDirectory,
+                    reply.hostListReadAge, reply.retryAfterMs, reply.memberRegions);
+}
+inline auto tied(const Share& share) {
+    return std::tie(share.member, share.session, share.epoch, share.leases, share.hostListVersion,
+                    share.hostListAge, share.hostList, share.readsHosts, share.renewals, share.packedHostList,
+                    share.packedHostChanges, share.hostListReadAge, share.hostChanges);
+}
+inline auto tied(const ShareReply& reply) {
+    return std::tie(reply.hostListVersion, reply.takesIncrements, reply.unknownLeases);
+}
+inline auto tied(const FoundedView& view) { return std::tie(view.founders, view.view); }
+
+template <class T>
+concept Tied = requires(const T& value) {
+    tied(value);
+};
+template <Tied T>
+bool operator==(const T& left, const T& right) {
+    return tied(left) == tied(right);
+}
+
+}  // namespace beechpoint::control
+
+namespace beechpoint::replica {
+
+inline auto tied(const Heartbeat& message) { return std::tie(message.sequence, message.sentAt); }
+inline auto tied(const Status& status) {
+    return std::tie(status.sealed, status.settled, status.diskFailing, status.syncedEpoch, status.chained,
+                    status.committed, status.reached, status.unheard, status.stalledAt, status.stored,
+                    status.leaving);
+}
+inline auto tied(const HeartbeatReply& message) {
+    return std::tie(message.sequence, message.sentAt, message.askedBySession, message.status);
+}
+inline auto tied(const Join&) { return std::tuple<>(); }
+inline auto tied(const Prepare& message) {
+    return std::tie(message.ballot, message.base, message.founders, message.observed);
+}
+inline auto tied(const Promise& message) {
+    return std::tie(message.ballot, message.target, message.accepted, message.value, message.syncedEpoch,
+                    message.position, message.folded, message.diskFailing);
+}
+inline auto tied(const Refuse& message) { return std::tie(message.ballot, message.target, message.promised); }
+inline auto tied(const Accept& message) {
+    return std::tie(message.ballot, message.base, message.founders, message.value);
+}
+inline auto tied(const Accepted& message) { return std::tie(message.ballot, message.target); }
+inline auto tied(const Decided& message) { return std::tie(message.view); }
+inline auto tied(const Propose& message) {
+    return std::tie(message.opening, message.previous, message.batch);
+}
+inline auto tied(const Commit& message) { return std::tie(message.position); }
+inline auto tied(const SyncRequest& message) { return std::tie(message.position, message.whole); }
+inline auto tied(const SyncReply& message) { return std::tie(message.since, message.update); }
+inline auto tied(const Message& message) { return std::tie(message.from, message.epoch, message.body); }
+
+template <class T>
+concept Tied = requires(const T& value) {
+    tied(value);
+};
+template <Tied T>
+bool operator==(const T& left, const T& right) {
+    return tied(left) == tied(right);
+}
+
+}  // namespace beechpoint::replica
