--- a/models/group-lease.pml
+++ b/models/group-lease.pml
@@ -1,9 +1,9 @@
-/* A lease handed on: one holder, a leader, and the next leader, as in src/duties/keeper.hpp. Time is counted in ticks that
+/* A lease handed on: one holder, a leader, and the next leader, as in src/lease_sessions/lease_manager.hpp. Time is counted in ticks that
  * all clocks see (drift and margin are a matter of figures, not of order). The holder counts its lease from when it sent a
  * renewal; a leader confirms only while it leads, and a new leader lets the lease run its full time anew.
  * Checked: the next holder never begins while the old one still acts.
  *
- * Two variants must be rejected (tests/group/model runs all three):
+ * Two variants must be rejected (tests/cluster/model runs all three):
  *   -DNO_PROLONG    the new leader counts on from what it knew of the lease: a renewal that the old one confirmed is unknown to it
  *   -DFROM_ANSWER   the holder counts from when the answer came, not from when it asked
  */
--- a/models/group-recovery.pml
+++ b/models/group-recovery.pml
@@ -1,8 +1,8 @@
 /* Voters that forget: five of them, no disk, two candidates in one term, and a voter that forgets all and recovers,
- * at any moment, as in src/ledger/ledger.hpp. Checked: the term never has two leaders. (What a recovering voter takes over of
+ * at any moment, as in src/raft/raft_consensus.hpp. Checked: the term never has two leaders. (What a recovering voter takes over of
  * the log is not part of this model.)
  *
- * Two variants must be rejected (tests/group/model runs all three):
+ * Two variants must be rejected (tests/cluster/model runs all three):
  *   -DFORGETS     one that forgot votes again at once
  *   -DNO_PROMISE  who says yes to a pre-vote does not remember the term: so one that forgot its vote may hear of it from nobody
  */
--- a/src/ops/ban_file.cpp
+++ b/src/admin/ban_file.cpp
@@ -1,4 +1,4 @@
-#include "ops/ban_file.hpp"
+#include "admin/ban_file.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -15,7 +15,7 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 namespace {
 
@@ -154,4 +154,4 @@
     return written;
 }
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/ops/ban_file.hpp
+++ b/src/admin/ban_file.hpp
@@ -11,9 +11,9 @@
 #include <string>
 
 #include "core/logger.hpp"
-#include "ops/host_bans.hpp"
+#include "admin/host_bans.hpp"
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 // The file's text and back; nothing where it is damaged or foreign.
 std::string writeBans(const HostBans::Hosts& out);
@@ -49,4 +49,4 @@
     std::string lastSeen_;  // what tells this state of the file from others
 };
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/ops/host_bans.hpp
+++ b/src/admin/host_bans.hpp
@@ -9,7 +9,7 @@
 
 #include "core/exchange.hpp"
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 class HostBans {
 public:
@@ -31,4 +31,4 @@
     Hosts out_;
 };
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/ops/lifecycle.cpp
+++ b/src/admin/lifecycle.cpp
@@ -1,6 +1,6 @@
-#include "ops/lifecycle.hpp"
+#include "admin/lifecycle.hpp"
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 void Lifecycle::served() {
     if (state_ == State::starting) state_ = State::serving;
@@ -26,4 +26,4 @@
     return true;
 }
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/ops/lifecycle.hpp
+++ b/src/admin/lifecycle.hpp
@@ -15,7 +15,7 @@
 
 #include "core/clock.hpp"
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 struct LifecycleTimes {
     Millis acceptAfterStop = 500;  // without a successor the front goes on sending newcomers for so long
@@ -68,4 +68,4 @@
     Millis stoppedAt_ = 0;
 };
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/ops/operator_endpoint.cpp
+++ b/src/admin/operator_endpoint.cpp
@@ -1,10 +1,10 @@
-#include "ops/operator_endpoint.hpp"
+#include "admin/operator_endpoint.hpp"
 
 #include <fmt/format.h>
 
 #include <charconv>
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 namespace {
 
@@ -139,4 +139,4 @@
     });
 }
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/ops/operator_endpoint.hpp
+++ b/src/admin/operator_endpoint.hpp
@@ -11,7 +11,7 @@
 
 #include "net/server.hpp"
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 // What operators may ask for. The gatherer answers; the endpoint only words it.
 class Controls {
@@ -58,4 +58,4 @@
     net::HttpServer server_;
 };
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/ops/overlap.cpp
+++ b/src/admin/overlap.cpp
@@ -1,9 +1,9 @@
-#include "ops/overlap.hpp"
+#include "admin/overlap.hpp"
 
 #include <algorithm>
 #include <tuple>
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 namespace {
 
@@ -31,4 +31,4 @@
     });
 }
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/ops/overlap.hpp
+++ b/src/admin/overlap.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "ops/lifecycle.hpp"
+#include "admin/lifecycle.hpp"
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 class Overlap {
 public:
@@ -32,4 +32,4 @@
     std::vector<Process> others_;
 };
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/ops/overlap_record.cpp
+++ b/src/admin/overlap_record.cpp
@@ -1,4 +1,4 @@
-#include "ops/overlap_record.hpp"
+#include "admin/overlap_record.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -12,7 +12,7 @@
 #include <filesystem>
 #include <nlohmann/json.hpp>
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 namespace {
 
@@ -115,4 +115,4 @@
     if (overlap_.seen(self_, std::move(others))) changed_();
 }
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/ops/overlap_record.hpp
+++ b/src/admin/overlap_record.hpp
@@ -8,9 +8,9 @@
 #include <string>
 
 #include "core/logger.hpp"
-#include "ops/overlap.hpp"
+#include "admin/overlap.hpp"
 
-namespace beechpoint::ops {
+namespace beechpoint::admin {
 
 class OverlapRecord {
 public:
@@ -37,4 +37,4 @@
     int file_ = -1;
 };
 
-}  // namespace beechpoint::ops
+}  // namespace beechpoint::admin
--- a/src/back/frame.cpp
+++ b/src/backend/frame.cpp
@@ -1,4 +1,4 @@
-#include "back/frame.hpp"
+#include "backend/frame.hpp"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <iterator>
 
-namespace beechpoint::back {
+namespace beechpoint::backend {
 
 namespace {
 
@@ -155,4 +155,4 @@
     fmt::format_to(std::back_inserter(out), "{} {} d={} {}\n{}", id, slice, d, text.size(), text);
 }
 
-}  // namespace beechpoint::back
+}  // namespace beechpoint::backend
--- a/src/back/frame.hpp
+++ b/src/backend/frame.hpp
@@ -8,7 +8,7 @@
 
 #include "core/exchange.hpp"
 
-namespace beechpoint::back {
+namespace beechpoint::backend {
 
 inline constexpr std::size_t kMaxFrame = 128 * 1024;  // a value of 64 KiB and its line fit well
 
@@ -49,4 +49,4 @@
 // One part's entry in an S frame.
 void writePart(std::string& out, const std::string& id, int slice, Millis wait, std::string_view text);
 
-}  // namespace beechpoint::back
+}  // namespace beechpoint::backend
--- a/src/back/frames.cpp
+++ b/src/backend/frames.cpp
@@ -1,10 +1,10 @@
-#include "back/frames.hpp"
+#include "backend/frames.hpp"
 
 #include <algorithm>
 #include <ranges>
 #include <set>
 
-namespace beechpoint::back {
+namespace beechpoint::backend {
 
 using asio::ip::tcp;
 
@@ -303,7 +303,7 @@
 }
 
 void FrameConnection::askProbe() {
-    const bool reports = pool_.exchange().settings().reports != firkeel::Reports::none;
+    const bool reports = pool_.exchange().settings().reports != coordinator::Reports::none;
     std::string frame;
     writeFrame(frame, reports ? 'M' : 'H', {});
     more_.push_back(std::move(frame));
@@ -324,4 +324,4 @@
     return lost;
 }
 
-}  // namespace beechpoint::back
+}  // namespace beechpoint::backend
--- a/src/back/frames.hpp
+++ b/src/backend/frames.hpp
@@ -6,10 +6,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "back/frame.hpp"
-#include "back/pool.hpp"
+#include "backend/frame.hpp"
+#include "backend/pool.hpp"
 
-namespace beechpoint::back {
+namespace beechpoint::backend {
 
 class FrameConnection : public HostConnection {
 public:
@@ -70,4 +70,4 @@
     std::vector<Filled> filled_;
 };
 
-}  // namespace beechpoint::back
+}  // namespace beechpoint::backend
--- a/src/back/pool.cpp
+++ b/src/backend/pool.cpp
@@ -1,9 +1,9 @@
-#include "back/pool.hpp"
+#include "backend/pool.hpp"
 
 #include <algorithm>
 #include <charconv>
 
-namespace beechpoint::back {
+namespace beechpoint::backend {
 
 using asio::ip::tcp;
 
@@ -65,7 +65,7 @@
 
 void Pool::update(const HostList& list) {
     std::vector<std::string> left;  // hosts that get nothing new
-    if (list.kind != firkeel::ListKind::changes)
+    if (list.kind != coordinator::ListKind::changes)
         for (auto& [id, host] : hosts_) {
             host.listed = false;
             left.push_back(id);
@@ -74,13 +74,13 @@
         std::erase(left, entry.entry.id);
         Host& host = hosts_[entry.entry.id];
         const auto endpoint = readEndpoint(entry.address);
-        const bool up = entry.entry.state == firkeel::ServerState::up;
+        const bool up = entry.entry.state == coordinator::ServerState::up;
         if (!endpoint && up)
             log_.warn("discovery gave host {} a bad address: {}", field("host", entry.entry.id),
                       field("address", entry.address));
         const bool moved = endpoint != host.endpoint;
         host.endpoint = endpoint;
-        host.listed = entry.entry.state != firkeel::ServerState::removed;
+        host.listed = entry.entry.state != coordinator::ServerState::removed;
         if (moved || !up) left.push_back(entry.entry.id);
     }
     for (const std::string& id : left)
@@ -395,4 +395,4 @@
     pool_.flush();
 }
 
-}  // namespace beechpoint::back
+}  // namespace beechpoint::backend
--- a/src/back/pool.hpp
+++ b/src/backend/pool.hpp
@@ -17,7 +17,7 @@
 #include "core/exchange.hpp"
 #include "net/buffer.hpp"
 
-namespace beechpoint::back {
+namespace beechpoint::backend {
 
 struct ConnectionLimits {
     Millis dialTimeout = 250;
@@ -170,4 +170,4 @@
     std::map<AttemptId, std::weak_ptr<HostConnection>> at_;
 };
 
-}  // namespace beechpoint::back
+}  // namespace beechpoint::backend
--- a/src/back/search.cpp
+++ b/src/backend/search.cpp
@@ -1,13 +1,13 @@
-#include "back/search.hpp"
+#include "backend/search.hpp"
 
 #include <fmt/format.h>
 
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "back/frame.hpp"
+#include "backend/frame.hpp"
 
-namespace beechpoint::back {
+namespace beechpoint::backend {
 
 using asio::ip::tcp;
 
@@ -160,4 +160,4 @@
     return lost;
 }
 
-}  // namespace beechpoint::back
+}  // namespace beechpoint::backend
--- a/src/back/search.hpp
+++ b/src/backend/search.hpp
@@ -5,10 +5,10 @@
 #include <optional>
 #include <string>
 
-#include "back/pool.hpp"
+#include "backend/pool.hpp"
 #include "net/http.hpp"
 
-namespace beechpoint::back {
+namespace beechpoint::backend {
 
 using IndexOfClass = std::map<std::string, std::string, std::less<>>;
 
@@ -41,4 +41,4 @@
     std::string outgoing_;  // what of the request in hand has not gone yet
 };
 
-}  // namespace beechpoint::back
+}  // namespace beechpoint::backend
--- a/src/cli/group.cpp
+++ b/src/cli/group.cpp
@@ -104,7 +104,7 @@
         std::cerr << "beechpoint: group show | found NUMBER | take DUTY | give DUTY [MEMBER]\n";
         return kUsage;
     }
-    const auto at = back::readEndpoint(endpoint);
+    const auto at = backend::readEndpoint(endpoint);
     if (!at) {
         std::cerr << "beechpoint: name the operators' door by --door ADDRESS:PORT, NODE_OPERATOR or a "
                      "configuration\n";
--- a/src/group/group.cpp
+++ b/src/cluster/cluster.cpp
@@ -1,4 +1,4 @@
-#include "group/group.hpp"
+#include "cluster/cluster.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -10,7 +10,7 @@
 #include <random>
 #include <stdexcept>
 
-namespace beechpoint::group {
+namespace beechpoint::cluster {
 
 namespace {
 
@@ -56,7 +56,7 @@
 };
 
 Group::Store::Store(asio::io_context& io, const Settings& settings, const std::string& self,
-                    ledger::Life life)
+                    raft::Life life)
     : folder(disk, settings.folder, settings.name, self), journal(settings.name, self, life), thread(io) {}
 
 Group::Group(asio::io_context& io, const Clock& clock, Counters& counters, Logger& log,
@@ -113,14 +113,14 @@
 // Reads what was kept, once, before anything is said. What can't be used is as good as nothing: this member then asks the
 // others.
 void Group::begin() {
-    std::optional<ledger::Kept> kept;
+    std::optional<raft::Kept> kept;
     if (!settings_.folder.empty()) {
         store_ = std::make_unique<Store>(io_, settings_, self_, life_);
         std::string note;
         kept = store_->folder.load(note).kept;
         if (!note.empty()) log_.info("group: kept state in {}", field("what", note));
-        duties::Table trial;
-        if (kept && !ledger::Ledger::readable(*kept, trial)) {
+        lease_sessions::Table trial;
+        if (kept && !raft::Ledger::readable(*kept, trial)) {
             log_.warn("group: the kept state is of another version; this member begins with nothing");
             kept.reset();
         }
@@ -230,7 +230,7 @@
     carry(out);
 }
 void Group::take(const std::string& duty, std::function<void(Settled)> then) {
-    if (!in() || calls_.size() >= kMostCalls || duty.size() > duties::kMostDutyName)
+    if (!in() || calls_.size() >= kMostCalls || duty.size() > lease_sessions::kMostDutyName)
         return then({true, false, 0});
     await(core_->holder().take(duty), std::move(then));
 }
@@ -245,13 +245,13 @@
     });
 }
 void Group::answer() {
-    for (const duties::Outcome& o : core_->holder().takeOutcomes()) {
+    for (const lease_sessions::Outcome& o : core_->holder().takeOutcomes()) {
         const auto call = calls_.find(o.request);
         if (call == calls_.end()) continue;
         const auto then = std::move(call->second);
         calls_.erase(call);
         // Handed to one that is in no session: it is given up all the same, and free.
-        then({o.known, o.result.verdict == duties::Verdict::yes || o.result.verdict == duties::Verdict::wait,
+        then({o.known, o.result.verdict == lease_sessions::Verdict::yes || o.result.verdict == lease_sessions::Verdict::wait,
               o.result.fence});
     }
 }
@@ -279,7 +279,7 @@
 void Group::carry(const Step& step) {
     for (const std::string& note : step.notes) log_.info("group: {}", field("what", note));
     counters_.add(Counter::groupPresenceChanges, step.presenceChanges);
-    ledger::Write write;
+    raft::Write write;
     if (store_ && step.keep) write = store_->journal.changes(core_->ledger());
     const bool keeps = !write.bytes.empty();
     if (keeps)
@@ -361,10 +361,10 @@
             {"group", settings_.name}, {"self", self_}, {"role", "waiting"}, {"mayAct", Json::object()}}
             .dump();
     const Millis now = clock_.now();
-    const ledger::Ledger& l = core_->ledger();
+    const raft::Ledger& l = core_->ledger();
     Json members = Json::array(), duties = Json::array(), acts = Json::object();
     for (const auto& [name, address] : settings_.members) {
-        const duties::Session* s = core_->table().session(name);
+        const lease_sessions::Session* s = core_->table().session(name);
         const Millis heard = core_->membership().heard(name);
         Json age;  // null: itself, or never heard
         if (name != self_ && heard > 0) age = now - heard;
@@ -410,4 +410,4 @@
         .dump();
 }
 
-}  // namespace beechpoint::group
+}  // namespace beechpoint::cluster
--- a/src/group/group.hpp
+++ b/src/cluster/cluster.hpp
@@ -1,4 +1,4 @@
-// The group's driver: one UDP socket on the program's one loop, a timer, and group::Core between them; where a folder
+// The group's driver: one UDP socket on the program's one loop, a timer, and cluster::Core between them; where a folder
 // lasts, a helper thread that keeps the ledger there. It owns no policy. Nothing here is on a query's path: a group that
 // is stuck, cut off or absent delays and refuses no query. Absent where no operator's file names a group.
 //
@@ -24,14 +24,14 @@
 #include "core/clock.hpp"
 #include "core/counters.hpp"
 #include "core/logger.hpp"
-#include "files/disk_thread.hpp"
-#include "files/files.hpp"
-#include "group/core.hpp"
-#include "group/outbox.hpp"
-#include "group/settings.hpp"
-#include "ledger/folder.hpp"
+#include "durable_files/disk_thread.hpp"
+#include "durable_files/files.hpp"
+#include "cluster/core.hpp"
+#include "cluster/outbox.hpp"
+#include "cluster/settings.hpp"
+#include "raft/state_folder.hpp"
 
-namespace beechpoint::group {
+namespace beechpoint::cluster {
 
 class Group {
 public:
@@ -71,11 +71,11 @@
 
 private:
     struct Store {  // where a folder lasts
-        Store(asio::io_context& io, const Settings& settings, const std::string& self, ledger::Life life);
-        files::Disk disk;
-        ledger::Folder folder;
-        ledger::Journal journal;
-        std::optional<files::DiskThread> thread;  // last: its end comes first
+        Store(asio::io_context& io, const Settings& settings, const std::string& self, raft::Life life);
+        durable_files::Disk disk;
+        raft::Folder folder;
+        raft::Journal journal;
+        std::optional<durable_files::DiskThread> thread;  // last: its end comes first
     };
     class Lock;
     void giveUpAll(bool forGood);
@@ -99,7 +99,7 @@
     std::string self_;
     asio::ip::udp::socket socket_;
     asio::steady_timer timer_, waitTimer_;
-    ledger::Life life_;
+    raft::Life life_;
     std::unique_ptr<Lock> lock_;
     std::unique_ptr<Store> store_;
     std::optional<Core> core_;  // from when this process is the member
@@ -120,4 +120,4 @@
     bool closed_ = false;
 };
 
-}  // namespace beechpoint::group
+}  // namespace beechpoint::cluster
--- a/src/group/core.cpp
+++ b/src/cluster/core.cpp
@@ -1,24 +1,24 @@
-#include "group/core.hpp"
+#include "cluster/core.hpp"
 
 #include <algorithm>
 #include <stdexcept>
 
-#include "group/wire.hpp"
+#include "cluster/wire.hpp"
 
-namespace beechpoint::group {
+namespace beechpoint::cluster {
 
 namespace {
 
 constexpr Millis kPullPerMember = 25;
 
-Options checked(Options o, ledger::Life life) {
+Options checked(Options o, raft::Life life) {
     const auto need = [](bool ok, const std::string& what) {
         if (!ok) throw std::invalid_argument("group: " + what);
     };
     need(life != 0, "a life must not be 0");
-    need(!o.voters.empty() && o.voters.size() <= ledger::kMostVoters, "1 to 7 voters");
+    need(!o.voters.empty() && o.voters.size() <= raft::kMostVoters, "1 to 7 voters");
     for (const std::string& name : o.members)
-        need(!name.empty() && name.size() <= ledger::kMostName &&
+        need(!name.empty() && name.size() <= raft::kMostName &&
                  name.find_first_of(" \n") == std::string::npos,
              "member '" + name + "': 1 to 19 bytes without blanks");
     const auto listed = [&](const std::string& n) {
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-Core::Core(Options options, ledger::Life life, std::uint64_t seed, Millis now,
-           const std::optional<ledger::Kept>& kept)
+Core::Core(Options options, raft::Life life, std::uint64_t seed, Millis now,
+           const std::optional<raft::Kept>& kept)
     : options_(checked(std::move(options), life)),
       life_(life),
       ledger_(options_.ledger, options_.self, life, options_.voters, seed, now, table_, kept),
@@ -45,8 +45,8 @@
       membership_(options_.membership, options_.self, options_.members, seed ^ 0xD1B54A32D192ED03ULL, now),
       prober_(options_.prober, options_.self) {}
 
-void Core::put(peers::Room room, const std::string& to, const std::string& body, Step& out) {
-    std::string bytes = peers::seal(options_.group, {room, options_.self, life_, ledger_.number()}, body);
+void Core::put(gossip::Room room, const std::string& to, const std::string& body, Step& out) {
+    std::string bytes = gossip::seal(options_.group, {room, options_.self, life_, ledger_.number()}, body);
     if (bytes.empty()) {
         ++traffic_.tooLong;
         return;
@@ -55,16 +55,16 @@
     traffic_.sentBytes += bytes.size();
     out.send.push_back({to, std::move(bytes)});
 }
-void Core::put(const std::vector<peers::Message>& said, Step& out) {
-    for (const peers::Message& m : said) put(peers::Room::membership, m.to, write(m.body), out);
-    for (const peers::PresenceChange& c : membership_.takeChanges()) {
+void Core::put(const std::vector<gossip::Message>& said, Step& out) {
+    for (const gossip::Message& m : said) put(gossip::Room::membership, m.to, write(m.body), out);
+    for (const gossip::PresenceChange& c : membership_.takeChanges()) {
         ++out.presenceChanges;
         out.notes.push_back("member " + c.member + " is " + nameOf(c.presence) + " (incarnation " +
                             std::to_string(c.incarnation) + ")");
     }
 }
 
-void Core::settle(Millis now, ledger::Actions& actions, std::vector<duties::Message>& said, Step& out) {
+void Core::settle(Millis now, raft::Actions& actions, std::vector<lease_sessions::Message>& said, Step& out) {
     // Own words to oneself are carried out at once; each may bring more.
     for (std::size_t i = 0;; ++i) {
         for (const std::uint64_t token : std::exchange(actions.confirmed, {}))
@@ -76,81 +76,81 @@
             --i;
             continue;
         }
-        const duties::Message m = said[i];
+        const lease_sessions::Message m = said[i];
         if (m.to != options_.self) continue;
-        if (std::holds_alternative<duties::Ask>(m.body) || std::holds_alternative<duties::Renew>(m.body))
+        if (std::holds_alternative<lease_sessions::Ask>(m.body) || std::holds_alternative<lease_sessions::Renew>(m.body))
             keeper_.receive(now, m, actions, said);
         else
             holder_.receive(now, m, said);
     }
-    for (const ledger::Message& m : actions.send) put(peers::Room::ledger, m.to, write(m.body), out);
-    for (const duties::Message& m : said)
-        if (m.to != options_.self && !m.to.empty()) put(peers::Room::duties, m.to, write(m.body), out);
+    for (const raft::Message& m : actions.send) put(gossip::Room::ledger, m.to, write(m.body), out);
+    for (const lease_sessions::Message& m : said)
+        if (m.to != options_.self && !m.to.empty()) put(gossip::Room::duties, m.to, write(m.body), out);
     out.keep = out.keep || actions.keep;
     out.notes.insert(out.notes.end(), actions.notes.begin(), actions.notes.end());
 }
 
 void Core::receive(Millis now, std::string_view bytes, Step& out) {
-    peers::Refusal why = peers::Refusal::none;
-    const auto opened = peers::open(options_.group, bytes, why);
+    gossip::Refusal why = gossip::Refusal::none;
+    const auto opened = gossip::open(options_.group, bytes, why);
     if (!opened) {
         ++traffic_.refused[why];
         return;
     }
-    const peers::Header& h = opened->header;
+    const gossip::Header& h = opened->header;
     if (std::find(options_.members.begin(), options_.members.end(), h.sender) == options_.members.end() ||
         h.sender == options_.self) {
-        ++traffic_.refused[peers::Refusal::header];
+        ++traffic_.refused[gossip::Refusal::header];
         return;
     }
     ++traffic_.received;
-    ledger::Actions actions;
-    std::vector<duties::Message> said;
-    if (h.room == peers::Room::ledger) {
+    raft::Actions actions;
+    std::vector<lease_sessions::Message> said;
+    if (h.room == gossip::Room::ledger) {
         const auto body = readLedger(opened->body);
         if (!body) {
             ++traffic_.unreadable;
             return;
         }
         ledger_.receive(now, {h.sender, options_.self, h.life, h.number, *body}, actions);
-    } else if (h.room == peers::Room::duties) {
+    } else if (h.room == gossip::Room::duties) {
         const auto body = readDuties(opened->body);
         if (!body) {
             ++traffic_.unreadable;
             return;
         }
         if (h.number != ledger_.number() || h.number == 0) return;
-        const duties::Message m{h.sender, options_.self, h.life, *body};
-        if (std::holds_alternative<duties::Ask>(*body) || std::holds_alternative<duties::Renew>(*body))
+        const lease_sessions::Message m{h.sender, options_.self, h.life, *body};
+        if (std::holds_alternative<lease_sessions::Ask>(*body) || std::holds_alternative<lease_sessions::Renew>(*body))
             keeper_.receive(now, m, actions, said);
         else
             holder_.receive(now, m, said);
-    } else if (h.room == peers::Room::membership) {
+    } else if (h.room == gossip::Room::membership) {
         const auto body = readMembership(opened->body);
         if (!body) {
             ++traffic_.unreadable;
             return;
         }
-        std::vector<peers::Message> words;
+        std::vector<gossip::Message> words;
         membership_.receive(now, {h.sender, options_.self, *body}, words);
         return put(words, out);
-    } else if (h.room == peers::Room::hostProber) {
+    } else if (h.room == gossip::Room::hostProber) {
         const auto body = readHostProber(opened->body);
         if (!body) {
             ++traffic_.unreadable;
             return;
         }
-        std::vector<host_prober::Message> words;
+        std::vector<health_check::Message> words;
         prober_.receive(now, {h.sender, options_.self, *body},
                         holder_.mayAct(now, options_.proberDuty).has_value(), words);
-        for (const host_prober::Message& m : words) put(peers::Room::hostProber, m.to, write(m.body), out);
+        for (const health_check::Message& m : words) put(gossip::Room::hostProber, m.to, write(m.body), out);
         return;
     }
     settle(now, actions, said, out);
 }
 void Core::advance(Millis now, Step& out) {
-    ledger::Actions actions;
-    std::vector<duties::Message> said;
+    raft::Actions actions;
+    std::vector<lease_sessions::Message> said;
     if (ledger_.next() <= now) ledger_.advance(now, actions);
     if (ledger_.number() != 0) {
         if (now - ledger_.leaderHeard() < options_.ledger.electionFrom) holder_.leaderIs(ledger_.leader());
@@ -158,7 +158,7 @@
         if (holder_.next() <= now) holder_.advance(now, said);
     }
     settle(now, actions, said, out);
-    std::vector<peers::Message> words;
+    std::vector<gossip::Message> words;
     if (membership_.next() <= now) membership_.advance(now, words);
     put(words, out);
 }
@@ -167,40 +167,40 @@
     return ledger_.number() != 0 ? std::min(at, holder_.next()) : at;
 }
 bool Core::found(Millis now, std::uint64_t number, Step& out) {
-    ledger::Actions actions;
-    std::vector<duties::Message> said;
+    raft::Actions actions;
+    std::vector<lease_sessions::Message> said;
     const bool done = ledger_.found(now, number, actions);
     settle(now, actions, said, out);
     return done;
 }
 bool Core::changeVoters(Millis now, std::vector<std::string> voters, Step& out) {
-    ledger::Actions actions;
-    std::vector<duties::Message> said;
+    raft::Actions actions;
+    std::vector<lease_sessions::Message> said;
     const bool done = ledger_.changeVoters(now, std::move(voters), actions);
     settle(now, actions, said, out);
     return done;
 }
 void Core::leave(Millis now, Step& out, bool forGood) {
-    ledger::Actions actions;
-    std::vector<duties::Message> said;
+    raft::Actions actions;
+    std::vector<lease_sessions::Message> said;
     holder_.leave(now, said);
     settle(now, actions, said, out);
     if (!forGood) return;
-    std::vector<peers::Message> words;
+    std::vector<gossip::Message> words;
     membership_.leave(now, words);
     put(words, out);
 }
 
 bool Core::away(Millis now, const std::string& host, Step& out) {
-    const duties::Duty* duty = table_.duty(options_.proberDuty);
-    std::vector<host_prober::Message> words;
+    const lease_sessions::Duty* duty = table_.duty(options_.proberDuty);
+    std::vector<health_check::Message> words;
     const auto advice = prober_.wanted(now, host, duty != nullptr ? duty->holder : std::string(), words);
-    for (const host_prober::Message& m : words) put(peers::Room::hostProber, m.to, write(m.body), out);
-    return advice == host_prober::Advice::away;
+    for (const health_check::Message& m : words) put(gossip::Room::hostProber, m.to, write(m.body), out);
+    return advice == health_check::Advice::away;
 }
 void Core::resume(Millis now, Step& out) {
     holder_.resume();
     advance(now, out);
 }
 
-}  // namespace beechpoint::group
+}  // namespace beechpoint::cluster
--- a/src/group/core.hpp
+++ b/src/cluster/core.hpp
@@ -8,14 +8,14 @@
 #include <string>
 #include <vector>
 
-#include "duties/holder.hpp"
-#include "duties/keeper.hpp"
-#include "host_prober/host_prober.hpp"
-#include "ledger/ledger.hpp"
-#include "peers/datagram.hpp"
-#include "peers/membership.hpp"
+#include "lease_sessions/lease_client.hpp"
+#include "lease_sessions/lease_manager.hpp"
+#include "health_check/host_prober.hpp"
+#include "raft/raft_consensus.hpp"
+#include "gossip/datagram.hpp"
+#include "gossip/membership.hpp"
 
-namespace beechpoint::group {
+namespace beechpoint::cluster {
 
 // A member in session asks for the duties that there are to be, and again after so long for those that there are not yet:
 // a request may end unknown.
@@ -27,11 +27,11 @@
     std::vector<std::string> members;  // all, by name
     std::vector<std::string> voters;   // that a new group begins with
     bool willing = true;               // to hold duties
-    ledger::Options ledger;
-    duties::Times times;
-    peers::MembershipOptions membership;
+    raft::Options ledger;
+    lease_sessions::Times times;
+    gossip::MembershipOptions membership;
     std::string proberDuty;  // whose holder looks at dead hosts for all; empty: each looks itself
-    host_prober::HostProberOptions prober;
+    health_check::HostProberOptions prober;
 };
 
 struct Datagram {
@@ -47,14 +47,14 @@
 
 struct Traffic {
     std::uint64_t sent = 0, sentBytes = 0, received = 0, tooLong = 0, unreadable = 0;
-    std::map<peers::Refusal, std::uint64_t> refused;
+    std::map<gossip::Refusal, std::uint64_t> refused;
 };
 
 class Core {
 public:
     // `life`: new with each start, never 0. Throws std::invalid_argument for names or sets it can't work with.
-    Core(Options options, ledger::Life life, std::uint64_t seed, Millis now,
-         const std::optional<ledger::Kept>& kept = std::nullopt);
+    Core(Options options, raft::Life life, std::uint64_t seed, Millis now,
+         const std::optional<raft::Kept>& kept = std::nullopt);
 
     void receive(Millis now, std::string_view bytes, Step& out);
     void advance(Millis now, Step& out);
@@ -71,30 +71,30 @@
     bool away(Millis now, const std::string& host, Step& out);
     void saw(Millis now, const std::string& host, bool there) { prober_.saw(now, host, there); }
 
-    const host_prober::HostProber& prober() const { return prober_; }
-    duties::Holder& holder() { return holder_; }
-    const duties::Holder& holder() const { return holder_; }
-    const ledger::Ledger& ledger() const { return ledger_; }
-    const duties::Table& table() const { return table_; }
-    const duties::Keeper& keeper() const { return keeper_; }
-    const peers::Membership& membership() const { return membership_; }
+    const health_check::HostProber& prober() const { return prober_; }
+    lease_sessions::Holder& holder() { return holder_; }
+    const lease_sessions::Holder& holder() const { return holder_; }
+    const raft::Ledger& ledger() const { return ledger_; }
+    const lease_sessions::Table& table() const { return table_; }
+    const lease_sessions::Keeper& keeper() const { return keeper_; }
+    const gossip::Membership& membership() const { return membership_; }
     const Traffic& traffic() const { return traffic_; }
-    ledger::Kept kept() const { return ledger_.kept(); }
+    raft::Kept kept() const { return ledger_.kept(); }
 
 private:
-    void settle(Millis now, ledger::Actions& actions, std::vector<duties::Message>& said, Step& out);
-    void put(peers::Room room, const std::string& to, const std::string& body, Step& out);
-    void put(const std::vector<peers::Message>& said, Step& out);
+    void settle(Millis now, raft::Actions& actions, std::vector<lease_sessions::Message>& said, Step& out);
+    void put(gossip::Room room, const std::string& to, const std::string& body, Step& out);
+    void put(const std::vector<gossip::Message>& said, Step& out);
 
     Options options_;
-    ledger::Life life_;
-    duties::Table table_;
-    ledger::Ledger ledger_;
-    duties::Keeper keeper_;
-    duties::Holder holder_;
-    peers::Membership membership_;
-    host_prober::HostProber prober_;
+    raft::Life life_;
+    lease_sessions::Table table_;
+    raft::Ledger ledger_;
+    lease_sessions::Keeper keeper_;
+    lease_sessions::Holder holder_;
+    gossip::Membership membership_;
+    health_check::HostProber prober_;
     Traffic traffic_;
 };
 
-}  // namespace beechpoint::group
+}  // namespace beechpoint::cluster
--- a/src/group/outbox.hpp
+++ b/src/cluster/outbox.hpp
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "group/core.hpp"
+#include "cluster/core.hpp"
 
-namespace beechpoint::group {
+namespace beechpoint::cluster {
 
 class Outbox {
 public:
@@ -54,4 +54,4 @@
     std::uint64_t dropped_ = 0;
 };
 
-}  // namespace beechpoint::group
+}  // namespace beechpoint::cluster
--- a/src/group/settings.hpp
+++ b/src/cluster/settings.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace beechpoint::group {
+namespace beechpoint::cluster {
 
 struct Settings {
     std::string name = "gatherers";  // of the group
@@ -20,4 +20,4 @@
     std::string folder;   // that lasts over a restart; empty: this member comes back with nothing
 };
 
-}  // namespace beechpoint::group
+}  // namespace beechpoint::cluster
--- a/src/group/wire.cpp
+++ b/src/cluster/wire.cpp
@@ -1,10 +1,10 @@
-#include "group/wire.hpp"
+#include "cluster/wire.hpp"
 
 #include <algorithm>
 
-#include "peers/fields.hpp"
+#include "gossip/fields.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 static auto fields(Entry& x) { return std::tie(x.term, x.kind, x.data); }
 static auto fields(PreVote& x) { return std::tie(x.term, x.last, x.lastTerm); }
@@ -27,9 +27,9 @@
 static auto fields(Pull& x) { return std::tie(x.last, x.digest); }
 static auto fields(Tail& x) { return std::tie(x.prev, x.prevDigest, x.commit, x.holds, x.entry); }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
 
-namespace beechpoint::duties {
+namespace beechpoint::lease_sessions {
 
 static auto fields(Command& x) {
     return std::tie(x.op, x.member, x.life, x.number, x.session, x.duty, x.fence, x.to);
@@ -41,9 +41,9 @@
 static auto fields(Renewed& x) { return std::tie(x.to, x.number, x.verdict, x.session, x.leader, x.held); }
 static auto fields(Granted& x) { return std::tie(x.to, x.session, x.duty, x.fence); }
 
-}  // namespace beechpoint::duties
+}  // namespace beechpoint::lease_sessions
 
-namespace beechpoint::peers {
+namespace beechpoint::gossip {
 
 static auto fields(Rumour& x) { return std::tie(x.member, x.presence, x.incarnation, x.by); }
 static auto fields(Ping& x) { return std::tie(x.number, x.rumours); }
@@ -51,69 +51,69 @@
 static auto fields(Ack& x) { return std::tie(x.number, x.rumours); }
 static auto fields(Nack& x) { return std::tie(x.number); }
 
-}  // namespace beechpoint::peers
+}  // namespace beechpoint::gossip
 
-namespace beechpoint::host_prober {
+namespace beechpoint::health_check {
 
 static auto fields(Ask& x) { return std::tie(x.host, x.number); }
 static auto fields(Word& x) { return std::tie(x.host, x.number, x.there, x.ageMs); }
 
-}  // namespace beechpoint::host_prober
+}  // namespace beechpoint::health_check
 
-#include "peers/fields.hpp"
+#include "gossip/fields.hpp"
 
-namespace beechpoint::group {
+namespace beechpoint::cluster {
 
 namespace {
 template <class... T>
 std::optional<std::variant<T...>> readAs(std::string_view bytes, const std::variant<T...>*) {
-    return peers::readVariant<T...>(bytes);
+    return gossip::readVariant<T...>(bytes);
 }
 }  // namespace
 
-std::string write(const ledger::Body& body) { return peers::writeVariant(body); }
-std::string write(const duties::Body& body) { return peers::writeVariant(body); }
-std::string write(const peers::Body& body) { return peers::writeVariant(body); }
-std::string write(const host_prober::Body& body) { return peers::writeVariant(body); }
-std::optional<ledger::Body> readLedger(std::string_view bytes) {
-    auto body = readAs(bytes, static_cast<const ledger::Body*>(nullptr));
-    const auto senseless = [](const ledger::Entry& e) {
-        return e.data.size() > ledger::kMostData || e.kind > ledger::Kind::voters;
+std::string write(const raft::Body& body) { return gossip::writeVariant(body); }
+std::string write(const lease_sessions::Body& body) { return gossip::writeVariant(body); }
+std::string write(const gossip::Body& body) { return gossip::writeVariant(body); }
+std::string write(const health_check::Body& body) { return gossip::writeVariant(body); }
+std::optional<raft::Body> readLedger(std::string_view bytes) {
+    auto body = readAs(bytes, static_cast<const raft::Body*>(nullptr));
+    const auto senseless = [](const raft::Entry& e) {
+        return e.data.size() > raft::kMostData || e.kind > raft::Kind::voters;
     };
     if (body) {
-        if (const auto* a = std::get_if<ledger::Append>(&*body); a && senseless(a->entry))
+        if (const auto* a = std::get_if<raft::Append>(&*body); a && senseless(a->entry))
             return std::nullopt;
-        if (const auto* t = std::get_if<ledger::Tail>(&*body); t && senseless(t->entry)) return std::nullopt;
-        if (const auto* r = std::get_if<ledger::StateReply>(&*body);
-            r && r->standing > ledger::Standing::normal)
+        if (const auto* t = std::get_if<raft::Tail>(&*body); t && senseless(t->entry)) return std::nullopt;
+        if (const auto* r = std::get_if<raft::StateReply>(&*body);
+            r && r->standing > raft::Standing::normal)
             return std::nullopt;
     }
     return body;
 }
-std::optional<duties::Body> readDuties(std::string_view bytes) {
-    auto body = readAs(bytes, static_cast<const duties::Body*>(nullptr));
+std::optional<lease_sessions::Body> readDuties(std::string_view bytes) {
+    auto body = readAs(bytes, static_cast<const lease_sessions::Body*>(nullptr));
     if (!body) return body;
-    if (const auto* a = std::get_if<duties::Ask>(&*body); a && a->command.op > duties::Op::hand)
+    if (const auto* a = std::get_if<lease_sessions::Ask>(&*body); a && a->command.op > lease_sessions::Op::hand)
         return std::nullopt;
     return body;
 }
 
-std::optional<host_prober::Body> readHostProber(std::string_view bytes) {
-    return readAs(bytes, static_cast<const host_prober::Body*>(nullptr));
+std::optional<health_check::Body> readHostProber(std::string_view bytes) {
+    return readAs(bytes, static_cast<const health_check::Body*>(nullptr));
 }
-std::optional<peers::Body> readMembership(std::string_view bytes) {
-    auto body = readAs(bytes, static_cast<const peers::Body*>(nullptr));
+std::optional<gossip::Body> readMembership(std::string_view bytes) {
+    auto body = readAs(bytes, static_cast<const gossip::Body*>(nullptr));
     if (!body) return body;
-    const std::vector<peers::Rumour>* told = nullptr;
-    if (const auto* p = std::get_if<peers::Ping>(&*body)) told = &p->rumours;
-    if (const auto* p = std::get_if<peers::PingAsk>(&*body)) told = &p->rumours;
-    if (const auto* p = std::get_if<peers::Ack>(&*body)) told = &p->rumours;
-    if (told != nullptr && (told->size() > peers::kRumours ||
-                            std::any_of(told->begin(), told->end(), [](const peers::Rumour& r) {
-                                return r.presence > peers::Presence::left;
+    const std::vector<gossip::Rumour>* told = nullptr;
+    if (const auto* p = std::get_if<gossip::Ping>(&*body)) told = &p->rumours;
+    if (const auto* p = std::get_if<gossip::PingAsk>(&*body)) told = &p->rumours;
+    if (const auto* p = std::get_if<gossip::Ack>(&*body)) told = &p->rumours;
+    if (told != nullptr && (told->size() > gossip::kRumours ||
+                            std::any_of(told->begin(), told->end(), [](const gossip::Rumour& r) {
+                                return r.presence > gossip::Presence::left;
                             })))
         return std::nullopt;
     return body;
 }
 
-}  // namespace beechpoint::group
+}  // namespace beechpoint::cluster
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -8,8 +8,8 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "duties/messages.hpp"
-#include "module_settings/module_settings.hpp"
+#include "lease_sessions/messages.hpp"
+#include "coordinator/settings_json.hpp"
 
 namespace beechpoint {
 
@@ -30,7 +30,7 @@
 }
 
 asio::ip::tcp::endpoint address(const Json& object, const char* key) {
-    const auto endpoint = back::readEndpoint(text(object, key));
+    const auto endpoint = backend::readEndpoint(text(object, key));
     if (!endpoint) throw BadConfig(fmt::format("key {} must be ADDRESS:PORT", key));
     return *endpoint;
 }
@@ -45,11 +45,11 @@
 
 void readSettings(const Json& json, Config& config) {
     const std::string settings = need(json, "settings").dump();
-    config.settings = firkeel::readSettings(settings);
-    for (const firkeel::ClassSettings& c : config.settings.classes)
+    config.settings = coordinator::readSettings(settings);
+    for (const coordinator::ClassSettings& c : config.settings.classes)
         if (c.secondStep > 0)
             throw BadConfig(fmt::format("class {} has a second step, which no front speaks", c.name));
-    const auto limits = firkeel::readConnectionSettings(settings);
+    const auto limits = coordinator::readConnectionSettings(settings);
     if (config.settings.dialTimeout > 0)
         config.connections.dialTimeout = fromNanos(config.settings.dialTimeout);
     config.connections.idle = limits.idle > 0 ? fromNanos(limits.idle) : 1e12;
@@ -57,14 +57,14 @@
     config.connections.bundle = static_cast<std::size_t>(limits.partsInCall);
 }
 
-group::Settings readGroup(const Json& section, const Config& config) {
+cluster::Settings readGroup(const Json& section, const Config& config) {
     // On a platform that forbids messages nothing of it is on, whatever a file says.
     if (!config.peersAllowed)
         throw BadConfig("group: the configuration has no peers, or its settings forbid messages");
     const auto udp = [](const asio::ip::tcp::endpoint& at) {
         return asio::ip::udp::endpoint(at.address(), at.port());
     };
-    group::Settings group;
+    cluster::Settings group;
     group.name = section.value("name", group.name);
     group.listen = udp(address(section, "listen"));
     const Json& members = need(section, "members");
@@ -77,9 +77,9 @@
     group.proberDuty = section.value("lookout", std::string());
     if (!group.proberDuty.empty()) group.duties.push_back(group.proberDuty);
     for (const std::string& duty : group.duties)
-        if (duty.empty() || duty.size() > duties::kMostDutyName)
+        if (duty.empty() || duty.size() > lease_sessions::kMostDutyName)
             throw BadConfig(
-                fmt::format("group: duty '{}' must have 1 to {} bytes", duty, duties::kMostDutyName));
+                fmt::format("group: duty '{}' must have 1 to {} bytes", duty, lease_sessions::kMostDutyName));
     if (!group.members.contains(config.name))
         throw BadConfig(fmt::format("group: this gatherer, {}, is none of the members", config.name));
     return group;
@@ -100,12 +100,12 @@
         if (json.contains("limits") && json["limits"].contains("sockets"))
             config.sockets = json["limits"]["sockets"].get<std::size_t>();
         config.known = discovery::readListing(need(json, "known"), clock);
-        config.known.list.kind = firkeel::ListKind::remembered;
+        config.known.list.kind = coordinator::ListKind::remembered;
         readSettings(json, config);
         const Json permissions = json["settings"].value("permissions", Json::object());
         config.peersAllowed = json.contains("peers") && permissions.value("peerMessages", false);
         // The module checks the rest itself, and names the key.
-        firkeel::Coordinator(config.settings, config.seed, 0);
+        coordinator::Coordinator(config.settings, config.seed, 0);
     } catch (const BadConfig&) {
         throw;
     } catch (const std::exception& e) {
@@ -115,7 +115,7 @@
 }
 
 void readOperatorEndpoint(const std::string& text, Config& config) {
-    config.operatorEndpoint = back::readEndpoint(text);
+    config.operatorEndpoint = backend::readEndpoint(text);
     if (!config.operatorEndpoint)
         throw BadConfig(fmt::format("$NODE_OPERATOR must be ADDRESS:PORT, not {}", text));
 }
--- a/src/config.hpp
+++ b/src/config.hpp
@@ -9,10 +9,10 @@
 #include <stdexcept>
 #include <string>
 
-#include "back/pool.hpp"
+#include "backend/pool.hpp"
 #include "discovery/hostlist.hpp"
-#include "firkeel/coordinator.hpp"
-#include "group/settings.hpp"
+#include "coordinator/coordinator.hpp"
+#include "cluster/settings.hpp"
 
 namespace beechpoint {
 
@@ -27,8 +27,8 @@
     std::uint64_t seed = 0;
     std::size_t sockets = 1024;
     discovery::Listing known;  // may be out of date
-    firkeel::Settings settings;
-    back::ConnectionLimits connections;
+    coordinator::Settings settings;
+    backend::ConnectionLimits connections;
 
     // The operators' endpoint: closed where no address is named.
     std::optional<asio::ip::tcp::endpoint> operatorEndpoint;
@@ -44,7 +44,7 @@
     std::optional<asio::ip::udp::endpoint> snmp;
     std::string snmpCommunity = "public";
     bool peersAllowed = false;  // the configuration has peers, and its settings allow messages
-    std::optional<group::Settings> group;
+    std::optional<cluster::Settings> group;
 };
 
 // Throw BadConfig with one plain line.
--- a/src/configuration/taken_calls.cpp
+++ b/src/configuration/applied_operations.cpp
@@ -1,4 +1,4 @@
-#include "configuration/taken_calls.hpp"
+#include "configuration/applied_operations.hpp"
 
 #include <fmt/format.h>
 
--- a/src/configuration/editing.cpp
+++ b/src/configuration/editing.cpp
@@ -7,11 +7,11 @@
 
 #include "configuration/body_revision.hpp"
 #include "configuration/document.hpp"
-#include "configuration/partial_change.hpp"
+#include "configuration/merge_patch.hpp"
 #include "configuration/stored_item.hpp"
 #include "configuration/table_ranges.hpp"
-#include "configuration/taken_calls.hpp"
-#include "configuration/whole_change.hpp"
+#include "configuration/applied_operations.hpp"
+#include "configuration/replace_configuration.hpp"
 
 namespace beechpoint::configuration {
 namespace {
--- a/src/configuration/partial_change.cpp
+++ b/src/configuration/merge_patch.cpp
@@ -1,4 +1,4 @@
-#include "configuration/partial_change.hpp"
+#include "configuration/merge_patch.hpp"
 
 #include <fmt/format.h>
 
--- a/src/configuration/whole_change.cpp
+++ b/src/configuration/replace_configuration.cpp
@@ -1,4 +1,4 @@
-#include "configuration/whole_change.hpp"
+#include "configuration/replace_configuration.hpp"
 
 #include "configuration/item_checks.hpp"
 #include "configuration/ordering.hpp"
--- a/src/control/codec.cpp
+++ b/src/control/codec.cpp
@@ -28,15 +28,15 @@
     static auto of(auto& renewal) { return std::tie(renewal.id, renewal.ageMs); }
 };
 template <>
-struct Fields<instances::HostListVersion> {
+struct Fields<host_discovery::HostListVersion> {
     static auto of(auto& version) { return std::tie(version.fence, version.number, version.reader); }
 };
 template <>
-struct Fields<instances::Model> {
+struct Fields<host_discovery::Model> {
     static auto of(auto& model) { return std::tie(model.name, model.revision, model.adapters); }
 };
 template <>
-struct Fields<instances::Host> {
+struct Fields<host_discovery::Host> {
     static auto of(auto& host) {
         return std::tie(host.instanceId, host.service, host.address, host.zone, host.revision, host.capacity,
                         host.state, host.warmupLeft, host.remaining, host.phase, host.models);
@@ -47,7 +47,7 @@
     static auto of(auto& list) { return std::tie(list.version, list.readAge, list.hosts); }
 };
 template <>
-struct Fields<instances::HostListChanges> {
+struct Fields<host_discovery::HostListChanges> {
     static auto of(auto& changes) {
         return std::tie(changes.base, changes.version, changes.sinceBase, changes.changed, changes.gone);
     }
@@ -91,8 +91,8 @@
 };
 
 template <>
-struct EnumBounds<instances::HostState> {
-    static constexpr auto kLast = static_cast<std::uint8_t>(instances::HostState::draining);
+struct EnumBounds<host_discovery::HostState> {
+    static constexpr auto kLast = static_cast<std::uint8_t>(host_discovery::HostState::draining);
 };
 template <>
 struct EnumBounds<PollStatus> {
@@ -122,7 +122,7 @@
         message.hostList = std::move(list);
     };
     if (auto error = unpackField<SharedHostList>(message.packedHostList, takeList)) return error;
-    return unpackField<instances::HostListChanges>(message.packedHostChanges, takeChanges);
+    return unpackField<host_discovery::HostListChanges>(message.packedHostChanges, takeChanges);
 }
 
 std::optional<Error> unpackFields(PollReply& reply) {
@@ -132,7 +132,7 @@
         reply.table = std::move(table.value());
         reply.packedTable.clear();
     }
-    const auto takeChanges = [&](instances::HostListChanges changes) {
+    const auto takeChanges = [&](host_discovery::HostListChanges changes) {
         reply.hostChanges = SharedHostChanges{std::move(changes), reply.hostListReadAge};
     };
     if (auto error = unpackHosts(reply, takeChanges)) return error;
@@ -149,8 +149,8 @@
 
 }  // namespace
 
-std::shared_ptr<const instances::HostList> receivedList(const SharedHostList& shared, Millis now) {
-    auto list = std::make_shared<instances::HostList>();
+std::shared_ptr<const host_discovery::HostList> receivedList(const SharedHostList& shared, Millis now) {
+    auto list = std::make_shared<host_discovery::HostList>();
     list->version = shared.version;
     list->readAt = now - shared.readAge;
     list->hosts = shared.hosts;
@@ -167,10 +167,10 @@
 }
 std::string encode(const ShareReply& reply) { return rpc::pack(reply); }
 
-std::string packHostList(const instances::HostList& list) {
+std::string packHostList(const host_discovery::HostList& list) {
     return packBytes(rpc::pack(SharedHostList{list.version, 0, list.hosts}));
 }
-std::string packHostChanges(const instances::HostListChanges& changes) {
+std::string packHostChanges(const host_discovery::HostListChanges& changes) {
     return packBytes(rpc::pack(changes));
 }
 std::string packDirectory(const std::vector<leases::Gateway>& gateways) {
@@ -197,7 +197,7 @@
 Result<Share> decodeShare(std::string_view body) {
     auto share = rpc::unpack<Share>(body);
     if (!share) return share;
-    const auto takeChanges = [&](instances::HostListChanges changes) {
+    const auto takeChanges = [&](host_discovery::HostListChanges changes) {
         share.value().hostChanges = SharedHostChanges{std::move(changes), share.value().hostListReadAge};
     };
     if (auto error = unpackHosts(share.value(), takeChanges)) return *error;
--- a/src/control/codec.hpp
+++ b/src/control/codec.hpp
@@ -16,8 +16,8 @@
 std::string encode(const ShareReply& reply);
 
 // The packed fields of PollReply and Share. The age of the list's reading travels beside them, so that they are packed once for all.
-std::string packHostList(const instances::HostList& list);
-std::string packHostChanges(const instances::HostListChanges& changes);
+std::string packHostList(const host_discovery::HostList& list);
+std::string packHostChanges(const host_discovery::HostListChanges& changes);
 std::string packDirectory(const std::vector<leases::Gateway>& gateways);
 
 // The kind and the body behind it. Error (invalid): empty, or a kind not known.
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "back/pool.hpp"
+#include "backend/pool.hpp"
 #include "configuration/editing.hpp"
 #include "control/codec.hpp"
 #include "control/directory_service.hpp"
@@ -43,7 +43,7 @@
 constexpr const char* kJson = "application/json";
 
 Result<asio::ip::tcp::endpoint> endpointOf(const std::string& text, const char* place) {
-    const auto endpoint = back::readEndpoint(text);
+    const auto endpoint = backend::readEndpoint(text);
     if (endpoint) return *endpoint;
     return Error{ErrorKind::invalid, place, fmt::format("'{}' is not IP:PORT", text),
                  "write it as 10.0.0.1:8146"};
--- a/src/control/control.hpp
+++ b/src/control/control.hpp
@@ -9,7 +9,7 @@
 
 #include "core/logger.hpp"
 #include "core/result.hpp"
-#include "instances/list_reader.hpp"
+#include "host_discovery/list_reader.hpp"
 #include "settings/process_settings.hpp"
 
 namespace asio {
@@ -25,7 +25,7 @@
 public:
     struct Options {
         std::uint64_t seed = 0;  // must differ at each start
-        instances::ListReader::Settings hostReading;
+        host_discovery::ListReader::Settings hostReading;
     };
 
     // `io`, `clock` and `logger` must outlive it.
--- a/src/control/directory.cpp
+++ b/src/control/directory.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "control/percent.hpp"
+#include "control/percent_encoding.hpp"
 
 namespace beechpoint::control {
 namespace {
--- a/src/control/directory_sample.cpp
+++ b/src/control/directory_sample.cpp
@@ -5,7 +5,7 @@
 
 #include "control/codec.hpp"
 #include "core/splitmix.hpp"
-#include "leases/duty.hpp"
+#include "leases/role_assignment.hpp"
 
 namespace beechpoint::control {
 namespace {
--- a/src/control/gateway_service.cpp
+++ b/src/control/gateway_service.cpp
@@ -16,12 +16,12 @@
 // The poller as the state machine sees it.
 class PolledList final : public HostListSource {
 public:
-    PolledList(asio::io_context& io, const Clock& clock, Logger& logger, instances::Poller::Settings settings,
-               std::uint64_t seed, instances::Poller::OnReading onReading)
+    PolledList(asio::io_context& io, const Clock& clock, Logger& logger, host_discovery::Poller::Settings settings,
+               std::uint64_t seed, host_discovery::Poller::OnReading onReading)
         : poller_(io, clock, logger, std::move(settings), seed, seed, std::move(onReading)) {}
 
     void start(std::uint64_t fence, std::uint64_t lastNumber,
-               std::shared_ptr<const instances::HostList> held) override {
+               std::shared_ptr<const host_discovery::HostList> held) override {
         poller_.start(fence, lastNumber, std::move(held));
     }
     void stop() override { poller_.stop(); }
@@ -30,7 +30,7 @@
     void raiseNumber(std::uint64_t number) override { poller_.raiseNumber(number); }
 
 private:
-    instances::Poller poller_;
+    host_discovery::Poller poller_;
 };
 
 }  // namespace
@@ -122,7 +122,7 @@
         perform(state_.onShared(clock_.now(), table(), member, answer));
     }
 
-    void onHosts(const std::shared_ptr<const instances::HostList>& list, Millis confirmedAt) {
+    void onHosts(const std::shared_ptr<const host_discovery::HostList>& list, Millis confirmedAt) {
         perform(state_.onHosts(clock_.now(), table(), list, confirmedAt));
     }
 
--- a/src/control/gateway_service.hpp
+++ b/src/control/gateway_service.hpp
@@ -12,7 +12,7 @@
 #include "control/messages.hpp"
 #include "control/status.hpp"
 #include "core/logger.hpp"
-#include "instances/poller.hpp"
+#include "host_discovery/poller.hpp"
 #include "leases/lease_table.hpp"
 
 namespace asio {
@@ -31,7 +31,7 @@
 public:
     struct Settings {
         leases::LeaseTable::Settings leases;
-        instances::Poller::Settings poller;
+        host_discovery::Poller::Settings poller;
         std::uint64_t seed = 0;  // differs at each start
     };
 
--- a/src/control/gateway_service_state.cpp
+++ b/src/control/gateway_service_state.cpp
@@ -99,7 +99,7 @@
 }
 
 ServiceActions GatewayServiceState::onHosts(Millis now, const VouchedTable* table,
-                                            std::shared_ptr<const instances::HostList> list,
+                                            std::shared_ptr<const host_discovery::HostList> list,
                                             Millis confirmedAt) {
     ServiceActions actions;
     if (!hosts_.offer(now, std::move(list), confirmedAt)) return actions;
--- a/src/control/gateway_service_state.hpp
+++ b/src/control/gateway_service_state.hpp
@@ -24,8 +24,8 @@
 #include "control/messages.hpp"
 #include "control/shared_hosts.hpp"
 #include "control/transfer_slots.hpp"
-#include "control/vouched_table.hpp"
-#include "control/waiting_polls.hpp"
+#include "control/committed_table_source.hpp"
+#include "control/long_polls.hpp"
 #include "leases/lease_table.hpp"
 
 namespace beechpoint::control {
@@ -70,7 +70,7 @@
     ServiceActions onView(Millis now, const VouchedTable* table);
     // What the source has read.
     ServiceActions onHosts(Millis now, const VouchedTable* table,
-                           std::shared_ptr<const instances::HostList> list, Millis confirmedAt);
+                           std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt);
     ServiceActions tick(Millis now, const VouchedTable* table);
     // Every waiting poll is answered, and later ones at once, with notFresh: gateways go elsewhere.
     ServiceActions leave();
@@ -83,7 +83,7 @@
 
 private:
     struct Peer {
-        instances::HostListVersion hostList;  // that it said it has
+        host_discovery::HostListVersion hostList;  // that it said it has
         bool asked = false;                   // a share to it is out
         Millis askedAt = 0;
         bool takesIncrements = false;
--- a/src/control/waiting_polls.cpp
+++ b/src/control/long_polls.cpp
@@ -1,4 +1,4 @@
-#include "control/waiting_polls.hpp"
+#include "control/long_polls.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -10,8 +10,8 @@
 
 #include "core/clock.hpp"
 #include "core/replicated_table.hpp"
-#include "instances/host_list.hpp"
-#include "instances/host_list_changes.hpp"
+#include "host_discovery/host_list.hpp"
+#include "host_discovery/host_list_changes.hpp"
 #include "leases/lease_table.hpp"
 
 namespace beechpoint::control {
@@ -27,7 +27,7 @@
     leases::Gateway
         gateway;        // name, session, place, front address, ready, draining, own load by host (optional)
     Position position;  // of the table held; {0, 0}: none
-    instances::HostListVersion hostList;  // held; {0, 0, 0}: none
+    host_discovery::HostListVersion hostList;  // held; {0, 0, 0}: none
     Millis waitMs = 0;                    // at most; the member bounds it by kMaxPollWait
     bool wantsLoad = false;               // send the other gateways' load by host
     std::uint64_t directoryDigest = 0;    // of the gateways held for the directory; 0: none
@@ -46,17 +46,17 @@
 
 // The platform's list with the age of its reading at the time of the answer; the receiver subtracts it from its own clock.
 struct SharedHostList {
-    instances::HostListVersion version;
+    host_discovery::HostListVersion version;
     Millis readAge = 0;  // Host times are counted from then
-    std::vector<instances::Host> hosts;
+    std::vector<host_discovery::Host> hosts;
 };
 
 // The list as a value on the receiver's clock.
-std::shared_ptr<const instances::HostList> receivedList(const SharedHostList& shared, Millis now);
+std::shared_ptr<const host_discovery::HostList> receivedList(const SharedHostList& shared, Millis now);
 
 // What changed from the list that a gateway holds to the newest, with the age of the newest one's reading.
 struct SharedHostChanges {
-    instances::HostListChanges changes;
+    host_discovery::HostListChanges changes;
     Millis readAge = 0;
 };
 
@@ -66,7 +66,7 @@
     std::string
         packedTable;  // the same on the wire (table_packing.hpp); a sender that has it leaves `table` out
     std::optional<SharedHostList> hostList;      // where another than the one held
-    instances::HostListVersion hostListVersion;  // the member's
+    host_discovery::HostListVersion hostListVersion;  // the member's
     std::optional<Millis> hostListAge;          // since it was last read or confirmed; nothing: no list known
     std::optional<std::uint32_t> liveGateways;  // nothing: not known at the moment (keep the last)
     std::optional<std::uint32_t> largestLive;   // within the retry window
@@ -89,7 +89,7 @@
     std::uint64_t session = 0;
     std::uint64_t epoch = 0;
     std::vector<leases::SharedLease> leases;  // granted by the sender since its last share
-    instances::HostListVersion hostListVersion;
+    host_discovery::HostListVersion hostListVersion;
     std::optional<Millis> hostListAge;              // since it was last read or confirmed
     std::optional<SharedHostList> hostList;         // where the receiver is not known to have it
     bool readsHosts = false;                        // the sender reads the platform's list, with success
@@ -100,7 +100,7 @@
 };
 
 struct ShareReply {
-    instances::HostListVersion hostListVersion;  // that the receiver has now
+    host_discovery::HostListVersion hostListVersion;  // that the receiver has now
     bool takesIncrements = false;                // understands Share::renewals and the packed fields
     std::vector<std::uint64_t> unknownLeases;    // renewed, and not known here: to be told whole
 };
--- a/src/control/operator_call.cpp
+++ b/src/control/operator_call.cpp
@@ -1,6 +1,6 @@
 #include "control/operator_call.hpp"
 
-#include "control/percent.hpp"
+#include "control/percent_encoding.hpp"
 
 namespace beechpoint::control {
 namespace {
--- a/src/control/percent.cpp
+++ b/src/control/percent_encoding.cpp
@@ -1,4 +1,4 @@
-#include "control/percent.hpp"
+#include "control/percent_encoding.hpp"
 
 namespace beechpoint::control {
 namespace {
--- a/src/control/shared_hosts.cpp
+++ b/src/control/shared_hosts.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "control/codec.hpp"
-#include "leases/duty.hpp"
+#include "leases/role_assignment.hpp"
 
 namespace beechpoint::control {
 namespace {
@@ -31,7 +31,7 @@
                      now - share.hostListAge.value_or(share.hostList->readAge));
     if (!share.hostChanges || !list()) return false;
     const Millis readAge = share.hostChanges->readAge;
-    auto changed = instances::applyChanges(*list(), share.hostChanges->changes, now - readAge);
+    auto changed = host_discovery::applyChanges(*list(), share.hostChanges->changes, now - readAge);
     return changed && offer(now, std::move(changed), now - share.hostListAge.value_or(readAge));
 }
 
@@ -39,7 +39,7 @@
     std::erase_if(readElsewhere_, [&](const auto& entry) { return !isMember(entry.first); });
 }
 
-bool SharedHosts::offer(Millis now, std::shared_ptr<const instances::HostList> list, Millis confirmedAt) {
+bool SharedHosts::offer(Millis now, std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt) {
     if (!holder_.offer(std::move(list), confirmedAt, now)) return false;
     history_.take(holder_.list());
     takenAt_ = now;
@@ -89,7 +89,7 @@
 }
 
 // Many gateways and members hold the same list: the changes are compared and packed once.
-const std::string& SharedHosts::packedChanges(const instances::HostListVersion& held) {
+const std::string& SharedHosts::packedChanges(const host_discovery::HostListVersion& held) {
     const auto known = packedChanges_.find(held);
     if (known != packedChanges_.end()) return known->second;
     if (packedChanges_.size() >= kMostPackedBases) packedChanges_.clear();
@@ -97,12 +97,12 @@
     return packedChanges_[held] = changes ? packHostChanges(*changes) : std::string{};
 }
 
-bool SharedHosts::isToTell(Millis now, const instances::HostListVersion& held) const {
+bool SharedHosts::isToTell(Millis now, const host_discovery::HostListVersion& held) const {
     if (!list() || held >= version()) return false;
     return reads() || now - takenAt_ >= kRelayAfter;
 }
 
-void SharedHosts::tell(Millis now, const instances::HostListVersion& held, bool packed, Share& share) {
+void SharedHosts::tell(Millis now, const host_discovery::HostListVersion& held, bool packed, Share& share) {
     if (!packed) {
         share.hostList = whole(now);
         return;
--- a/src/control/shared_hosts.hpp
+++ b/src/control/shared_hosts.hpp
@@ -14,7 +14,7 @@
 
 #include "control/host_list_source.hpp"
 #include "control/messages.hpp"
-#include "control/vouched_table.hpp"
+#include "control/committed_table_source.hpp"
 
 namespace beechpoint::control {
 
@@ -31,7 +31,7 @@
     void look(Millis now, const VouchedTable* replica);
     void stop() { source_.stop(); }
     // A list, read here or told. Whether it is the newest now.
-    bool offer(Millis now, std::shared_ptr<const instances::HostList> list, Millis confirmedAt);
+    bool offer(Millis now, std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt);
     // What another member told. Whether there is another list now.
     bool take(Millis now, const Share& share);
     // A member that is no longer in the view can't hold the duty.
@@ -44,19 +44,19 @@
     void describe(Millis now, Share& share) const;
     // Whether another member, which said that it has `held`, is to be sent the list by this one: by the reader at once, by others where the
     // reader did not within kRelayAfter.
-    bool isToTell(Millis now, const instances::HostListVersion& held) const;
+    bool isToTell(Millis now, const host_discovery::HostListVersion& held) const;
     // Fills in what it lacks; packed only where it takes that.
-    void tell(Millis now, const instances::HostListVersion& held, bool packed, Share& share);
+    void tell(Millis now, const host_discovery::HostListVersion& held, bool packed, Share& share);
 
-    const std::shared_ptr<const instances::HostList>& list() const { return holder_.list(); }
-    instances::HostListVersion version() const { return holder_.version(); }
+    const std::shared_ptr<const host_discovery::HostList>& list() const { return holder_.list(); }
+    host_discovery::HostListVersion version() const { return holder_.version(); }
     std::optional<Millis> age(Millis now) const { return holder_.age(now); }
     bool reads() const { return source_.running(); }
 
 private:
     bool takeList(Millis now, const Share& share);
     const std::string& packedList();
-    const std::string& packedChanges(const instances::HostListVersion& held);  // empty: none, or not worth it
+    const std::string& packedChanges(const host_discovery::HostListVersion& held);  // empty: none, or not worth it
     std::optional<SharedHostList> whole(Millis now) const;                     // nothing: none known
     bool isReadBefore(const std::vector<std::string>& order, std::size_t rank, Millis now) const;
     void read(std::uint64_t epoch);
@@ -64,11 +64,11 @@
 
     Millis startedAt_;
     HostListSource& source_;
-    instances::HostListHolder holder_;
-    instances::HostListHistory history_;                               // of holder_
+    host_discovery::HostListHolder holder_;
+    host_discovery::HostListHistory history_;                               // of holder_
     Millis takenAt_ = 0;                                               // when holder_ took its list
     std::string packedList_;                                           // of holder_; empty: not packed yet
-    std::map<instances::HostListVersion, std::string> packedChanges_;  // to holder_'s list, by the base
+    std::map<host_discovery::HostListVersion, std::string> packedChanges_;  // to holder_'s list, by the base
     std::map<std::string, Millis> readElsewhere_;  // when each other member last said that it reads
     std::uint64_t fence_ = 0;
 };
--- a/src/policy/coordinator_admission.hpp
+++ b/src/coordinator/admission.hpp
@@ -1,9 +1,9 @@
 // What is refused at its arrival, and which parts are left out. Guard: E7.
 #pragma once
 
-#include "policy/coordinator_gather.hpp"
+#include "coordinator/gather.hpp"
 
-namespace firkeel {
+namespace beechpoint::coordinator {
 
 constexpr double kSpread = 1.5;         // slowest of a query's parts against the slowest expected one
 constexpr double kPartTolerance = 0.4;  // E7: even the lightest part is asked within this share of the time
@@ -87,4 +87,4 @@
     }
 };
 
-}  // namespace firkeel
+}  // namespace beechpoint::coordinator
--- a/include/firkeel/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -1,4 +1,4 @@
-// firkeel: the whole interface of the co-ordinator's decision module.
+// The complete interface of the coordinator, the decision module of the gatherer.
 //
 // A Coordinator is handed timed events and returns actions. It does no I/O, reads no clock and starts no
 // thread. It is not thread-safe: one caller at a time. Events must come in order of time; the actions
@@ -13,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-namespace firkeel {
+namespace beechpoint::coordinator {
 
 using Nanos = std::int64_t;  // a duration, or a time on the caller's clock (any origin, never going back)
 using RequestId = std::uint32_t;  // of a query or of a part; never used twice
@@ -226,4 +226,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace firkeel
+}  // namespace beechpoint::coordinator
--- a/src/policy/failure_tree.hpp
+++ b/src/coordinator/failure_tree.hpp
@@ -3,9 +3,9 @@
 
 #include <vector>
 
-#include "policy/score.hpp"
+#include "coordinator/score.hpp"
 
-namespace firkeel::policy {
+namespace beechpoint::coordinator::policy {
 
 constexpr double kDegrade = 5;       // b, score units: retry the first where the second is worse by so much
 constexpr double kErroneous = 0.05;  // c, failure share: copies fail over alone from here on
@@ -21,4 +21,4 @@
     return first == failed ? w[1].server : first;
 }
 
-}  // namespace firkeel::policy
+}  // namespace beechpoint::coordinator::policy
--- a/src/policy/coordinator_gather.hpp
+++ b/src/coordinator/gather.hpp
@@ -1,9 +1,9 @@
 // A query's parts together: its answer, its second step, its end. Guards: E9, E10.
 #pragma once
 
-#include "policy/coordinator_sending.hpp"
+#include "coordinator/sending.hpp"
 
-namespace firkeel {
+namespace beechpoint::coordinator {
 
 constexpr int kKills = 2;      // E9: servers lost under a query of which no part was served: it is to blame
 constexpr double kLeft = 0.5;  // E10: clients seen to leave of late, from which on it acts
@@ -103,4 +103,4 @@
     }
 };
 
-}  // namespace firkeel
+}  // namespace beechpoint::coordinator
--- a/src/policy/coordinator_ranking.hpp
+++ b/src/coordinator/ranking.hpp
@@ -1,10 +1,10 @@
 // A part's replicas in the order of the design's score, and the width test over them. Guards: E4, E8.
 #pragma once
 
-#include "policy/coordinator_records.hpp"
-#include "policy/width.hpp"
+#include "coordinator/server_records.hpp"
+#include "coordinator/width.hpp"
 
-namespace firkeel {
+namespace beechpoint::coordinator {
 
 constexpr int kRedialDials = 2;  // E8: time-outs of a dial between looks at a server that was cut off
 
@@ -42,4 +42,4 @@
     }
 };
 
-}  // namespace firkeel
+}  // namespace beechpoint::coordinator
--- a/src/policy/record.hpp
+++ b/src/coordinator/record.hpp
@@ -7,7 +7,7 @@
 #include <deque>
 #include <set>
 
-namespace firkeel::policy {
+namespace beechpoint::coordinator::policy {
 
 using Nanos = std::int64_t;
 
@@ -55,4 +55,4 @@
     }
 };
 
-}  // namespace firkeel::policy
+}  // namespace beechpoint::coordinator::policy
--- a/src/policy/score.hpp
+++ b/src/coordinator/score.hpp
@@ -6,7 +6,7 @@
 #include <tuple>
 #include <vector>
 
-namespace firkeel::policy {
+namespace beechpoint::coordinator::policy {
 
 constexpr double kDropAbove = 20;   // a, score units: a host scoring above leaves W
 constexpr double kGainShare = 0.1;  // t_user as a share of the class's aim
@@ -41,4 +41,4 @@
     return w.front().server;
 }
 
-}  // namespace firkeel::policy
+}  // namespace beechpoint::coordinator::policy
--- a/src/policy/coordinator_sending.hpp
+++ b/src/coordinator/sending.hpp
@@ -1,10 +1,10 @@
 // First sends, copies and fail-over, within the budgets. Guards: E1, E9.
 #pragma once
 
-#include "policy/coordinator_ranking.hpp"
-#include "policy/failure_tree.hpp"
+#include "coordinator/ranking.hpp"
+#include "coordinator/failure_tree.hpp"
 
-namespace firkeel {
+namespace beechpoint::coordinator {
 
 constexpr double kOverdue = 2;   // E1: no copy before this many mean times: half of all work ends sooner
 constexpr double kLastCall = 3;  // E1: nor while so many times the other replica's t are left: it may come
@@ -154,4 +154,4 @@
     }
 };
 
-}  // namespace firkeel
+}  // namespace beechpoint::coordinator
--- a/src/policy/coordinator_records.hpp
+++ b/src/coordinator/server_records.hpp
@@ -2,9 +2,9 @@
 // E11.
 #pragma once
 
-#include "policy/coordinator_state.hpp"
+#include "coordinator/state.hpp"
 
-namespace firkeel {
+namespace beechpoint::coordinator {
 
 constexpr double kFailTarget = 0.4;    // f_user: a smaller one crowds a half-broken shard's sound ones
 constexpr double kQueueMemory = 2;     // E11: a reported queue is remembered for so many times its wait
@@ -132,4 +132,4 @@
     }
 };
 
-}  // namespace firkeel
+}  // namespace beechpoint::coordinator
--- a/src/module_settings/module_settings.cpp
+++ b/src/coordinator/settings_json.cpp
@@ -1,8 +1,8 @@
-#include "module_settings/module_settings.hpp"
+#include "coordinator/settings_json.hpp"
 
 #include <nlohmann/json.hpp>
 
-namespace firkeel {
+namespace beechpoint::coordinator {
 
 namespace {
 
@@ -161,4 +161,4 @@
     return s;
 }
 
-}  // namespace firkeel
+}  // namespace beechpoint::coordinator
--- a/src/module_settings/module_settings.hpp
+++ b/src/coordinator/settings_json.hpp
@@ -5,9 +5,9 @@
 #include <stdexcept>
 #include <string>
 
-#include "firkeel/coordinator.hpp"
+#include "coordinator/coordinator.hpp"
 
-namespace firkeel {
+namespace beechpoint::coordinator {
 
 // The settings can't be read. what() names the key and what was expected.
 struct BadSettings : std::runtime_error {
@@ -26,4 +26,4 @@
 // Throws BadSettings, as readSettings() does.
 ConnectionSettings readConnectionSettings(const std::string& json);
 
-}  // namespace firkeel
+}  // namespace beechpoint::coordinator
--- a/src/policy/coordinator_state.hpp
+++ b/src/coordinator/state.hpp
@@ -6,11 +6,11 @@
 #include <utility>
 
 #include "core/splitmix.hpp"
-#include "firkeel/coordinator.hpp"
-#include "policy/record.hpp"
-#include "policy/score.hpp"
+#include "coordinator/coordinator.hpp"
+#include "coordinator/record.hpp"
+#include "coordinator/score.hpp"
 
-namespace firkeel {
+namespace beechpoint::coordinator {
 
 using namespace policy;
 
@@ -110,7 +110,7 @@
         : set(std::move(s)), draw(seed), now(start) {
         const auto need = [](bool ok, const char* key) {
             if (!ok)
-                throw std::invalid_argument("firkeel settings: senseless or missing " + std::string(key));
+                throw std::invalid_argument("coordinator settings: invalid or missing " + std::string(key));
         };
         need(!set.classes.empty(), "classes"), need(set.shards > 0, "shards"), need(set.cells > 0, "cells");
         need(set.span > 0, "span"), need(set.coordinators > 0, "coordinators"), need(set.tick > 0, "tick");
@@ -146,4 +146,4 @@
     Nanos grain() const { return 2 * set.tick; }  // between sweeps over what is held
 };
 
-}  // namespace firkeel
+}  // namespace beechpoint::coordinator
--- a/src/policy/width.hpp
+++ b/src/coordinator/width.hpp
@@ -4,10 +4,10 @@
 #include <cstddef>
 #include <vector>
 
-#include "policy/record.hpp"
-#include "policy/score.hpp"
+#include "coordinator/record.hpp"
+#include "coordinator/score.hpp"
 
-namespace firkeel::policy {
+namespace beechpoint::coordinator::policy {
 
 constexpr std::size_t kLeastPairs = 8;  // fewer say nothing about T(x)
 
@@ -33,4 +33,4 @@
     return v;
 }
 
-}  // namespace firkeel::policy
+}  // namespace beechpoint::coordinator::policy
--- a/src/core/exchange.cpp
+++ b/src/core/exchange.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-Exchange::Exchange(const firkeel::Settings& settings, std::uint64_t seed, const Clock& clock,
+Exchange::Exchange(const coordinator::Settings& settings, std::uint64_t seed, const Clock& clock,
                    Counters& counters, Logger& log, std::function<void(Millis)> wake)
     : settings_(settings),
       clock_(clock),
@@ -53,7 +53,7 @@
     return lastId_;
 }
 
-const firkeel::ClassSettings* Exchange::classOf(const std::string& name) const {
+const coordinator::ClassSettings* Exchange::classOf(const std::string& name) const {
     const auto found = std::find_if(settings_.classes.begin(), settings_.classes.end(),
                                     [&](const auto& c) { return c.name == name; });
     return found == settings_.classes.end() ? nullptr : &*found;
@@ -97,7 +97,7 @@
     overdue_.insert({r.expires, id});
     open_ += more;
 
-    firkeel::QueryArrived arrived;
+    coordinator::QueryArrived arrived;
     arrived.id = id;
     arrived.number = id;
     arrived.klass = r.klass;
@@ -111,7 +111,7 @@
         const RequestId partId = nextId();
         queryOf_[partId] = id;
         live.parts.push_back({partId, part.slice, part.share, false, 0, {}});
-        events_.emplace_back(firkeel::PartArrived{partId, id, part.slice, part.share});
+        events_.emplace_back(coordinator::PartArrived{partId, id, part.slice, part.share});
     }
     pump();
     return id;
@@ -124,7 +124,7 @@
     counters_.add(found->second.sent ? Counter::goneAfterSent : Counter::goneBeforeSent);
     found->second.done = nullptr;  // nothing is owed any more
     finish(ticket, {});
-    give(firkeel::QueryGone{ticket});
+    give(coordinator::QueryGone{ticket});
 }
 
 // Ends a query, with its one final answer where a client still waits.
@@ -154,11 +154,11 @@
     while (!queries_.empty()) {
         const auto& [id, live] = *queries_.begin();
         const RequestId query = id;
-        const firkeel::ClassSettings* klass = classOf(live.request->klass);
+        const coordinator::ClassSettings* klass = classOf(live.request->klass);
         Final final;
-        final.kind = !live.sent || (klass && klass->effect == firkeel::Effect::safe) ? Final::Kind::refused : Final::Kind::failed;
+        final.kind = !live.sent || (klass && klass->effect == coordinator::Effect::safe) ? Final::Kind::refused : Final::Kind::failed;
         finish(query, std::move(final));
-        give(firkeel::QueryGone{query});
+        give(coordinator::QueryGone{query});
     }
 }
 
@@ -227,7 +227,7 @@
     timeouts_.erase({out.until, id});
     counters_.add(counterOf(outcome));
     const LivePart* part = partOf(id.part);
-    firkeel::AttemptEnded event;
+    coordinator::AttemptEnded event;
     event.id = id.part;
     event.attempt = id.number;
     event.server = out.server;
@@ -240,23 +240,23 @@
 
 void Exchange::probed(const std::string& server, Outcome outcome, Millis took, Load load) {
     if (hostProbes_) hostProbes_->saw(server, outcome == Outcome::served || outcome == Outcome::turnedAway);
-    give(firkeel::ProbeEnded{server, outcome, toNanos(took), std::move(load)});
+    give(coordinator::ProbeEnded{server, outcome, toNanos(took), std::move(load)});
 }
 
 void Exchange::list(const HostList& list) {
     counters_.add(Counter::listUpdates);
-    if (list.kind != firkeel::ListKind::changes) {
+    if (list.kind != coordinator::ListKind::changes) {
         up_.clear();
         listed_.clear();
     }
-    firkeel::ServerList event;
+    coordinator::ServerList event;
     event.kind = list.kind;
     for (const HostEntry& host : list.entries) {
-        if (host.entry.state == firkeel::ServerState::up)
+        if (host.entry.state == coordinator::ServerState::up)
             up_.insert(host.entry.id);
         else
             up_.erase(host.entry.id);
-        if (host.entry.state == firkeel::ServerState::removed)
+        if (host.entry.state == coordinator::ServerState::removed)
             listed_.erase(host.entry.id);
         else
             listed_.insert(host.entry.id);
@@ -273,7 +273,7 @@
 
 // ---- the module
 
-void Exchange::give(firkeel::Event event) {
+void Exchange::give(coordinator::Event event) {
     events_.push_back(std::move(event));
     pump();
 }
@@ -281,20 +281,20 @@
 void Exchange::pump() {
     if (pumping_) return;  // carried out by the call further up, in order
     pumping_ = true;
-    std::vector<firkeel::Action> actions;
+    std::vector<coordinator::Action> actions;
     while (!events_.empty()) {
-        const firkeel::Event event = std::move(events_.front());
+        const coordinator::Event event = std::move(events_.front());
         events_.pop_front();
         actions.clear();
         coordinator_.handle(toNanos(clock_.now()), event, actions);
-        for (const firkeel::Action& action : actions) std::visit([this](const auto& a) { carry(a); }, action);
+        for (const coordinator::Action& action : actions) std::visit([this](const auto& a) { carry(a); }, action);
     }
     pumping_ = false;
     hosts_->flush();
     rearm();
 }
 
-void Exchange::carry(const firkeel::Send& a) {
+void Exchange::carry(const coordinator::Send& a) {
     LivePart* part = partOf(a.id);
     if (!part) {
         log_.seldom("send", "the module sent part {} of a query that is over", field("part", a.id));
@@ -315,7 +315,7 @@
     hosts_->send({id, a.server, live.request, part->slice, until});
 }
 
-void Exchange::carry(const firkeel::Cancel& a) {
+void Exchange::carry(const coordinator::Cancel& a) {
     const AttemptId id{a.id, a.attempt};
     const auto found = out_.find(id);
     if (found == out_.end()) return;
@@ -323,7 +323,7 @@
     conclude(found, Outcome::cancelled, {});
 }
 
-void Exchange::carry(const firkeel::Answer& a) {
+void Exchange::carry(const coordinator::Answer& a) {
     const auto found = queries_.find(a.id);
     if (found == queries_.end()) return;
     const Live& live = found->second;
@@ -333,7 +333,7 @@
         if (part.in) in += part.share;
     }
     const bool every = std::all_of(live.parts.begin(), live.parts.end(), [](const auto& p) { return p.in; });
-    const firkeel::ClassSettings* klass = classOf(live.request->klass);
+    const coordinator::ClassSettings* klass = classOf(live.request->klass);
     Final final;
     final.kind = Final::Kind::answered;
     final.whole = a.whole && (every || in >= klass->completeFrom * all - kShareSlack);
@@ -346,7 +346,7 @@
     finish(a.id, std::move(final));
 }
 
-void Exchange::carry(const firkeel::Refuse& a) {
+void Exchange::carry(const coordinator::Refuse& a) {
     Final final;
     final.kind = Final::Kind::refused;
     final.why = whyEnded(a.id);
@@ -354,7 +354,7 @@
     finish(a.id, std::move(final));
 }
 
-void Exchange::carry(const firkeel::Fail& a) {
+void Exchange::carry(const coordinator::Fail& a) {
     Final final;
     final.why = whyEnded(a.id);
     finish(a.id, std::move(final));
@@ -376,18 +376,18 @@
     return waiting || (tried && atEnd) ? Final::Why::deadline : Final::Why::decided;
 }
 
-void Exchange::carry(const firkeel::SetTimer& a) { timers_.emplace(fromNanos(a.at), a.mark); }
+void Exchange::carry(const coordinator::SetTimer& a) { timers_.emplace(fromNanos(a.at), a.mark); }
 
-void Exchange::carry(const firkeel::Probe& a) {
+void Exchange::carry(const coordinator::Probe& a) {
     if (hostProbes_ && hostProbes_->away(a.server)) {
         counters_.add(Counter::probesSpared);
-        return give(firkeel::ProbeEnded{a.server, Outcome::noConnection, 0, {}});
+        return give(coordinator::ProbeEnded{a.server, Outcome::noConnection, 0, {}});
     }
     counters_.add(Counter::probesSent);
     hosts_->probe(a.server);
 }
 
-void Exchange::carry(const firkeel::Log& a) { log_.info("{}", field("decision", a.text)); }
+void Exchange::carry(const coordinator::Log& a) { log_.info("{}", field("decision", a.text)); }
 
 // ---- time
 
@@ -401,7 +401,7 @@
     while (!timers_.empty() && timers_.begin()->first <= now) {
         const std::int64_t mark = timers_.begin()->second;
         timers_.erase(timers_.begin());
-        give(firkeel::TimerDue{mark});
+        give(coordinator::TimerDue{mark});
     }
     // The module ends each query well before its time is up. Should it ever not, the client still gets one
     // answer, and the module is told that the query is gone.
@@ -412,7 +412,7 @@
         Final final;
         final.why = Final::Why::deadline;
         finish(id, std::move(final));
-        give(firkeel::QueryGone{id});
+        give(coordinator::QueryGone{id});
     }
     rearm();
 }
--- a/src/core/exchange.hpp
+++ b/src/core/exchange.hpp
@@ -20,12 +20,12 @@
 #include "core/counters.hpp"
 #include "core/figures.hpp"
 #include "core/logger.hpp"
-#include "firkeel/coordinator.hpp"
+#include "coordinator/coordinator.hpp"
 
 namespace beechpoint {
 
-using firkeel::Outcome;
-using firkeel::RequestId;
+using coordinator::Outcome;
+using coordinator::RequestId;
 
 // ---- towards clients
 
@@ -87,16 +87,16 @@
 };
 
 struct HostEntry {
-    firkeel::ServerEntry entry;
+    coordinator::ServerEntry entry;
     std::string address;
 };
 
 struct HostList {
-    firkeel::ListKind kind = firkeel::ListKind::complete;
+    coordinator::ListKind kind = coordinator::ListKind::complete;
     std::vector<HostEntry> entries;
 };
 
-using Load = std::vector<firkeel::LoadValue>;
+using Load = std::vector<coordinator::LoadValue>;
 
 // The server side. It reports each attempt's outcome to the exchange unless the exchange abandons it first.
 class TrackHosts {
@@ -121,7 +121,7 @@
 class Exchange {
 public:
     // `wake` is asked to bring tick() at or after a time; the last one asked for counts.
-    Exchange(const firkeel::Settings& settings, std::uint64_t seed, const Clock& clock, Counters& counters,
+    Exchange(const coordinator::Settings& settings, std::uint64_t seed, const Clock& clock, Counters& counters,
              Logger& log, std::function<void(Millis)> wake);
 
     void attach(TrackHosts& hosts) { hosts_ = &hosts; }
@@ -162,7 +162,7 @@
     std::size_t live() const { return queries_.size(); }
     std::size_t open() const { return open_; }
     std::size_t idsHeld() const { return ids_.size(); }
-    const firkeel::Settings& settings() const { return settings_; }
+    const coordinator::Settings& settings() const { return settings_; }
 
 private:
     struct LivePart {
@@ -191,33 +191,33 @@
     };
     using OutMap = std::map<AttemptId, Out>;
 
-    void give(firkeel::Event event);
+    void give(coordinator::Event event);
     void pump();
-    void carry(const firkeel::Send& a);
-    void carry(const firkeel::Cancel& a);
-    void carry(const firkeel::Answer& a);
-    void carry(const firkeel::Refuse& a);
-    void carry(const firkeel::Fail& a);
-    void carry(const firkeel::SetTimer& a);
-    void carry(const firkeel::Probe& a);
-    void carry(const firkeel::Subscribe&) {}  // discovery is always watched
-    void carry(const firkeel::Log& a);
+    void carry(const coordinator::Send& a);
+    void carry(const coordinator::Cancel& a);
+    void carry(const coordinator::Answer& a);
+    void carry(const coordinator::Refuse& a);
+    void carry(const coordinator::Fail& a);
+    void carry(const coordinator::SetTimer& a);
+    void carry(const coordinator::Probe& a);
+    void carry(const coordinator::Subscribe&) {}  // discovery is always watched
+    void carry(const coordinator::Log& a);
     void finish(RequestId query, Final final);
     Final::Why whyEnded(RequestId query) const;
     LivePart* partOf(RequestId part);
     bool live(AttemptId attempt, const Out& out) const;
     void lookForLeaving(RequestId part);
     void conclude(OutMap::iterator out, Outcome outcome, Load load);
-    const firkeel::ClassSettings* classOf(const std::string& name) const;
+    const coordinator::ClassSettings* classOf(const std::string& name) const;
     RequestId nextId();
     void rearm();
 
-    firkeel::Settings settings_;
+    coordinator::Settings settings_;
     const Clock& clock_;
     Counters& counters_;
     Logger& log_;
     std::function<void(Millis)> wake_;
-    firkeel::Coordinator coordinator_;
+    coordinator::Coordinator coordinator_;
     TrackHosts* hosts_ = nullptr;
     HostProbes* hostProbes_ = nullptr;
     Figures figures_;  // outlives the live queries, which hold places in it
@@ -231,7 +231,7 @@
     std::set<std::pair<Millis, RequestId>> overdue_;
     std::multimap<Millis, std::int64_t> timers_;
     std::unordered_set<std::string> up_, listed_;
-    std::deque<firkeel::Event> events_;
+    std::deque<coordinator::Event> events_;
     bool pumping_ = false;
     double share_ = 1;
     std::size_t open_ = 0;  // queries and parts held
--- a/src/discovery/hostlist.cpp
+++ b/src/discovery/hostlist.cpp
@@ -17,21 +17,21 @@
     return *found;
 }
 
-firkeel::ServerState readState(const std::string& word) {
-    if (word == "Ready") return firkeel::ServerState::up;
-    if (word == "Terminating") return firkeel::ServerState::draining;
-    if (word == "Gone") return firkeel::ServerState::removed;
+coordinator::ServerState readState(const std::string& word) {
+    if (word == "Ready") return coordinator::ServerState::up;
+    if (word == "Terminating") return coordinator::ServerState::draining;
+    if (word == "Gone") return coordinator::ServerState::removed;
     throw BadList("lifecycle must be Ready, Terminating or Gone");
 }
 
 HostEntry readEntry(const Json& item, const Clock& clock) {
     if (!item.is_object()) throw BadList("each instance must be an object");
     HostEntry host;
-    firkeel::ServerEntry& e = host.entry;
+    coordinator::ServerEntry& e = host.entry;
     e.id = need(item, "instanceId", &Json::is_string, "text").get<std::string>();
     if (e.id.empty()) throw BadList("instanceId must not be empty");
     e.state = readState(need(item, "lifecycle", &Json::is_string, "text").get<std::string>());
-    const bool gone = e.state == firkeel::ServerState::removed;  // its other figures say nothing any more
+    const bool gone = e.state == coordinator::ServerState::removed;  // its other figures say nothing any more
     if (!gone || item.contains("hostPort"))
         host.address = need(item, "hostPort", &Json::is_string, "text").get<std::string>();
     if (!gone || item.contains("cell")) {
@@ -59,7 +59,7 @@
     Listing l;
     l.generation = need(json, "generation", &Json::is_number_integer, "a whole number").get<std::int64_t>();
     const bool full = need(json, "reset", &Json::is_boolean, "true or false").get<bool>();
-    l.list.kind = full ? firkeel::ListKind::complete : firkeel::ListKind::changes;
+    l.list.kind = full ? coordinator::ListKind::complete : coordinator::ListKind::changes;
     for (const Json& item : need(json, "instances", &Json::is_array, "a list"))
         l.list.entries.push_back(readEntry(item, clock));
     return l;
@@ -74,9 +74,9 @@
 std::string writeListing(const Listing& listing, const Clock& clock) {
     Json instances = Json::array();
     for (const HostEntry& host : listing.list.entries) {
-        const firkeel::ServerEntry& e = host.entry;
-        const char* const state = e.state == firkeel::ServerState::up         ? "Ready"
-                                  : e.state == firkeel::ServerState::draining ? "Terminating"
+        const coordinator::ServerEntry& e = host.entry;
+        const char* const state = e.state == coordinator::ServerState::up         ? "Ready"
+                                  : e.state == coordinator::ServerState::draining ? "Terminating"
                                                                               : "Gone";
         instances.push_back(
             {{"instanceId", e.id},
@@ -88,7 +88,7 @@
              {"weight", e.rating},
              {"startedAtMs", e.startedAt > 0 ? std::llround(clock.toUnix(fromNanos(e.startedAt))) : 0}});
     }
-    const bool full = listing.list.kind != firkeel::ListKind::changes;
+    const bool full = listing.list.kind != coordinator::ListKind::changes;
     return Json{{"generation", listing.generation}, {"reset", full}, {"instances", std::move(instances)}}
         .dump();
 }
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -11,19 +11,19 @@
 #include "dispatch/admission.hpp"
 #include "dispatch/arrival.hpp"
 #include "dispatch/attempt_log.hpp"
-#include "dispatch/copy_budget.hpp"
-#include "dispatch/due_list.hpp"
+#include "dispatch/hedge_budget.hpp"
+#include "dispatch/timer_queue.hpp"
 #include "dispatch/host_health.hpp"
 #include "dispatch/route_table.hpp"
 #include "dispatch/selection.hpp"
 #include "dispatch/service_table.hpp"
 #include "dispatch/shared_load.hpp"
-#include "policy/failure_tree.hpp"
-#include "policy/width.hpp"
+#include "coordinator/failure_tree.hpp"
+#include "coordinator/width.hpp"
 
 namespace beechpoint::dispatch {
 
-namespace policy = firkeel::policy;
+namespace policy = coordinator::policy;
 
 namespace {
 
--- a/src/dispatch/dispatcher.hpp
+++ b/src/dispatch/dispatcher.hpp
@@ -1,5 +1,5 @@
 // The decisions of a gateway about all its requests: which host, how many copies, where a failed attempt goes next,
-// what is refused. The retry design (src/policy) decides on the ordinary path; budgets, cold hosts, evacuations, homes
+// what is refused. The retry design (src/coordinator) decides on the ordinary path; budgets, cold hosts, evacuations, homes
 // and admission bound it. No I/O, clock, thread or randomness but the seed: the same seed and events give the same
 // actions. Not thread-safe.
 //
--- a/src/dispatch/host_table.cpp
+++ b/src/dispatch/host_table.cpp
@@ -77,7 +77,7 @@
     for (int i = 0; i < static_cast<int>(slots_.size()); ++i) {
         HostSlot& slot = at(i);
         std::erase_if(slot.records, [&](const auto& entry) {
-            const firkeel::policy::Record& record = entry.second;
+            const coordinator::policy::Record& record = entry.second;
             return record.out.empty() && std::max(record.f.at, record.lastServed) < toNanos(oldest);
         });
         const bool gone = !slot.listed && slot.goneAt > 0 && now > slot.goneAt + kRemembered;
--- a/src/dispatch/host_table.hpp
+++ b/src/dispatch/host_table.hpp
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "core/clock.hpp"
-#include "dispatch/cold_allowance.hpp"
+#include "dispatch/slow_start_budget.hpp"
 #include "dispatch/messages.hpp"
-#include "policy/record.hpp"
+#include "coordinator/record.hpp"
 
 namespace beechpoint::dispatch {
 
@@ -21,12 +21,12 @@
 struct HostSlot {
     Host host;
     bool listed = false;
-    std::unordered_map<RouteId, firkeel::policy::Record> records;
-    firkeel::policy::Mean ratio;  // times over the average host's, all routes
-    firkeel::policy::Mean slowness{
+    std::unordered_map<RouteId, coordinator::policy::Record> records;
+    coordinator::policy::Mean ratio;  // times over the average host's, all routes
+    coordinator::policy::Mean slowness{
         kSlownessMemoryS};   // of its reading, over the average host's, by all gateways
     double newSlowness = 0;  // measured here and not told yet; 0: none
-    firkeel::policy::Mean failures{firkeel::policy::kFailMemoryS};  // all routes
+    coordinator::policy::Mean failures{coordinator::policy::kFailMemoryS};  // all routes
 
     int out = 0;            // attempts whose end is owed
     int waiting = 0;        // of these, without a first event
--- a/src/dispatch/predictor.cpp
+++ b/src/dispatch/predictor.cpp
@@ -38,7 +38,7 @@
 
 double Predictor::timeS(const HostSlot& slot, const RouteRecord& route, const ServiceLoad& load,
                         double tokens, Millis now) {
-    const firkeel::policy::Nanos at = toNanos(now);
+    const coordinator::policy::Nanos at = toNanos(now);
     const double slowness = now < slot.coldUntil ? kColdSlowness : 1;
     const double ratio = load.hostSpeed ? slot.ratio.value(at, slowness) : slowness;
     const double prior = route.timeS(now) * ratio;
@@ -52,7 +52,7 @@
 }
 
 double Predictor::failureShare(const HostSlot& slot, RouteId route, Millis now) {
-    const firkeel::policy::Nanos at = toNanos(now);
+    const coordinator::policy::Nanos at = toNanos(now);
     const double prior = slot.failures.value(at, 0, kPriorFailures);
     const auto record = slot.records.find(route);
     return record == slot.records.end() ? prior : record->second.f.value(at, prior, kPriorFailures);
@@ -74,19 +74,19 @@
     slot.progressAt = now;
     --slot.waiting;
     slot.waitingS = slot.waiting == 0 ? 0 : slot.waitingS - attempt.workS;
-    std::multiset<firkeel::policy::Nanos>& out = slot.records[route].out;
+    std::multiset<coordinator::policy::Nanos>& out = slot.records[route].out;
     if (const auto one = out.find(toNanos(attempt.sentAt)); one != out.end()) out.erase(one);
 }
 
 void Predictor::learnTime(HostSlot& slot, RouteRecord& route, ServiceLoad& load, const Sent& attempt,
                           double tookS, bool atLeast, Millis now) {
-    const firkeel::policy::Nanos at = toNanos(now);
+    const coordinator::policy::Nanos at = toNanos(now);
     const double reading = attempt.aheadS + attempt.workS;
     const double normal = load.engine ? std::max(kLeastNormalS, tookS - reading)
                                       : tookS / (1 + aheadWeight(load) * attempt.ahead);
     const double usual = route.timeS(now);
     if (atLeast && normal <= usual) return;
-    firkeel::policy::Record& record = slot.records[route.id];
+    coordinator::policy::Record& record = slot.records[route.id];
     slot.ratio.add(at, normal / usual);
     record.t.add(at, normal);
     if (atLeast) return;
@@ -103,7 +103,7 @@
 }
 
 void Predictor::learnEnd(HostSlot& slot, RouteId route, bool served, Millis now) {
-    const firkeel::policy::Nanos at = toNanos(now);
+    const coordinator::policy::Nanos at = toNanos(now);
     slot.records[route].f.add(at, !served);
     slot.failures.add(at, !served);
 }
--- a/src/dispatch/predictor.hpp
+++ b/src/dispatch/predictor.hpp
@@ -7,20 +7,20 @@
 
 #include "core/clock.hpp"
 #include "dispatch/host_table.hpp"
-#include "dispatch/reading_rate.hpp"
-#include "policy/score.hpp"
+#include "dispatch/prefill_rate.hpp"
+#include "coordinator/score.hpp"
 
 namespace beechpoint::dispatch {
 
 // What is known of a route's requests over all hosts. Times are normal ones: without queue and reading.
 struct RouteRecord {
     RouteId id = 0;
-    firkeel::policy::Mean time{firkeel::policy::kWindowS};
+    coordinator::policy::Mean time{coordinator::policy::kWindowS};
     Millis aim = 0;
     Millis usedAt = 0;
 
     static constexpr Millis kLeastAim = 10;
-    double gainTargetS() const { return firkeel::policy::kGainShare * std::max(aim, kLeastAim) * 1e-3; }
+    double gainTargetS() const { return coordinator::policy::kGainShare * std::max(aim, kLeastAim) * 1e-3; }
     double timeS(Millis now) const { return time.value(toNanos(now), gainTargetS()); }
 };
 
--- a/src/dispatch/reading_rate.cpp
+++ b/src/dispatch/prefill_rate.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/reading_rate.hpp"
+#include "dispatch/prefill_rate.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/dispatch/request.hpp
+++ b/src/dispatch/request.hpp
@@ -7,7 +7,7 @@
 
 #include "core/clock.hpp"
 #include "dispatch/messages.hpp"
-#include "dispatch/placement.hpp"
+#include "dispatch/prefix_affinity.hpp"
 
 namespace beechpoint::dispatch {
 
--- a/src/dispatch/selection.cpp
+++ b/src/dispatch/selection.cpp
@@ -2,12 +2,12 @@
 
 #include <algorithm>
 
-#include "dispatch/placement.hpp"
+#include "dispatch/prefix_affinity.hpp"
 #include "dispatch/service_state.hpp"
 
 namespace beechpoint::dispatch {
 
-namespace policy = firkeel::policy;
+namespace policy = coordinator::policy;
 
 namespace {
 
--- a/src/dispatch/selection.hpp
+++ b/src/dispatch/selection.hpp
@@ -10,7 +10,7 @@
 #include "dispatch/host_table.hpp"
 #include "dispatch/predictor.hpp"
 #include "dispatch/request.hpp"
-#include "policy/score.hpp"
+#include "coordinator/score.hpp"
 
 namespace beechpoint::dispatch {
 
@@ -25,7 +25,7 @@
     std::vector<int> allowed(const Request& request) const;
     // Of these the ones that may be sent to now, best first: not full, within the cold allowance, not cut off (unless all
     // are), and without an attempt of this request out.
-    std::vector<firkeel::policy::Scored> ranked(const Request& request, const RouteRecord& route,
+    std::vector<coordinator::policy::Scored> ranked(const Request& request, const RouteRecord& route,
                                                 ServiceState& service, Millis now) const;
     // Prompt tokens that the host is expected to have to read.
     double tokensToRead(const Request& request, const ServiceState& service, int host) const;
--- a/src/dispatch/service_state.hpp
+++ b/src/dispatch/service_state.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "core/clock.hpp"
-#include "dispatch/cold_allowance.hpp"
+#include "dispatch/slow_start_budget.hpp"
 #include "dispatch/messages.hpp"
 #include "dispatch/predictor.hpp"
 #include "dispatch/retry_budget.hpp"
--- a/src/dispatch/cold_allowance.cpp
+++ b/src/dispatch/slow_start_budget.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/cold_allowance.hpp"
+#include "dispatch/slow_start_budget.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/files/disk.cpp
+++ b/src/durable_files/disk.cpp
@@ -8,9 +8,9 @@
 #include <fstream>
 #include <iterator>
 
-#include "files/files.hpp"
+#include "durable_files/files.hpp"
 
-namespace beechpoint::files {
+namespace beechpoint::durable_files {
 
 namespace {
 
@@ -66,4 +66,4 @@
     return names;
 }
 
-}  // namespace beechpoint::files
+}  // namespace beechpoint::durable_files
--- a/src/files/disk_thread.cpp
+++ b/src/durable_files/disk_thread.cpp
@@ -1,9 +1,9 @@
-#include "files/disk_thread.hpp"
+#include "durable_files/disk_thread.hpp"
 
 #include <asio/post.hpp>
 #include <utility>
 
-namespace beechpoint::files {
+namespace beechpoint::durable_files {
 
 DiskThread::DiskThread(asio::io_context& io) : io_(io), thread_([this] { run(); }) {}
 
@@ -42,4 +42,4 @@
     }
 }
 
-}  // namespace beechpoint::files
+}  // namespace beechpoint::durable_files
--- a/src/files/disk_thread.hpp
+++ b/src/durable_files/disk_thread.hpp
@@ -11,7 +11,7 @@
 #include <mutex>
 #include <thread>
 
-namespace beechpoint::files {
+namespace beechpoint::durable_files {
 
 class DiskThread {
 public:
@@ -39,4 +39,4 @@
     std::thread thread_;
 };
 
-}  // namespace beechpoint::files
+}  // namespace beechpoint::durable_files
--- a/src/files/files.hpp
+++ b/src/durable_files/files.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-namespace beechpoint::files {
+namespace beechpoint::durable_files {
 
 class Files {
 public:
@@ -39,4 +39,4 @@
     std::vector<std::string> list(const std::string& folder) override;
 };
 
-}  // namespace beechpoint::files
+}  // namespace beechpoint::durable_files
--- a/src/emulator/faulty_files.hpp
+++ b/src/emulator/faulty_files.hpp
@@ -9,13 +9,13 @@
 #include <memory>
 #include <random>
 
-#include "files/files.hpp"
+#include "durable_files/files.hpp"
 
 namespace beechpoint::emulator {
 
 struct Crash {};  // thrown out of the call at which the machine stops
 
-class FaultyFiles : public files::Files {
+class FaultyFiles : public durable_files::Files {
 public:
     explicit FaultyFiles(std::uint64_t seed) : random_(seed) {}
 
--- a/src/emulator/group_run.cpp
+++ b/src/emulator/group_run.cpp
@@ -35,8 +35,8 @@
     void replayOld() override { world_.replayOld(); }
     bool runs(int m) const override { return world_.alive(m); }
     bool whole(int m) const override {
-        const auto role = world_.alive(m) ? world_.core(m).ledger().role() : ledger::Role::empty;
-        return role == ledger::Role::learner || role >= ledger::Role::follower;
+        const auto role = world_.alive(m) ? world_.core(m).ledger().role() : raft::Role::empty;
+        return role == raft::Role::learner || role >= raft::Role::follower;
     }
     int leads() const override { return world_.leader(); }
     int holds(int duty) const override { return world_.holder(GroupWorld::dutyName(duty)); }
--- a/src/emulator/group_world_member.hpp
+++ b/src/emulator/group_world_member.hpp
@@ -10,28 +10,28 @@
 
 #include "emulator/faulty_files.hpp"
 #include "emulator/group_world.hpp"
-#include "ledger/folder.hpp"
+#include "raft/state_folder.hpp"
 
 namespace beechpoint::emulator {
 
 inline constexpr Millis kActEvery = 25;  // of a member's own clock, on each duty it may act on
 
 struct GroupWorld::Member {
-    std::unique_ptr<group::Core> core;
-    group::Options options;
+    std::unique_ptr<cluster::Core> core;
+    cluster::Options options;
     double rate = 1, offset = 0;
     bool stopped = false;
     std::uint64_t epoch = 0;
     FaultyFiles files{1};
-    std::optional<ledger::Journal> journal;
-    std::optional<ledger::Folder> folder;
+    std::optional<raft::Journal> journal;
+    std::optional<raft::Folder> folder;
     std::map<std::string, std::string> first;  // the folder as it was when the group had just begun
     std::vector<std::string> buffer;
-    ledger::Index seen = 0;
+    raft::Index seen = 0;
     std::map<std::uint64_t, std::pair<std::string, DutyOp>> calls;
     std::vector<std::pair<std::string, std::uint64_t>> begun;  // acts checked, not yet carried out
     std::uint64_t sentBytes = 0, beforeQuiet = 0, refused = 0, snapshots = 0, tooLong = 0;
-    ledger::Life life = 0;
+    raft::Life life = 0;
     Millis wantAt = -1e300;
     std::string told;  // for the trace
     Millis local(Millis t) const { return offset + t * rate; }
--- a/src/emulator/real_agent.cpp
+++ b/src/emulator/real_agent.cpp
@@ -14,10 +14,10 @@
 
 constexpr std::chrono::seconds kBeat(2);  // an empty line while nothing changes
 
-firkeel::ServerState stateOf(ListedHost::State state) {
-    return state == ListedHost::State::ready         ? firkeel::ServerState::up
-           : state == ListedHost::State::terminating ? firkeel::ServerState::draining
-                                                     : firkeel::ServerState::removed;
+coordinator::ServerState stateOf(ListedHost::State state) {
+    return state == ListedHost::State::ready         ? coordinator::ServerState::up
+           : state == ListedHost::State::terminating ? coordinator::ServerState::draining
+                                                     : coordinator::ServerState::removed;
 }
 
 std::string chunk(const std::string& text) { return fmt::format("{:x}\r\n{}\r\n", text.size(), text); }
@@ -104,7 +104,7 @@
 std::string RealAgent::text(const Listing& listing) const {
     discovery::Listing out;
     out.generation = listing.generation;
-    out.list.kind = listing.complete ? firkeel::ListKind::complete : firkeel::ListKind::changes;
+    out.list.kind = listing.complete ? coordinator::ListKind::complete : coordinator::ListKind::changes;
     for (const ListedHost& host : listing.hosts) {
         HostEntry e;
         e.entry.id = host.id;
--- a/src/emulator/real_hosts.cpp
+++ b/src/emulator/real_hosts.cpp
@@ -7,7 +7,7 @@
 #include <charconv>
 #include <set>
 
-#include "back/frame.hpp"
+#include "backend/frame.hpp"
 
 namespace beechpoint::emulator {
 
@@ -171,12 +171,12 @@
 
 void RealHosts::onBytes(const LinePtr& line) {
     stage_.enter([&](Millis now) {
-        back::Frame frame;
-        back::FrameState state;
-        while (!line->over && (state = back::readFrame(line->in.view(), frame)) != back::FrameState::more) {
-            if (state == back::FrameState::bad || !onFrame(line, frame.letter, frame.rest, now)) {
+        backend::Frame frame;
+        backend::FrameState state;
+        while (!line->over && (state = backend::readFrame(line->in.view(), frame)) != backend::FrameState::more) {
+            if (state == backend::FrameState::bad || !onFrame(line, frame.letter, frame.rest, now)) {
                 std::string refusal;
-                back::writeFrame(refusal, 'F', "the frame could not be used");
+                backend::writeFrame(refusal, 'F', "the frame could not be used");
                 asio::error_code ignored;
                 asio::write(line->socket, asio::buffer(refusal), ignored);
                 end(line, false);
@@ -194,9 +194,9 @@
     int slice = 0;
     switch (letter) {
         case 'S': {
-            const auto parts = back::readParts(rest);
+            const auto parts = backend::readParts(rest);
             if (!parts || parts->empty()) return false;
-            for (const back::PartCall& part : *parts) {
+            for (const backend::PartCall& part : *parts) {
                 if (!readPartId(part.id, tryNo, slice) || slice != part.slice)
                     tryNo = 0;  // nobody asked for it
                 world.send(now, line->conn, tryNo, part.slice, part.wait);
@@ -222,7 +222,7 @@
     if (found == lines_.end()) return;
     const char* const end = a.end == PartEnd::done ? "done" : a.end == PartEnd::failed ? "failed" : "full";
     std::string frame;
-    back::writeFrame(
+    backend::writeFrame(
         frame, 'R',
         fmt::format("q{:x}.{} {} 0 {}\n{}", a.tryNumber, a.slice, end, reportText(a.report), a.value));
     write(found->second, std::move(frame));
@@ -232,7 +232,7 @@
     const auto found = lines_.find(a.conn);
     if (found == lines_.end()) return;
     std::string frame;
-    back::writeFrame(frame, a.load ? 'M' : 'H', a.load ? reportText(a.report) : "done");
+    backend::writeFrame(frame, a.load ? 'M' : 'H', a.load ? reportText(a.report) : "done");
     write(found->second, std::move(frame));
 }
 
--- a/src/emulator/try_out.cpp
+++ b/src/emulator/try_out.cpp
@@ -17,7 +17,7 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "back/frame.hpp"
+#include "backend/frame.hpp"
 #include "emulator/real_process.hpp"
 #include "emulator/real_stage.hpp"
 
@@ -47,13 +47,13 @@
 private:
     void answer() {
         std::string out;
-        back::Frame frame;
-        while (back::readFrame(in_, frame) == back::FrameState::complete) {
-            if (frame.letter == 'H') back::writeFrame(out, 'H', "done");
-            if (frame.letter == 'M') back::writeFrame(out, 'M', "-");
-            const auto parts = frame.letter == 'S' ? back::readParts(frame.rest) : std::nullopt;
-            for (const back::PartCall& p : parts.value_or(std::vector<back::PartCall>()))
-                back::writeFrame(out, 'R', fmt::format("{} done 1 -\n{}-slice-{}", p.id, name_, p.slice));
+        backend::Frame frame;
+        while (backend::readFrame(in_, frame) == backend::FrameState::complete) {
+            if (frame.letter == 'H') backend::writeFrame(out, 'H', "done");
+            if (frame.letter == 'M') backend::writeFrame(out, 'M', "-");
+            const auto parts = frame.letter == 'S' ? backend::readParts(frame.rest) : std::nullopt;
+            for (const backend::PartCall& p : parts.value_or(std::vector<backend::PartCall>()))
+                backend::writeFrame(out, 'R', fmt::format("{} done 1 -\n{}-slice-{}", p.id, name_, p.slice));
             in_.erase(0, frame.size);
         }
         const auto text = std::make_shared<std::string>(std::move(out));
--- a/src/emulator/virtual_pool.hpp
+++ b/src/emulator/virtual_pool.hpp
@@ -1,6 +1,6 @@
-// A gatherer's connections to the model's hosts, in virtual time: what back::Pool is on sockets, as far as
+// A gatherer's connections to the model's hosts, in virtual time: what backend::Pool is on sockets, as far as
 // the core can see it. Connections are opened as needed, up to a cap a host; each carries so many parts at
-// once, and more wait in it unread. Where it is simpler than back::Pool: it does not tell silent connections
+// once, and more wait in it unread. Where it is simpler than backend::Pool: it does not tell silent connections
 // from slow ones.
 #pragma once
 
--- a/src/emulator/virtual_run.cpp
+++ b/src/emulator/virtual_run.cpp
@@ -8,7 +8,7 @@
 #include "core/logger.hpp"
 #include "emulator/gatherer_settings.hpp"
 #include "emulator/virtual_pool.hpp"
-#include "module_settings/module_settings.hpp"
+#include "coordinator/settings_json.hpp"
 
 namespace beechpoint::emulator {
 
@@ -17,16 +17,16 @@
 constexpr Millis kNever = 1e300;
 constexpr Millis kLinger = 20'000;  // after the script's end, for what is still out
 
-firkeel::ServerState stateOf(ListedHost::State state) {
+coordinator::ServerState stateOf(ListedHost::State state) {
     switch (state) {
         case ListedHost::State::ready:
-            return firkeel::ServerState::up;
+            return coordinator::ServerState::up;
         case ListedHost::State::terminating:
-            return firkeel::ServerState::draining;
+            return coordinator::ServerState::draining;
         case ListedHost::State::gone:
             break;
     }
-    return firkeel::ServerState::removed;
+    return coordinator::ServerState::removed;
 }
 
 HostEntry entryOf(const ListedHost& host, const Scenario& scenario) {
@@ -46,7 +46,7 @@
         : world_(world),
           clock_(clock),
           log_(clock, logging::Format::text, -1),
-          settings_(firkeel::readSettings(gathererSettings(world.scenario(), gatherer))),
+          settings_(coordinator::readSettings(gathererSettings(world.scenario(), gatherer))),
           pool_(world, clock, gatherer,
                 {fromNanos(settings_.dialTimeout),
                  static_cast<std::size_t>(world.scenario().callsPerConnection), 16}),
@@ -57,9 +57,9 @@
 
     void list(const Listing& listing, bool remembered) override {
         HostList list;
-        list.kind = remembered         ? firkeel::ListKind::remembered
-                    : listing.complete ? firkeel::ListKind::complete
-                                       : firkeel::ListKind::changes;
+        list.kind = remembered         ? coordinator::ListKind::remembered
+                    : listing.complete ? coordinator::ListKind::complete
+                                       : coordinator::ListKind::changes;
         for (const ListedHost& host : listing.hosts) list.entries.push_back(entryOf(host, world_.scenario()));
         exchange_.list(list);
     }
@@ -117,7 +117,7 @@
     const Clock& clock_;
     Counters counters_;
     Logger log_;
-    firkeel::Settings settings_;
+    coordinator::Settings settings_;
     VirtualPool pool_;
     Exchange exchange_;
     Millis wakeAt_ = kNever;
--- a/src/front/opensearch.cpp
+++ b/src/frontend/opensearch.cpp
@@ -1,11 +1,11 @@
-#include "front/opensearch.hpp"
+#include "frontend/opensearch.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace beechpoint::front {
+namespace beechpoint::frontend {
 
 namespace {
 
@@ -130,4 +130,4 @@
     });
 }
 
-}  // namespace beechpoint::front
+}  // namespace beechpoint::frontend
--- a/src/front/opensearch.hpp
+++ b/src/frontend/opensearch.hpp
@@ -5,10 +5,10 @@
 #include <random>
 
 #include "core/exchange.hpp"
-#include "front/search.hpp"
+#include "frontend/search.hpp"
 #include "net/server.hpp"
 
-namespace beechpoint::front {
+namespace beechpoint::frontend {
 
 class OpenSearch {
 public:
@@ -31,4 +31,4 @@
     std::mt19937_64 random_;
 };
 
-}  // namespace beechpoint::front
+}  // namespace beechpoint::frontend
--- a/src/front/platform.cpp
+++ b/src/frontend/platform.cpp
@@ -1,4 +1,4 @@
-#include "front/platform.hpp"
+#include "frontend/platform.hpp"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-namespace beechpoint::front {
+namespace beechpoint::frontend {
 
 namespace {
 
@@ -21,7 +21,7 @@
 constexpr double kSumSlack = 0.01;  // shares are rounded, up to a hundred of them
 constexpr int kDeepest = 8;         // a request's JSON nests three deep
 
-bool knownClass(const firkeel::Settings& settings, std::string_view name) {
+bool knownClass(const coordinator::Settings& settings, std::string_view name) {
     return std::any_of(settings.classes.begin(), settings.classes.end(),
                        [&](const auto& c) { return c.name == name; });
 }
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-Request readPlatformRequest(const net::HttpMessage& m, const firkeel::Settings& settings, Millis received) {
+Request readPlatformRequest(const net::HttpMessage& m, const coordinator::Settings& settings, Millis received) {
     Request r;
     const std::string_view path = m.path().substr(1);
     const auto slash = path.find('/');
@@ -175,4 +175,4 @@
     if (ticket != 0) connection->whenGone([this, ticket] { exchange_.gone(ticket); });
 }
 
-}  // namespace beechpoint::front
+}  // namespace beechpoint::frontend
--- a/src/front/platform.hpp
+++ b/src/frontend/platform.hpp
@@ -10,7 +10,7 @@
 #include "core/exchange.hpp"
 #include "net/server.hpp"
 
-namespace beechpoint::front {
+namespace beechpoint::frontend {
 
 // What is wrong with a request, for its 400.
 struct BadRequest : std::runtime_error {
@@ -18,7 +18,7 @@
 };
 
 // Reads POST /CLASS[/KEY]. `received` is when its last byte came. Throws BadRequest.
-Request readPlatformRequest(const net::HttpMessage& message, const firkeel::Settings& settings,
+Request readPlatformRequest(const net::HttpMessage& message, const coordinator::Settings& settings,
                             Millis received);
 std::string platformBody(const Final& final);
 
@@ -36,4 +36,4 @@
     std::function<bool()> up_;
 };
 
-}  // namespace beechpoint::front
+}  // namespace beechpoint::frontend
--- a/src/front/search.cpp
+++ b/src/frontend/search.cpp
@@ -1,5 +1,5 @@
 // Reading a search: its clauses, parameters and the slices that it is for.
-#include "front/search.hpp"
+#include "frontend/search.hpp"
 
 #include <fmt/format.h>
 
@@ -10,7 +10,7 @@
 
 #include "net/json.hpp"
 
-namespace beechpoint::front {
+namespace beechpoint::frontend {
 
 namespace {
 
@@ -291,4 +291,4 @@
     return searches;
 }
 
-}  // namespace beechpoint::front
+}  // namespace beechpoint::frontend
--- a/src/front/search.hpp
+++ b/src/frontend/search.hpp
@@ -11,7 +11,7 @@
 
 #include "core/exchange.hpp"
 
-namespace beechpoint::front {
+namespace beechpoint::frontend {
 
 // An error in the API's form.
 struct SearchError : std::runtime_error {
@@ -63,4 +63,4 @@
 // What a final without an answer means to a client of this API.
 SearchError errorOf(const Final& final);
 
-}  // namespace beechpoint::front
+}  // namespace beechpoint::frontend
--- a/src/front/search_merge.cpp
+++ b/src/frontend/search_merge.cpp
@@ -4,10 +4,10 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "front/search.hpp"
+#include "frontend/search.hpp"
 #include "net/json.hpp"
 
-namespace beechpoint::front {
+namespace beechpoint::frontend {
 
 namespace {
 
@@ -117,4 +117,4 @@
     return {503, "search_phase_execution_exception", "a slice failed"};
 }
 
-}  // namespace beechpoint::front
+}  // namespace beechpoint::frontend
--- a/src/front/search_routing.cpp
+++ b/src/frontend/search_routing.cpp
@@ -4,9 +4,9 @@
 #include <string_view>
 #include <vector>
 
-#include "front/search.hpp"
+#include "frontend/search.hpp"
 
-namespace beechpoint::front {
+namespace beechpoint::frontend {
 
 namespace {
 
@@ -70,4 +70,4 @@
     return (place < 0 ? place + all : place) / spread;
 }
 
-}  // namespace beechpoint::front
+}  // namespace beechpoint::frontend
--- a/src/gateway/control_link_state.cpp
+++ b/src/gateway/control_link_state.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "leases/duty.hpp"
+#include "leases/role_assignment.hpp"
 
 namespace beechpoint::gateway {
 namespace {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <stdexcept>
 
-#include "back/pool.hpp"
+#include "backend/pool.hpp"
 #include "core/metrics_text.hpp"
 #include "core/random_seed.hpp"
 
@@ -31,7 +31,7 @@
 constexpr std::size_t kBodyUnconfigured = 4 * 1024 * 1024;
 
 asio::ip::tcp::endpoint endpointOf(const std::string& text, const char* field) {
-    const auto endpoint = back::readEndpoint(text);
+    const auto endpoint = backend::readEndpoint(text);
     if (!endpoint)
         throw std::runtime_error(
             fmt::format("listen_addresses.{} must be ADDRESS:PORT, not {}", field, text));
@@ -52,8 +52,8 @@
     return out;
 }
 
-instances::Poller::Settings platformSettings(const settings::ProcessSettings& settings) {
-    instances::Poller::Settings out;
+host_discovery::Poller::Settings platformSettings(const settings::ProcessSettings& settings) {
+    host_discovery::Poller::Settings out;
     out.address = settings.cloudApi.address;
     out.reader.period = kOwnReading;
     return out;
@@ -104,7 +104,7 @@
                {[this] { return pollRequest(); },
                 [this](const control::PollReply& reply, Millis sentAt) { onPollReply(reply, sentAt); }}),
       platform_(io, clock, log, platformSettings(settings_), drawSeed(), session_,
-                [this](const std::shared_ptr<const instances::HostList>& list, Millis confirmedAt, bool) {
+                [this](const std::shared_ptr<const host_discovery::HostList>& list, Millis confirmedAt, bool) {
                     if (hosts_.offer(list, confirmedAt, clock_.now())) tellHosts();
                 }),
       directory_(
@@ -296,7 +296,7 @@
 void Gateway::tellHosts() {
     const Millis age = clock_.now() - hosts_.list()->readAt;
     dispatch::Hosts event;
-    for (const instances::Host& host : hosts_.list()->hosts) {
+    for (const host_discovery::Host& host : hosts_.list()->hosts) {
         dispatch::Host one;
         one.instanceId = host.instanceId;
         one.service = host.service;
@@ -304,7 +304,7 @@
         one.zone = host.zone;
         one.region = settings_.regionOf(host.zone);
         one.capacity = static_cast<int>(std::max<std::uint32_t>(host.capacity, 1));
-        one.state = host.state == instances::HostState::draining ? dispatch::HostState::draining
+        one.state = host.state == host_discovery::HostState::draining ? dispatch::HostState::draining
                                                                  : dispatch::HostState::serving;
         one.warmupLeft = std::max(host.warmupLeft - age, 0.0);
         if (host.remaining) one.remaining = std::max(*host.remaining - age, 0.0);
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -20,7 +20,7 @@
 #include "gateway/host_list_copy.hpp"
 #include "gateway/load_sharing.hpp"
 #include "gateway/request_exchange.hpp"
-#include "instances/poller.hpp"
+#include "host_discovery/poller.hpp"
 #include "net/server.hpp"
 #include "routing/table_copy.hpp"
 #include "settings/process_settings.hpp"
@@ -73,7 +73,7 @@
     RequestExchange exchange_;
     LoadSharing load_;
     ControlLink control_;
-    instances::Poller platform_;
+    host_discovery::Poller platform_;
     control::DirectoryService directory_;
     net::HttpServer front_, readiness_, directoryServer_;
     asio::steady_timer timer_;
--- a/src/gateway/host_list_copy.cpp
+++ b/src/gateway/host_list_copy.cpp
@@ -18,18 +18,18 @@
 bool HostListCopy::takeChanges(const control::PollReply& reply, Millis now) {
     if (!holder_.list()) return false;
     const control::SharedHostChanges& shared = *reply.hostChanges;
-    auto list = instances::applyChanges(*holder_.list(), shared.changes, now - shared.readAge);
+    auto list = host_discovery::applyChanges(*holder_.list(), shared.changes, now - shared.readAge);
     wantsWhole_ = list == nullptr;
     if (!list) return false;
     return holder_.offer(std::move(list), now - reply.hostListAge.value_or(shared.readAge), now);
 }
 
-bool HostListCopy::offer(std::shared_ptr<const instances::HostList> list, Millis confirmedAt, Millis now) {
+bool HostListCopy::offer(std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt, Millis now) {
     return holder_.offer(std::move(list), confirmedAt, now);
 }
 
-instances::HostListVersion HostListCopy::versionToAskWith() const {
-    return wantsWhole_ ? instances::HostListVersion{} : holder_.version();
+host_discovery::HostListVersion HostListCopy::versionToAskWith() const {
+    return wantsWhole_ ? host_discovery::HostListVersion{} : holder_.version();
 }
 
 }  // namespace beechpoint::gateway
--- a/src/gateway/host_list_copy.hpp
+++ b/src/gateway/host_list_copy.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "control/messages.hpp"
-#include "instances/host_list.hpp"
+#include "host_discovery/host_list.hpp"
 
 namespace beechpoint::gateway {
 
@@ -14,20 +14,20 @@
     // What a control member said. Whether the list is another now.
     bool take(const control::PollReply& reply, Millis now);
     // A list that this process read by itself. Whether the list is another now.
-    bool offer(std::shared_ptr<const instances::HostList> list, Millis confirmedAt, Millis now);
+    bool offer(std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt, Millis now);
 
     // What a poll says that is held; nothing where the changes told did not fit and the whole list is wanted.
-    instances::HostListVersion versionToAskWith() const;
-    const std::shared_ptr<const instances::HostList>& list() const {
+    host_discovery::HostListVersion versionToAskWith() const;
+    const std::shared_ptr<const host_discovery::HostList>& list() const {
         return holder_.list();
     }  // null: none yet
-    instances::HostListVersion version() const { return holder_.version(); }
+    host_discovery::HostListVersion version() const { return holder_.version(); }
     std::optional<Millis> age(Millis now) const { return holder_.age(now); }
 
 private:
     bool takeChanges(const control::PollReply& reply, Millis now);
 
-    instances::HostListHolder holder_;
+    host_discovery::HostListHolder holder_;
     bool wantsWhole_ = false;
 };
 
--- a/src/gateway/load_sharing_state.cpp
+++ b/src/gateway/load_sharing_state.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "dispatch/placement.hpp"
+#include "dispatch/prefix_affinity.hpp"
 
 namespace beechpoint::gateway {
 
--- a/src/gatherer.cpp
+++ b/src/gatherer.cpp
@@ -6,8 +6,8 @@
 #include <chrono>
 #include <nlohmann/json.hpp>
 
-#include "back/frames.hpp"
-#include "back/search.hpp"
+#include "backend/frames.hpp"
+#include "backend/search.hpp"
 
 namespace beechpoint {
 
@@ -24,8 +24,8 @@
 std::size_t hostSockets(std::size_t sockets) { return std::min(sockets / 2, kMostHostSockets); }
 
 // The track hosts' connections, as they speak.
-back::ConnectionLimits hostLimits(const Config& config) {
-    back::ConnectionLimits limits = config.connections;
+backend::ConnectionLimits hostLimits(const Config& config) {
+    backend::ConnectionLimits limits = config.connections;
     limits.total = hostSockets(config.sockets);
     if (config.searchTrackHosts) {  // one search at a time on a connection, so more of these
         limits.perHost = limits.calls;
@@ -33,22 +33,22 @@
     }
     return limits;
 }
-back::Pool::Make hostMaker(const Config& config) {
-    if (!config.searchTrackHosts) return back::FrameConnection::make;
-    back::IndexOfClass indexes;
+backend::Pool::Make hostMaker(const Config& config) {
+    if (!config.searchTrackHosts) return backend::FrameConnection::make;
+    backend::IndexOfClass indexes;
     for (const auto& [index, klass] : config.search->classOfIndex) indexes.emplace(klass, index);
-    return back::SearchConnection::maker(std::move(indexes));
+    return backend::SearchConnection::maker(std::move(indexes));
 }
 
 // Descriptors left for clients once the track hosts have theirs.
 std::size_t clientSockets(const Config& config) {
-    const std::size_t operatorPlaces = config.operatorEndpoint ? ops::OperatorEndpoint::kPlaces + 1 : 0;
+    const std::size_t operatorPlaces = config.operatorEndpoint ? admin::OperatorEndpoint::kPlaces + 1 : 0;
     const std::size_t taken = hostSockets(config.sockets) + kOwnSockets + operatorPlaces;
     return std::max<std::size_t>(16, config.sockets - std::min(config.sockets, taken));
 }
 
-ops::LifecycleTimes lifecycleTimes(const Config& config) {
-    ops::LifecycleTimes times;
+admin::LifecycleTimes lifecycleTimes(const Config& config) {
+    admin::LifecycleTimes times;
     Millis longest = 0;
     for (const auto& c : config.settings.classes) longest = std::max(longest, fromNanos(c.deadline));
     times.stopWithin = std::min(longest, kMostWaited) + kThenKilled - kBeforeKill;
@@ -87,23 +87,23 @@
     exchange_.attach(hosts_);
     server_.onFarAhead([this] { counters_.add(Counter::clientsFarAhead); });
     if (config.operatorEndpoint) {
-        banFile_ = std::make_unique<ops::BanFile>(
+        banFile_ = std::make_unique<admin::BanFile>(
             io, log, config.stateFolder, config.name,
-            [this](ops::HostBans::Hosts out) { exchange_.list(bans_.take(std::move(out))); });
-        record_ = std::make_unique<ops::OverlapRecord>(io, log, config.stateFolder, config.name, overlap_,
+            [this](admin::HostBans::Hosts out) { exchange_.list(bans_.take(std::move(out))); });
+        record_ = std::make_unique<admin::OverlapRecord>(io, log, config.stateFolder, config.name, overlap_,
                                                        [this] { shareLimits(); });
-        operatorEndpoint_ = std::make_unique<ops::OperatorEndpoint>(io, clock, log, *this);
+        operatorEndpoint_ = std::make_unique<admin::OperatorEndpoint>(io, clock, log, *this);
     }
     if (config.snmp)
         snmp_ = std::make_unique<snmp::Agent>(io, counters, snmp::objectsOf(counters, config.name, clock),
                                               config.snmpCommunity);
     if (config.group)
-        group_ = std::make_unique<group::Group>(io, clock, counters, log, *config.group, config.name);
+        group_ = std::make_unique<cluster::Group>(io, clock, counters, log, *config.group, config.name);
     if (config.group && !config.group->proberDuty.empty()) exchange_.attach(static_cast<HostProbes&>(*this));
     if (!config.search) return;
-    search_ = std::make_unique<front::OpenSearch>(
+    search_ = std::make_unique<frontend::OpenSearch>(
         exchange_, clock, counters,
-        front::SearchSettings{config.search->classOfIndex, config.settings.shards}, config.seed);
+        frontend::SearchSettings{config.search->classOfIndex, config.settings.shards}, config.seed);
     searchServer_ = std::make_unique<net::HttpServer>(
         io, clock, log, clientSockets(config) / 2,
         [this](const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& connection) {
@@ -159,7 +159,7 @@
 
 bool Gatherer::drain(bool start) {
     const bool yes = start ? lifecycle_.drainStart() : lifecycle_.drainStop();
-    if (group_ && yes && lifecycle_.state() != ops::Lifecycle::State::stopping)
+    if (group_ && yes && lifecycle_.state() != admin::Lifecycle::State::stopping)
         start ? group_->leave(false) : group_->resume();  // others take its duties meanwhile
     lifecycleChanged();
     return yes;
@@ -249,7 +249,7 @@
 
 void Gatherer::duty(bool take, const std::string& name, const std::string& to,
                     std::function<void(Settled)> later) {
-    const auto then = [later = std::move(later)](group::Group::Settled end) {
+    const auto then = [later = std::move(later)](cluster::Group::Settled end) {
         later({end.known, end.yes, end.fence});
     };
     if (!group_) return then({true, false, 0});
--- a/src/gatherer.hpp
+++ b/src/gatherer.hpp
@@ -5,24 +5,24 @@
 #include <asio/steady_timer.hpp>
 #include <functional>
 
-#include "back/pool.hpp"
+#include "backend/pool.hpp"
 #include "config.hpp"
 #include "core/exchange.hpp"
 #include "discovery/watch.hpp"
-#include "front/opensearch.hpp"
-#include "front/platform.hpp"
-#include "group/group.hpp"
+#include "frontend/opensearch.hpp"
+#include "frontend/platform.hpp"
+#include "cluster/cluster.hpp"
 #include "net/server.hpp"
-#include "ops/ban_file.hpp"
-#include "ops/host_bans.hpp"
-#include "ops/lifecycle.hpp"
-#include "ops/operator_endpoint.hpp"
-#include "ops/overlap_record.hpp"
+#include "admin/ban_file.hpp"
+#include "admin/host_bans.hpp"
+#include "admin/lifecycle.hpp"
+#include "admin/operator_endpoint.hpp"
+#include "admin/overlap_record.hpp"
 #include "snmp/agent.hpp"
 
 namespace beechpoint {
 
-class Gatherer : public ops::Controls, private HostProbes {
+class Gatherer : public admin::Controls, private HostProbes {
 public:
     Gatherer(asio::io_context& io, const Config& config, const Clock& clock, Counters& counters, Logger& log);
     void start();  // throws where an address can't be listened on
@@ -63,20 +63,20 @@
     Logger& log_;
     asio::steady_timer timer_, stopTimer_;
     Exchange exchange_;
-    back::Pool hosts_;
-    ops::Lifecycle lifecycle_;
-    ops::Overlap overlap_;
-    front::Platform platform_;
+    backend::Pool hosts_;
+    admin::Lifecycle lifecycle_;
+    admin::Overlap overlap_;
+    frontend::Platform platform_;
     net::HttpServer server_;
-    std::unique_ptr<front::OpenSearch> search_;  // off on the platform
+    std::unique_ptr<frontend::OpenSearch> search_;  // off on the platform
     std::unique_ptr<net::HttpServer> searchServer_;
     std::unique_ptr<snmp::Agent> snmp_;  // off on the platform
-    ops::HostBans bans_;
+    admin::HostBans bans_;
     discovery::Watch watch_;
-    std::unique_ptr<ops::BanFile> banFile_;
-    std::unique_ptr<ops::OverlapRecord> record_;
-    std::unique_ptr<group::Group> group_;                      // off on the platform
-    std::unique_ptr<ops::OperatorEndpoint> operatorEndpoint_;  // closed where no address is named
+    std::unique_ptr<admin::BanFile> banFile_;
+    std::unique_ptr<admin::OverlapRecord> record_;
+    std::unique_ptr<cluster::Group> group_;                      // off on the platform
+    std::unique_ptr<admin::OperatorEndpoint> operatorEndpoint_;  // closed where no address is named
     std::function<void()> stopped_;
     double share_ = 1;  // of the limits
     bool closingSome_ = false;
--- a/src/peers/datagram.cpp
+++ b/src/gossip/datagram.cpp
@@ -1,10 +1,10 @@
-#include "peers/datagram.hpp"
+#include "gossip/datagram.hpp"
 
 #include <xxhash.h>
 
-#include "peers/fields.hpp"
+#include "gossip/fields.hpp"
 
-namespace beechpoint::peers {
+namespace beechpoint::gossip {
 
 namespace {
 
@@ -90,4 +90,4 @@
     }
 }
 
-}  // namespace beechpoint::peers
+}  // namespace beechpoint::gossip
--- a/src/peers/datagram.hpp
+++ b/src/gossip/datagram.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-namespace beechpoint::peers {
+namespace beechpoint::gossip {
 
 inline constexpr std::size_t kMostBytes = 256;  // of a datagram: the platform's limit
 inline constexpr std::uint8_t kVersion = 1;
@@ -39,4 +39,4 @@
 };
 std::optional<Opened> open(const std::string& group, std::string_view bytes, Refusal& why);
 
-}  // namespace beechpoint::peers
+}  // namespace beechpoint::gossip
--- a/src/peers/fields.hpp
+++ b/src/gossip/fields.hpp
@@ -9,7 +9,7 @@
 #include <tuple>
 #include <variant>
 
-namespace beechpoint::peers {
+namespace beechpoint::gossip {
 
 template <class T>
 concept Tied = requires(T& x) {
@@ -105,4 +105,4 @@
     }
 }
 
-}  // namespace beechpoint::peers
+}  // namespace beechpoint::gossip
--- a/src/peers/membership.cpp
+++ b/src/gossip/membership.cpp
@@ -1,4 +1,4 @@
-#include "peers/membership.hpp"
+#include "gossip/membership.hpp"
 
 #include <xxhash.h>
 
@@ -7,7 +7,7 @@
 #include <tuple>
 #include <utility>
 
-namespace beechpoint::peers {
+namespace beechpoint::gossip {
 
 namespace {
 constexpr Millis kNewcomer = 20'000;
@@ -284,4 +284,4 @@
     }
 }
 
-}  // namespace beechpoint::peers
+}  // namespace beechpoint::gossip
--- a/src/peers/membership.hpp
+++ b/src/gossip/membership.hpp
@@ -29,7 +29,7 @@
 #include "core/clock.hpp"
 #include "core/splitmix.hpp"
 
-namespace beechpoint::peers {
+namespace beechpoint::gossip {
 
 enum class Presence : std::uint8_t { unknown, alive, suspect, dead, left };
 const char* nameOf(Presence presence);
@@ -154,4 +154,4 @@
     std::uint64_t refuted_ = 0;
 };
 
-}  // namespace beechpoint::peers
+}  // namespace beechpoint::gossip
--- a/src/host_prober/host_prober.cpp
+++ b/src/health_check/host_prober.cpp
@@ -1,8 +1,8 @@
-#include "host_prober/host_prober.hpp"
+#include "health_check/host_prober.hpp"
 
 #include <algorithm>
 
-namespace beechpoint::host_prober {
+namespace beechpoint::health_check {
 
 HostProber::Host& HostProber::at(Millis now, const std::string& host) {
     if (const auto found = hosts_.find(host); found != hosts_.end()) return found->second;
@@ -60,4 +60,4 @@
     h.wordAt = at, h.wordThere = word.there;
 }
 
-}  // namespace beechpoint::host_prober
+}  // namespace beechpoint::health_check
--- a/src/host_prober/host_prober.hpp
+++ b/src/health_check/host_prober.hpp
@@ -1,6 +1,6 @@
 // One prober for track hosts that all avoid: the holder of a duty looks at a dead host, the others take its word for a
 // while in place of looking themselves, each anew. A state machine: (now, event) in, messages out; no I/O, clock, socket.
-// It decides about looks alone. Whether a host is used is the module's to judge (firkeel::Coordinator), by each look's end
+// It decides about looks alone. Whether a host is used is the module's to judge (coordinator::Coordinator), by each look's end
 // as ever; here the end of some looks is another's word, which is never more than `word` old.
 //
 // | a look is wanted, and       | done                                                                          |
@@ -25,7 +25,7 @@
 
 #include "core/clock.hpp"
 
-namespace beechpoint::host_prober {
+namespace beechpoint::health_check {
 
 inline constexpr std::size_t kMostHost = 64;    // bytes of a track host's id in a message
 inline constexpr std::size_t kMostHosts = 512;  // remembered; the one not wanted for longest goes first
@@ -87,4 +87,4 @@
     std::uint64_t number_ = 0, spared_ = 0, evicted_ = 0;
 };
 
-}  // namespace beechpoint::host_prober
+}  // namespace beechpoint::health_check
--- a/src/instances/host_list.cpp
+++ b/src/host_discovery/host_list.cpp
@@ -1,10 +1,10 @@
-#include "instances/host_list.hpp"
+#include "host_discovery/host_list.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 namespace {
 
 // Two ends of a span, in the same clock. Both over by `now`: the same.
@@ -59,4 +59,4 @@
     return std::max(0.0, now - confirmedAt_);
 }
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/host_list.hpp
+++ b/src/host_discovery/host_list.hpp
@@ -14,7 +14,7 @@
 
 #include "core/clock.hpp"
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 
 enum class HostState : std::uint8_t { serving = 0, draining = 1 };
 
@@ -81,4 +81,4 @@
     Millis confirmedAt_ = 0;
 };
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/host_list_changes.cpp
+++ b/src/host_discovery/host_list_changes.cpp
@@ -1,10 +1,10 @@
-#include "instances/host_list_changes.hpp"
+#include "host_discovery/host_list_changes.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 namespace {
 
 constexpr Millis kSameMoment = 1;  // rounding; a drift must not add up over many changes
@@ -95,4 +95,4 @@
     return changes;
 }
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/host_list_changes.hpp
+++ b/src/host_discovery/host_list_changes.hpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "instances/host_list.hpp"
+#include "host_discovery/host_list.hpp"
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 
 struct HostListChanges {
     HostListVersion base;     // of the list that they apply to
@@ -50,4 +50,4 @@
     std::size_t hosts_ = 0;                              // of all of them
 };
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/list_reader.cpp
+++ b/src/host_discovery/list_reader.cpp
@@ -1,11 +1,11 @@
-#include "instances/list_reader.hpp"
+#include "host_discovery/list_reader.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 namespace {
 
 constexpr int kOk = 200;
@@ -172,4 +172,4 @@
     return Outcome::changed;
 }
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/list_reader.hpp
+++ b/src/host_discovery/list_reader.hpp
@@ -17,10 +17,10 @@
 #include <string_view>
 
 #include "core/splitmix.hpp"
-#include "instances/host_list.hpp"
-#include "instances/page.hpp"
+#include "host_discovery/host_list.hpp"
+#include "host_discovery/page.hpp"
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 
 class ListReader {
 public:
@@ -89,4 +89,4 @@
     Millis confirmedAt_ = 0;
 };
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/page.cpp
+++ b/src/host_discovery/page.cpp
@@ -1,10 +1,10 @@
-#include "instances/page.hpp"
+#include "host_discovery/page.hpp"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 namespace {
 
 using Json = nlohmann::json;
@@ -130,4 +130,4 @@
     return page;
 }
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/page.hpp
+++ b/src/host_discovery/page.hpp
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "core/result.hpp"
-#include "instances/host_list.hpp"
+#include "host_discovery/host_list.hpp"
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 
 struct Page {
     std::vector<Host> hosts;
@@ -23,4 +23,4 @@
 // Error (invalid): not an object with a list `instances`, or more hosts than kMaxHostsPerPage.
 Result<Page> parsePage(std::string_view json);
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/platform_client.cpp
+++ b/src/host_discovery/platform_client.cpp
@@ -1,4 +1,4 @@
-#include "instances/platform_client.hpp"
+#include "host_discovery/platform_client.hpp"
 
 #include <fmt/format.h>
 
@@ -15,7 +15,7 @@
 #include "net/buffer.hpp"
 #include "net/http.hpp"
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 namespace {
 
 using Tcp = asio::ip::tcp;
@@ -167,4 +167,4 @@
 
 void PlatformClient::cancel() { connection_->cancel(); }
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/platform_client.hpp
+++ b/src/host_discovery/platform_client.hpp
@@ -13,7 +13,7 @@
 class io_context;
 }
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 
 class PlatformClient {
 public:
@@ -35,4 +35,4 @@
     std::shared_ptr<Connection> connection_;
 };
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/poller.cpp
+++ b/src/host_discovery/poller.cpp
@@ -1,4 +1,4 @@
-#include "instances/poller.hpp"
+#include "host_discovery/poller.hpp"
 
 #include <fmt/format.h>
 
@@ -8,9 +8,9 @@
 #include <chrono>
 #include <utility>
 
-#include "instances/platform_client.hpp"
+#include "host_discovery/platform_client.hpp"
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 
 class Poller::Impl : public std::enable_shared_from_this<Impl> {
 public:
@@ -105,4 +105,4 @@
 int Poller::failures() const { return impl_->reader().failures(); }
 std::uint64_t Poller::calls() const { return impl_->calls(); }
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/instances/poller.hpp
+++ b/src/host_discovery/poller.hpp
@@ -7,13 +7,13 @@
 #include <string>
 
 #include "core/logger.hpp"
-#include "instances/list_reader.hpp"
+#include "host_discovery/list_reader.hpp"
 
 namespace asio {
 class io_context;
 }
 
-namespace beechpoint::instances {
+namespace beechpoint::host_discovery {
 
 class Poller {
 public:
@@ -45,4 +45,4 @@
     std::shared_ptr<Impl> impl_;
 };
 
-}  // namespace beechpoint::instances
+}  // namespace beechpoint::host_discovery
--- a/src/layout/layout.hpp
+++ b/src/layout/layout.hpp
@@ -2,7 +2,7 @@
 // epoch and never changes; a change of the layout is a new epoch. A query is planned against one epoch and
 // keeps it, by shared_ptr, to its end. Free of I/O and clock.
 //
-// What it is not: it does not choose among a slice's hosts (that is firkeel::Coordinator's), and it moves no
+// What it is not: it does not choose among a slice's hosts (that is coordinator::Coordinator's), and it moves no
 // data.
 #pragma once
 
--- a/src/duties/holder.cpp
+++ b/src/lease_sessions/lease_client.cpp
@@ -1,9 +1,9 @@
-#include "duties/holder.hpp"
+#include "lease_sessions/lease_client.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace beechpoint::duties {
+namespace beechpoint::lease_sessions {
 
 namespace {
 constexpr Millis kAgain = 150;    // a request is sent again, with jitter
@@ -227,4 +227,4 @@
     advance(now, out);
 }
 
-}  // namespace beechpoint::duties
+}  // namespace beechpoint::lease_sessions
--- a/src/duties/holder.hpp
+++ b/src/lease_sessions/lease_client.hpp
@@ -15,9 +15,9 @@
 #include <vector>
 
 #include "core/splitmix.hpp"
-#include "duties/keeper.hpp"
+#include "lease_sessions/lease_manager.hpp"
 
-namespace beechpoint::duties {
+namespace beechpoint::lease_sessions {
 
 struct Outcome {  // of a request by request()
     std::uint64_t request = 0;
@@ -98,4 +98,4 @@
     Millis openSent_ = 0;
 };
 
-}  // namespace beechpoint::duties
+}  // namespace beechpoint::lease_sessions
--- a/src/duties/keeper.cpp
+++ b/src/lease_sessions/lease_manager.cpp
@@ -1,4 +1,4 @@
-#include "duties/keeper.hpp"
+#include "lease_sessions/lease_manager.hpp"
 
 #include <xxhash.h>
 
@@ -6,7 +6,7 @@
 #include <tuple>
 #include <utility>
 
-namespace beechpoint::duties {
+namespace beechpoint::lease_sessions {
 
 namespace {
 constexpr std::size_t kMostWaiting = 2048;  // requests and renewals on their way at one leader
@@ -14,15 +14,15 @@
 constexpr std::size_t kGranting = 32;  // grants on their way at once: a thousand free duties make no burst
 }  // namespace
 
-Keeper::Keeper(Times times, std::string self, Life life, ledger::Ledger& ledger, const Table& table)
+Keeper::Keeper(Times times, std::string self, Life life, raft::Ledger& ledger, const Table& table)
     : times_(times), self_(std::move(self)), life_(life), ledger_(ledger), table_(table) {}
 
-void Keeper::receive(Millis now, const Message& m, ledger::Actions& ledgerOut, std::vector<Message>& out) {
+void Keeper::receive(Millis now, const Message& m, raft::Actions& ledgerOut, std::vector<Message>& out) {
     look(now);
     if (const auto* ask = std::get_if<Ask>(&m.body)) {
         const Command& c = ask->command;
         if (c.member != m.from || c.life != m.life || c.number == 0 || c.duty.size() > kMostDutyName ||
-            c.to.size() > ledger::kMostName)
+            c.to.size() > raft::kMostName)
             return;
         if (const auto known = table_.answer(c.member, c.life, c.number); known && ledger_.ready())
             return out.push_back({self_, m.from, life_, Answer{c.life, c.number, *known, self_}});
@@ -111,7 +111,7 @@
         freeSince_.try_emplace(name, !d.last.empty() && !d.lost ? now - times_.settle : now);
     }
 }
-void Keeper::expire(Millis now, ledger::Actions& ledgerOut) {
+void Keeper::expire(Millis now, raft::Actions& ledgerOut) {
     for (auto& [member, s] : sessions_) {
         if (s.ending || now < s.until) continue;
         Command c;
@@ -121,7 +121,7 @@
         ++expired_;
     }
 }
-void Keeper::grant(Millis now, ledger::Actions& ledgerOut) {
+void Keeper::grant(Millis now, raft::Actions& ledgerOut) {
     // One that was settled and is free all the same was turned down: it is tried again.
     std::erase_if(granting_, [&](const auto& g) { return g.second <= ledger_.commit(); });
     if (freeSince_.size() <= granting_.size()) return;
@@ -155,7 +155,7 @@
         return result || now > w.since + kStale;
     });
 }
-void Keeper::advance(Millis now, ledger::Actions& ledgerOut, std::vector<Message>& out) {
+void Keeper::advance(Millis now, raft::Actions& ledgerOut, std::vector<Message>& out) {
     look(now);
     nextAt_ = 1e300;
     if (!led_) return;
@@ -174,4 +174,4 @@
         if (now < since + times_.settle) nextAt_ = std::min(nextAt_, since + times_.settle);
 }
 
-}  // namespace beechpoint::duties
+}  // namespace beechpoint::lease_sessions
--- a/src/duties/keeper.hpp
+++ b/src/lease_sessions/lease_manager.hpp
@@ -19,9 +19,9 @@
 #include <string>
 #include <vector>
 
-#include "duties/messages.hpp"
+#include "lease_sessions/messages.hpp"
 
-namespace beechpoint::duties {
+namespace beechpoint::lease_sessions {
 
 struct Times {
     Millis ttl = 2000;
@@ -33,12 +33,12 @@
 
 class Keeper {
 public:
-    Keeper(Times times, std::string self, Life life, ledger::Ledger& ledger, const Table& table);
+    Keeper(Times times, std::string self, Life life, raft::Ledger& ledger, const Table& table);
 
-    void receive(Millis now, const Message& message, ledger::Actions& ledgerOut, std::vector<Message>& out);
+    void receive(Millis now, const Message& message, raft::Actions& ledgerOut, std::vector<Message>& out);
     void confirmed(Millis now, std::uint64_t token, std::vector<Message>& out);
     // Called after every step of the ledger and when next() has come.
-    void advance(Millis now, ledger::Actions& ledgerOut, std::vector<Message>& out);
+    void advance(Millis now, raft::Actions& ledgerOut, std::vector<Message>& out);
     Millis next() const { return nextAt_; }
 
     std::uint64_t expired() const { return expired_; }
@@ -66,20 +66,20 @@
     };
     Millis runs() const { return times_.ttl * (1 + times_.drift) + times_.margin; }
     void look(Millis now);
-    void expire(Millis now, ledger::Actions& ledgerOut);
-    void grant(Millis now, ledger::Actions& ledgerOut);
+    void expire(Millis now, raft::Actions& ledgerOut);
+    void grant(Millis now, raft::Actions& ledgerOut);
     void answerSettled(Millis now, std::vector<Message>& out);
 
     Times times_;
     std::string self_;
     Life life_;
-    ledger::Ledger& ledger_;
+    raft::Ledger& ledger_;
     const Table& table_;
     bool led_ = false;
     std::uint64_t seen_ = 0;  // the table's revision
     std::map<std::string, Kept> sessions_;
     std::map<std::string, Millis> freeSince_;
-    std::map<std::string, ledger::Index> granting_;  // duty: the entry on its way
+    std::map<std::string, raft::Index> granting_;  // duty: the entry on its way
     std::vector<std::string> granted_;               // to be told
     std::vector<Waiting> waiting_;
     std::map<std::uint64_t, Renewal> renewals_;
@@ -87,4 +87,4 @@
     Millis nextAt_ = 1e300;
 };
 
-}  // namespace beechpoint::duties
+}  // namespace beechpoint::lease_sessions
--- a/src/duties/messages.hpp
+++ b/src/lease_sessions/messages.hpp
@@ -6,9 +6,9 @@
 #include <variant>
 #include <vector>
 
-#include "duties/table.hpp"
+#include "lease_sessions/session_table.hpp"
 
-namespace beechpoint::duties {
+namespace beechpoint::lease_sessions {
 
 inline constexpr std::size_t kMostDutyName = 23;  // bytes of a duty's name
 inline constexpr std::size_t kGrantsTold =
@@ -54,4 +54,4 @@
     Body body;
 };
 
-}  // namespace beechpoint::duties
+}  // namespace beechpoint::lease_sessions
--- a/src/duties/table.cpp
+++ b/src/lease_sessions/session_table.cpp
@@ -1,10 +1,10 @@
-#include "duties/table.hpp"
+#include "lease_sessions/session_table.hpp"
 
 #include <algorithm>
 #include <msgpack.hpp>
 #include <tuple>
 
-namespace beechpoint::duties {
+namespace beechpoint::lease_sessions {
 
 namespace {
 
@@ -65,7 +65,7 @@
     if (!member.empty()) held_[member].insert(name);
 }
 
-void Table::apply(Index index, ledger::Term, const std::string& data) {
+void Table::apply(Index index, raft::Term, const std::string& data) {
     ++revision_;
     const std::optional<Command> c = readCommand(data);
     if (!c) {
@@ -185,4 +185,4 @@
     return true;
 }
 
-}  // namespace beechpoint::duties
+}  // namespace beechpoint::lease_sessions
--- a/src/duties/table.hpp
+++ b/src/lease_sessions/session_table.hpp
@@ -1,5 +1,5 @@
 // The duties of a group as the ledger settles them: who is in session, which duties there are, who holds each and
-// under which fencing number. A ledger::Machine: the same entries give the same table everywhere; no clock, no
+// under which fencing number. A raft::Machine: the same entries give the same table everywhere; no clock, no
 // random number. Whether a session still runs is no part of it: that is time, and the leader's Keeper judges it.
 //
 // A session is one life of a member as the group knows it; its number is the index of the entry that opened it. All
@@ -16,12 +16,12 @@
 #include <set>
 #include <string>
 
-#include "ledger/ledger.hpp"
+#include "raft/raft_consensus.hpp"
 
-namespace beechpoint::duties {
+namespace beechpoint::lease_sessions {
 
-using ledger::Index;
-using ledger::Life;
+using raft::Index;
+using raft::Life;
 
 inline constexpr std::size_t kMostDuties = 1000;
 inline constexpr std::size_t kMostSessions = 512;  // open at once
@@ -65,10 +65,10 @@
     Life life = 0;
 };
 
-class Table : public ledger::Machine {
+class Table : public raft::Machine {
 public:
     void begin(std::uint64_t number) override { base_ = number << kFenceBits; }
-    void apply(Index index, ledger::Term term, const std::string& data) override;
+    void apply(Index index, raft::Term term, const std::string& data) override;
     std::string save() const override;
     bool load(const std::string& saved) override;
 
@@ -107,4 +107,4 @@
     std::uint64_t evicted_ = 0, unknown_ = 0;
 };
 
-}  // namespace beechpoint::duties
+}  // namespace beechpoint::lease_sessions
--- a/src/ledger/ledger_election.cpp
+++ b/src/raft/leader_election.cpp
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
-#include "ledger/ledger.hpp"
-#include "ledger/ledger_detail.hpp"
+#include "raft/raft_consensus.hpp"
+#include "raft/raft_consensus_detail.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 bool Ledger::votes() const { return role_ >= Role::follower && isVoter(self_); }
 
@@ -126,4 +126,4 @@
     if (yes_.size() >= majority()) lead(now, out);
 }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/ledger_log.cpp
+++ b/src/raft/log.cpp
@@ -4,10 +4,10 @@
 #include <algorithm>
 #include <utility>
 
-#include "ledger/ledger.hpp"
-#include "ledger/ledger_detail.hpp"
+#include "raft/raft_consensus.hpp"
+#include "raft/raft_consensus_detail.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 Term Ledger::termAt(Index index) const {
     if (index == base_) return baseTerm_;
@@ -70,4 +70,4 @@
     if (log_.size() > options_.mostEntries) cut(), out.keep = true;
 }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/ledger_catch_up.cpp
+++ b/src/raft/log_catch_up.cpp
@@ -4,10 +4,10 @@
 
 #include <algorithm>
 
-#include "ledger/ledger.hpp"
-#include "ledger/ledger_detail.hpp"
+#include "raft/raft_consensus.hpp"
+#include "raft/raft_consensus_detail.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 namespace {
 constexpr Millis kNext = 60;  // a learner that is behind asks on after so long and as much again
@@ -140,4 +140,4 @@
     roleByVoters(now, out);
 }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/journal.cpp
+++ b/src/raft/log_file.cpp
@@ -1,4 +1,4 @@
-#include "ledger/journal.hpp"
+#include "raft/log_file.hpp"
 
 #include <xxhash.h>
 
@@ -6,7 +6,7 @@
 #include <msgpack.hpp>
 #include <tuple>
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 namespace {
 
@@ -196,4 +196,4 @@
     return r;
 }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/journal.hpp
+++ b/src/raft/log_file.hpp
@@ -17,9 +17,9 @@
 #include <string_view>
 #include <vector>
 
-#include "ledger/ledger.hpp"
+#include "raft/raft_consensus.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 struct Write {
     bool whole = false;  // a new file, and a new empty log, in place of all before
@@ -67,4 +67,4 @@
 Read readKept(const std::string& group, const std::string& self, std::string_view whole,
               std::string_view log);
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/ledger_replication.cpp
+++ b/src/raft/log_replication.cpp
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
-#include "ledger/ledger.hpp"
-#include "ledger/ledger_detail.hpp"
+#include "raft/raft_consensus.hpp"
+#include "raft/raft_consensus_detail.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 namespace {
 constexpr std::size_t kEarly = 32;    // entries kept that came before their turn
@@ -166,4 +166,4 @@
     if (leads()) checkConfirmed(out);
 }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/messages.hpp
+++ b/src/raft/messages.hpp
@@ -6,7 +6,7 @@
 #include <variant>
 #include <vector>
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 using Index = std::uint64_t;   // of an entry, from 1; 0: before the first
 using Term = std::uint64_t;    // a leader's time in office, from 1
@@ -124,4 +124,4 @@
     Body body;
 };
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/ledger.cpp
+++ b/src/raft/raft_consensus.cpp
@@ -1,5 +1,5 @@
 // Construction, the kept state, time, and the way of a message to the part that handles it.
-#include "ledger/ledger.hpp"
+#include "raft/raft_consensus.hpp"
 
 #include <fmt/format.h>
 
@@ -7,9 +7,9 @@
 #include <utility>
 #include <variant>
 
-#include "ledger/ledger_detail.hpp"
+#include "raft/raft_consensus_detail.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 const char* nameOf(Role role) {
     switch (role) {
@@ -137,4 +137,4 @@
     std::visit([&](const auto& body) { on(now, message, body, out); }, message.body);
 }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/ledger.hpp
+++ b/src/raft/raft_consensus.hpp
@@ -40,9 +40,9 @@
 
 #include "core/clock.hpp"
 #include "core/splitmix.hpp"
-#include "ledger/messages.hpp"
+#include "raft/messages.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 // Applies what was settled, in order and alike everywhere: no clock, no random numbers, no floating point.
 class Machine {
@@ -79,7 +79,7 @@
 struct Options {
     Millis heartbeat = 150;
     Millis electionFrom = 500, electionTo = 1000;  // without a sign of life; drawn anew each time
-    Millis pull = 2000;  // a learner's question, with a fifth of it as jitter; more of them: group::Options
+    Millis pull = 2000;  // a learner's question, with a fifth of it as jitter; more of them: cluster::Options
     std::size_t mostEntries = 512;  // kept; above this those behind `applied` are cut
     std::size_t window = 8;         // entries on their way to one voter
     Safeguards safeguards;
@@ -264,4 +264,4 @@
     Counters counters_;
 };
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/ledger_detail.hpp
+++ b/src/raft/raft_consensus_detail.hpp
@@ -1,5 +1,5 @@
 // What the parts of the ledger share: names of voters as text, the digest of a log, and how a message is sent.
-// Private to src/ledger/ledger*.cpp.
+// Private to src/raft/ledger*.cpp.
 #pragma once
 
 #include <fmt/format.h>
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "ledger/ledger.hpp"
+#include "raft/raft_consensus.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 // Voters stand in entries and snapshots as names with a space between them.
 inline std::vector<std::string> splitNames(const std::string& names) {
@@ -48,4 +48,4 @@
     for (const std::string& name : voters_) send(name, body, out);
 }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/folder.cpp
+++ b/src/raft/state_folder.cpp
@@ -1,11 +1,11 @@
-#include "ledger/folder.hpp"
+#include "raft/state_folder.hpp"
 
 #include <fmt/format.h>
 
 #include <cctype>
 #include <utility>
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 namespace {
 std::string safe(const std::string& name) {
@@ -18,7 +18,7 @@
 }
 }  // namespace
 
-Folder::Folder(files::Files& files, std::string folder, std::string group, std::string self)
+Folder::Folder(durable_files::Files& files, std::string folder, std::string group, std::string self)
     : files_(files),
       folder_(std::move(folder)),
       group_(std::move(group)),
@@ -77,4 +77,4 @@
     return true;
 }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/folder.hpp
+++ b/src/raft/state_folder.hpp
@@ -8,15 +8,15 @@
 
 #include <string>
 
-#include "files/files.hpp"
-#include "ledger/journal.hpp"
+#include "durable_files/files.hpp"
+#include "raft/log_file.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 class Folder {
 public:
     // `folder` must be there. Names are made safe for the file system.
-    Folder(files::Files& files, std::string folder, std::string group, std::string self);
+    Folder(durable_files::Files& files, std::string folder, std::string group, std::string self);
 
     // What was kept; `note` says in one line what was found, empty: nothing at all. A damaged file is put aside under one name
     // (the newest damage replaces the one before), so that staff can look at it.
@@ -29,11 +29,11 @@
     std::string logName(std::uint64_t generation) const;
     bool put(const Write& write);
 
-    files::Files& files_;
+    durable_files::Files& files_;
     std::string folder_, group_, self_, path_;
     std::uint64_t generation_ = 0;  // whose log is in use
     bool made_ = false;             // that log is there, by name
     bool failed_ = false;
 };
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/ledger_recovery.cpp
+++ b/src/raft/state_recovery.cpp
@@ -4,10 +4,10 @@
 #include <algorithm>
 #include <set>
 
-#include "ledger/ledger.hpp"
-#include "ledger/ledger_detail.hpp"
+#include "raft/raft_consensus.hpp"
+#include "raft/raft_consensus_detail.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 namespace {
 constexpr Millis kAsk = 300;        // between questions of one that recovers
@@ -140,4 +140,4 @@
     out.notes.push_back(fmt::format("ledger: recovered up to entry {} in term {}", last(), term_));
 }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/ledger/ledger_voters.cpp
+++ b/src/raft/voter_changes.cpp
@@ -4,10 +4,10 @@
 #include <algorithm>
 #include <iterator>
 
-#include "ledger/ledger.hpp"
-#include "ledger/ledger_detail.hpp"
+#include "raft/raft_consensus.hpp"
+#include "raft/raft_consensus_detail.hpp"
 
-namespace beechpoint::ledger {
+namespace beechpoint::raft {
 
 namespace {
 constexpr double kOfLate = 2.5;  // heartbeats
@@ -72,4 +72,4 @@
     return true;
 }
 
-}  // namespace beechpoint::ledger
+}  // namespace beechpoint::raft
--- a/src/simhost/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -3,10 +3,10 @@
 #include <istream>
 #include <ostream>
 
-#include "module_settings/module_settings.hpp"
+#include "coordinator/settings_json.hpp"
 #include "wire.hpp"
 
-namespace firkeel::wire {
+namespace beechpoint::coordinator::simulator_adapter {
 
 namespace {
 constexpr std::int64_t kLastId = 0xFFFFFFFF;
@@ -129,7 +129,7 @@
     std::string reply;
     bool open = false;
     const auto crash = [&](const std::string& why) {
-        errors << "firkeel_simhost: " << why << '\n';
+        errors << "beechpoint_simulator_adapter: " << why << '\n';
         if (open) {
             if (!order_.empty()) out << "CONTEXT\t" << order_.back() << '\n';
             out << "CRASH\t" << why << "\nACK\n" << std::flush;
@@ -171,10 +171,10 @@
         return crash(e.what());
     }
     if (open) {
-        errors << "firkeel_simhost: the input ended inside a batch\n";
+        errors << "beechpoint_simulator_adapter: the input ended inside a batch\n";
         return 1;
     }
     return 0;
 }
 
-}  // namespace firkeel::wire
+}  // namespace beechpoint::coordinator::simulator_adapter
--- a/src/simhost/host.hpp
+++ b/src/simulator_adapter/host.hpp
@@ -5,9 +5,9 @@
 #include <iosfwd>
 #include <map>
 
-#include "firkeel/coordinator.hpp"
+#include "coordinator/coordinator.hpp"
 
-namespace firkeel::wire {
+namespace beechpoint::coordinator::simulator_adapter {
 
 class Line;
 
@@ -32,4 +32,4 @@
     Nanos now_ = 0;
 };
 
-}  // namespace firkeel::wire
+}  // namespace beechpoint::coordinator::simulator_adapter
--- a/src/simhost/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -5,5 +5,5 @@
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
-    return firkeel::wire::Host().run(std::cin, std::cout, std::cerr);
+    return beechpoint::coordinator::simulator_adapter::Host().run(std::cin, std::cout, std::cerr);
 }
--- a/src/simhost/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <cmath>
 
-namespace firkeel::wire {
+namespace beechpoint::coordinator::simulator_adapter {
 
 namespace {
 
@@ -181,4 +181,4 @@
                action);
 }
 
-}  // namespace firkeel::wire
+}  // namespace beechpoint::coordinator::simulator_adapter
--- a/src/simhost/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -6,9 +6,9 @@
 #include <string_view>
 #include <vector>
 
-#include "firkeel/coordinator.hpp"
+#include "coordinator/coordinator.hpp"
 
-namespace firkeel::wire {
+namespace beechpoint::coordinator::simulator_adapter {
 
 // A line that does not follow the protocol. what() names the message, the field and what was expected.
 struct Malformed : std::runtime_error {
@@ -43,4 +43,4 @@
 Outcome readOutcome(std::string_view word, std::string_view message);
 void writeAction(const Action& action, std::string& out);
 
-}  // namespace firkeel::wire
+}  // namespace beechpoint::coordinator::simulator_adapter
--- a/tests/group/seeds_test.cpp
+++ b/tests/cluster/seeds_test.cpp
@@ -1,5 +1,5 @@
 // Many seeds in virtual time. Built without the sanitizers, which make a run fourteen times slower; the same code is under them
-// in group_tests.
+// in cluster_tests.
 #include <gtest/gtest.h>
 
 #include "emulator/group_run.hpp"
