--- a/tests/configuration/taken_calls_test.cpp
+++ b/tests/configuration/applied_operations_test.cpp
@@ -1,5 +1,5 @@
 // What is remembered of acknowledged calls: found after any number of others, bounded, and compared by more than its number.
-#include "configuration/taken_calls.hpp"
+#include "configuration/applied_operations.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/control/waiting_polls_test.cpp
+++ b/tests/control/waiting_polls_test.cpp
@@ -1,5 +1,5 @@
 // Which waiting polls are due.
-#include "control/waiting_polls.hpp"
+#include "control/long_polls.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/dispatch/placement_test.cpp
+++ b/tests/dispatch/prefix_affinity_test.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/placement.hpp"
+#include "dispatch/prefix_affinity.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/golden/control/load_datagram_test.cpp
+++ b/tests/golden/control/load_datagram_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "dispatch/placement.hpp"
+#include "dispatch/prefix_affinity.hpp"
 #include "golden_file.hpp"
 
 namespace beechpoint::golden {
--- a/tests/leases/duty_test.cpp
+++ b/tests/leases/duty_test.cpp
@@ -1,4 +1,4 @@
-#include "leases/duty.hpp"
+#include "leases/role_assignment.hpp"
 
 #include <gtest/gtest.h>
 
