--- a/src/admin/operator_endpoint.cpp
+++ b/src/admin/operator_endpoint.cpp
@@ -85,8 +85,8 @@
     const std::string shown = controls_.group();
     if (shown.empty()) return connection->respond(404, kText, "this gatherer is in no group\n");
     if (reads) return connection->respond(200, kJson, shown + "\n");
-    if (m.path().starts_with(kTake)) return duty(true, m.path().substr(kTake.size()), connection);
-    if (m.path().starts_with(kGive)) return duty(false, m.path().substr(kGive.size()), connection);
+    if (m.path().starts_with(kTake)) return singletonRole(true, m.path().substr(kTake.size()), connection);
+    if (m.path().starts_with(kGive)) return singletonRole(false, m.path().substr(kGive.size()), connection);
     const std::string_view text = m.path().substr(kFound.size());
     std::uint64_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -97,14 +97,14 @@
         : connection->respond(409, kText, "this member has a state, or is no voter\n");
 }
 
-void OperatorEndpoint::duty(bool take, std::string_view rest, const Connection& connection) {
+void OperatorEndpoint::singletonRole(bool take, std::string_view rest, const Connection& connection) {
     const auto slash = take ? std::string_view::npos : rest.find('/');
     const auto name = decodeId(rest.substr(0, slash));
     const auto to =
         slash == std::string_view::npos ? std::optional<std::string>("") : decodeId(rest.substr(slash + 1));
     if (!name || !to)
         return connection->respond(400, kText, "the duty's name or the member's is malformed\n");
-    controls_.duty(take, *name, *to, [this, connection, take, name = *name](Controls::Settled end) {
+    controls_.singletonRole(take, *name, *to, [this, connection, take, name = *name](Controls::Settled end) {
         log_.info("an operator called group/{} for duty {}: {}", field("call", take ? "take" : "give"),
                   field("duty", name),
                   field("reply", !end.known ? "not known"
@@ -113,7 +113,7 @@
         if (!end.known)
             return connection->respond(504, kText,
                                        "not known: it may have been settled or not; look at the group\n");
-        end.yes ? connection->respond(200, kJson, fmt::format("{{\"fence\":{}}}\n", end.fence))
+        end.yes ? connection->respond(200, kJson, fmt::format("{{\"fence\":{}}}\n", end.fencingToken))
                 : connection->respond(409, kText,
                                       take ? "somebody holds it, or there is no such duty\n"
                                            : "this gatherer does not hold it, or there is no such member\n");
--- a/src/admin/operator_endpoint.hpp
+++ b/src/admin/operator_endpoint.hpp
@@ -27,9 +27,9 @@
     // Takes a free duty of the group for this gatherer, or gives one up (`to`: to that member; empty: to whoever is next).
     struct Settled {
         bool known = false, yes = false;
-        std::uint64_t fence = 0;
+        std::uint64_t fencingToken = 0;
     };
-    virtual void duty(bool take, const std::string& name, const std::string& to,
+    virtual void singletonRole(bool take, const std::string& name, const std::string& to,
                       std::function<void(Settled)> later) = 0;
     virtual void trackHost(const std::string& id, bool out, Later later) = 0;
 };
@@ -50,7 +50,7 @@
     using Connection = std::shared_ptr<net::HttpConnection>;
     void handle(const net::HttpMessage& message, const Connection& connection);
     void group(const net::HttpMessage& message, const Connection& connection);
-    void duty(bool take, std::string_view rest, const Connection& connection);
+    void singletonRole(bool take, std::string_view rest, const Connection& connection);
     void trackHost(std::string_view rest, const Connection& connection);
 
     Controls& controls_;
--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -56,8 +56,8 @@
 };
 
 Group::Store::Store(asio::io_context& io, const Settings& settings, const std::string& self,
-                    raft::Life life)
-    : folder(disk, settings.folder, settings.name, self), journal(settings.name, self, life), thread(io) {}
+                    raft::ProcessIncarnation processIncarnation)
+    : folder(disk, settings.folder, settings.name, self), journal(settings.name, self, processIncarnation), thread(io) {}
 
 Group::Group(asio::io_context& io, const Clock& clock, Counters& counters, Logger& log,
              const Settings& settings, const std::string& self)
@@ -70,8 +70,8 @@
       socket_(io),
       timer_(io),
       waitTimer_(io),
-      life_(chance() | 1) {
-    Core(optionsOf(settings, self), life_, 0, clock.now());  // what can't work is said at the start
+      processIncarnation_(chance() | 1) {
+    Core(optionsOf(settings, self), processIncarnation_, 0, clock.now());  // what can't work is said at the start
     if (settings_.folder.empty()) return;
     lock_ = std::make_unique<Lock>(settings_.folder + "/" + self_ + ".lock");
     if (!lock_->there())
@@ -113,19 +113,19 @@
 // Reads what was kept, once, before anything is said. What can't be used is as good as nothing: this member then asks the
 // others.
 void Group::begin() {
-    std::optional<raft::Kept> kept;
+    std::optional<raft::PersistentState> kept;
     if (!settings_.folder.empty()) {
-        store_ = std::make_unique<Store>(io_, settings_, self_, life_);
+        store_ = std::make_unique<Store>(io_, settings_, self_, processIncarnation_);
         std::string note;
         kept = store_->folder.load(note).kept;
         if (!note.empty()) log_.info("group: kept state in {}", field("what", note));
         lease_sessions::Table trial;
-        if (kept && !raft::Ledger::readable(*kept, trial)) {
+        if (kept && !raft::RaftConsensus::readable(*kept, trial)) {
             log_.warn("group: the kept state is of another version; this member begins with nothing");
             kept.reset();
         }
     }
-    core_.emplace(optionsOf(settings_, self_), life_, chance(), clock_.now(), kept);
+    core_.emplace(optionsOf(settings_, self_), processIncarnation_, chance(), clock_.now(), kept);
     socket_.non_blocking(true);
     log_.info("group {}: member {} at {}:{}, {} members", field("group", settings_.name),
               field("name", self_), field("address", endpoint().address().to_string()),
@@ -178,7 +178,7 @@
     outbox_ = Outbox();
     wantAt_ = -1e300;
     conflictsSaid_ = refusedSaid_ = 0;
-    life_ = chance() | 1;
+    processIncarnation_ = chance() | 1;
     if (!settings_.folder.empty()) lock_ = std::make_unique<Lock>(settings_.folder + "/" + self_ + ".lock");
     tryAgain();
 }
@@ -197,8 +197,8 @@
     store_ ? store_->thread->post([] { return true; }, free) : free(true);
 }
 
-std::optional<std::uint64_t> Group::mayAct(const std::string& duty) const {
-    return in() ? core_->holder().mayAct(clock_.now(), duty) : std::nullopt;
+std::optional<std::uint64_t> Group::mayAct(const std::string& singletonRole) const {
+    return in() ? core_->holder().mayAct(clock_.now(), singletonRole) : std::nullopt;
 }
 bool Group::found(std::uint64_t number) {
     if (number >> 31 != 0 || !in()) return false;
@@ -229,18 +229,18 @@
     core_->advance(clock_.now(), out);
     carry(out);
 }
-void Group::take(const std::string& duty, std::function<void(Settled)> then) {
-    if (!in() || calls_.size() >= kMostCalls || duty.size() > lease_sessions::kMostDutyName)
+void Group::take(const std::string& singletonRole, std::function<void(Settled)> then) {
+    if (!in() || calls_.size() >= kMostCalls || singletonRole.size() > lease_sessions::kMaxRoleNameBytes)
         return then({true, false, 0});
-    await(core_->holder().take(duty), std::move(then));
+    await(core_->holder().take(singletonRole), std::move(then));
 }
-void Group::give(const std::string& duty, const std::string& to, std::function<void(Settled)> then) {
-    const auto fence = mayAct(duty);
-    if (!fence || calls_.size() >= kMostCalls || (!to.empty() && !settings_.members.contains(to)))
+void Group::give(const std::string& singletonRole, const std::string& to, std::function<void(Settled)> then) {
+    const auto fencingToken = mayAct(singletonRole);
+    if (!fencingToken || calls_.size() >= kMostCalls || (!to.empty() && !settings_.members.contains(to)))
         return then({true, false, 0});
     // The ledger's answer to a hand-over names the next one's number.
-    await(core_->holder().giveUp(duty, to), [then = std::move(then), fence = *fence](Settled end) {
-        end.fence = fence;
+    await(core_->holder().giveUp(singletonRole, to), [then = std::move(then), fencingToken = *fencingToken](Settled end) {
+        end.fencingToken = fencingToken;
         then(end);
     });
 }
@@ -252,7 +252,7 @@
         calls_.erase(call);
         // Handed to one that is in no session: it is given up all the same, and free.
         then({o.known, o.result.verdict == lease_sessions::Verdict::yes || o.result.verdict == lease_sessions::Verdict::wait,
-              o.result.fence});
+              o.result.fencingToken});
     }
 }
 
@@ -280,7 +280,7 @@
     for (const std::string& note : step.notes) log_.info("group: {}", field("what", note));
     counters_.add(Counter::groupPresenceChanges, step.presenceChanges);
     raft::Write write;
-    if (store_ && step.keep) write = store_->journal.changes(core_->ledger());
+    if (store_ && step.keep) write = store_->journal.changes(core_->raft());
     const bool keeps = !write.bytes.empty();
     if (keeps)
         store_->thread->post(
@@ -325,29 +325,29 @@
 void Group::changed() {
     if (const Millis now = clock_.now(); core_->holder().inSession(now) && now >= wantAt_) {
         wantAt_ = now + kWantAgain;
-        for (const std::string& duty : settings_.duties)
-            if (core_->table().duty(duty) == nullptr) core_->holder().want(duty);
+        for (const std::string& singletonRole : settings_.singletonRoles)
+            if (core_->table().singletonRole(singletonRole) == nullptr) core_->holder().want(singletonRole);
     }
-    if (const std::string& leader = core_->ledger().leader(); leader != leaderSaid_) {
+    if (const std::string& leader = core_->raft().leader(); leader != leaderSaid_) {
         leaderSaid_ = leader;
         counters_.add(Counter::groupLeaderChanges);
         log_.info("group: leader {} in term {}", field("leader", leader.empty() ? "none" : leader),
-                  field("term", core_->ledger().term()));
+                  field("term", core_->raft().term()));
     }
     const auto& held = core_->holder().held();
-    for (const auto& [duty, fence] : held)
-        if (const auto said = heldSaid_.find(duty); said == heldSaid_.end() || said->second != fence) {
+    for (const auto& [singletonRole, fencingToken] : held)
+        if (const auto said = heldSaid_.find(singletonRole); said == heldSaid_.end() || said->second != fencingToken) {
             counters_.add(Counter::groupDutiesTaken);
-            log_.info("group: holds duty {} under {}", field("duty", duty), field("fence", fence));
+            log_.info("group: holds duty {} under {}", field("duty", singletonRole), field("fence", fencingToken));
         }
-    for (const auto& [duty, fence] : heldSaid_)
-        if (!held.contains(duty)) {
+    for (const auto& [singletonRole, fencingToken] : heldSaid_)
+        if (!held.contains(singletonRole)) {
             counters_.add(Counter::groupDutiesEnded);
-            log_.info("group: no longer holds duty {} under {}", field("duty", duty), field("fence", fence));
+            log_.info("group: no longer holds duty {} under {}", field("duty", singletonRole), field("fence", fencingToken));
         }
     if (heldSaid_ != held) heldSaid_ = held;
-    counters_.add(Counter::groupConflicts, core_->ledger().counters().conflicts - conflictsSaid_);
-    conflictsSaid_ = core_->ledger().counters().conflicts;
+    counters_.add(Counter::groupConflicts, core_->raft().counters().conflicts - conflictsSaid_);
+    conflictsSaid_ = core_->raft().counters().conflicts;
     std::uint64_t refused = core_->traffic().unreadable;
     for (const auto& [reason, n] : core_->traffic().refused) refused += n;
     counters_.add(Counter::groupRefused, refused - refusedSaid_);
@@ -361,8 +361,8 @@
             {"group", settings_.name}, {"self", self_}, {"role", "waiting"}, {"mayAct", Json::object()}}
             .dump();
     const Millis now = clock_.now();
-    const raft::Ledger& l = core_->ledger();
-    Json members = Json::array(), duties = Json::array(), acts = Json::object();
+    const raft::RaftConsensus& l = core_->raft();
+    Json members = Json::array(), singletonRoles = Json::array(), acts = Json::object();
     for (const auto& [name, address] : settings_.members) {
         const lease_sessions::Session* s = core_->table().session(name);
         const Millis heard = core_->membership().heard(name);
@@ -374,10 +374,10 @@
                            {"voter", l.isVoter(name)},
                            {"session", s != nullptr ? s->number : 0}});
     }
-    for (const auto& [name, d] : core_->table().duties())
-        duties.push_back({{"name", name}, {"holder", d.holder}, {"fence", d.fence}});
-    for (const auto& [name, fence] : core_->holder().held())
-        if (mayAct(name)) acts[name] = fence;
+    for (const auto& [name, d] : core_->table().singletonRoles())
+        singletonRoles.push_back({{"name", name}, {"holder", d.holder}, {"fence", d.fencingToken}});
+    for (const auto& [name, fencingToken] : core_->holder().held())
+        if (mayAct(name)) acts[name] = fencingToken;
     const Traffic& t = core_->traffic();
     return Json{
         {"group", settings_.name},
@@ -396,7 +396,7 @@
         {"digest", fmt::format("{:016x}", l.digestAt(l.commit()))},
         {"conflicts", l.counters().conflicts},
         {"members", std::move(members)},
-        {"duties", std::move(duties)},
+        {"duties", std::move(singletonRoles)},
         {"mayAct", std::move(acts)},
         {"sessionEndsInMs", core_->holder().inSession(now) ? core_->holder().sessionUntil() - now : 0},
         {"datagrams",
--- a/src/cluster/cluster.hpp
+++ b/src/cluster/cluster.hpp
@@ -50,7 +50,7 @@
     void close();
 
     // The duty's fencing number if this member may act on it at this very moment. Carry it with the act.
-    std::optional<std::uint64_t> mayAct(const std::string& duty) const;
+    std::optional<std::uint64_t> mayAct(const std::string& singletonRole) const;
     // For operators: members, voters, leader, duties, JSON.
     std::string show() const;
     // Begins a group under `number`, by an operator's word; false: it has a state, is no voter, or 0 was given.
@@ -59,10 +59,10 @@
     // is called once, within some seconds; known: whether it is settled.
     struct Settled {
         bool known = false, yes = false;
-        std::uint64_t fence = 0;  // take: its new number; give: the one that was given up
+        std::uint64_t fencingToken = 0;  // take: its new number; give: the one that was given up
     };
-    void take(const std::string& duty, std::function<void(Settled)> then);
-    void give(const std::string& duty, const std::string& to, std::function<void(Settled)> then);
+    void take(const std::string& singletonRole, std::function<void(Settled)> then);
+    void give(const std::string& singletonRole, const std::string& to, std::function<void(Settled)> then);
     // Looks at hosts that are avoided (Core::away, Core::saw).
     bool away(const std::string& host);
     void saw(const std::string& host, bool there);
@@ -71,7 +71,7 @@
 
 private:
     struct Store {  // where a folder lasts
-        Store(asio::io_context& io, const Settings& settings, const std::string& self, raft::Life life);
+        Store(asio::io_context& io, const Settings& settings, const std::string& self, raft::ProcessIncarnation processIncarnation);
         durable_files::Disk disk;
         raft::Folder folder;
         raft::Journal journal;
@@ -99,7 +99,7 @@
     std::string self_;
     asio::ip::udp::socket socket_;
     asio::steady_timer timer_, waitTimer_;
-    raft::Life life_;
+    raft::ProcessIncarnation processIncarnation_;
     std::unique_ptr<Lock> lock_;
     std::unique_ptr<Store> store_;
     std::optional<Core> core_;  // from when this process is the member
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -11,14 +11,14 @@
 
 constexpr Millis kPullPerMember = 25;
 
-Options checked(Options o, raft::Life life) {
+Options checked(Options o, raft::ProcessIncarnation processIncarnation) {
     const auto need = [](bool ok, const std::string& what) {
         if (!ok) throw std::invalid_argument("group: " + what);
     };
-    need(life != 0, "a life must not be 0");
-    need(!o.voters.empty() && o.voters.size() <= raft::kMostVoters, "1 to 7 voters");
+    need(processIncarnation != 0, "a life must not be 0");
+    need(!o.voters.empty() && o.voters.size() <= raft::kMaxVoters, "1 to 7 voters");
     for (const std::string& name : o.members)
-        need(!name.empty() && name.size() <= raft::kMostName &&
+        need(!name.empty() && name.size() <= raft::kMaxMemberNameBytes &&
                  name.find_first_of(" \n") == std::string::npos,
              "member '" + name + "': 1 to 19 bytes without blanks");
     const auto listed = [&](const std::string& n) {
@@ -26,7 +26,7 @@
     };
     need(listed(o.self), "self '" + o.self + "' must be among the members, once");
     // What the voters answer is a constant, however many learn from them.
-    o.ledger.pull = std::max(o.ledger.pull, kPullPerMember * static_cast<double>(o.members.size()));
+    o.raft.pull = std::max(o.raft.pull, kPullPerMember * static_cast<double>(o.members.size()));
     for (const std::string& name : o.voters)
         need(listed(name), "voter '" + name + "' must be among the members, once");
     return o;
@@ -34,19 +34,19 @@
 
 }  // namespace
 
-Core::Core(Options options, raft::Life life, std::uint64_t seed, Millis now,
-           const std::optional<raft::Kept>& kept)
-    : options_(checked(std::move(options), life)),
-      life_(life),
-      ledger_(options_.ledger, options_.self, life, options_.voters, seed, now, table_, kept),
-      keeper_(options_.times, options_.self, life, ledger_, table_),
-      holder_(options_.times, options_.self, life, options_.voters, seed ^ 0x9E3779B97F4A7C15ULL, now,
+Core::Core(Options options, raft::ProcessIncarnation processIncarnation, std::uint64_t seed, Millis now,
+           const std::optional<raft::PersistentState>& kept)
+    : options_(checked(std::move(options), processIncarnation)),
+      processIncarnation_(processIncarnation),
+      raft_(options_.raft, options_.self, processIncarnation, options_.voters, seed, now, table_, kept),
+      leaseManager_(options_.times, options_.self, processIncarnation, raft_, table_),
+      leaseClient_(options_.times, options_.self, processIncarnation, options_.voters, seed ^ 0x9E3779B97F4A7C15ULL, now,
               options_.willing),
       membership_(options_.membership, options_.self, options_.members, seed ^ 0xD1B54A32D192ED03ULL, now),
       prober_(options_.prober, options_.self) {}
 
-void Core::put(gossip::Room room, const std::string& to, const std::string& body, Step& out) {
-    std::string bytes = gossip::seal(options_.group, {room, options_.self, life_, ledger_.number()}, body);
+void Core::put(gossip::Channel room, const std::string& to, const std::string& body, Step& out) {
+    std::string bytes = gossip::seal(options_.group, {room, options_.self, processIncarnation_, raft_.number()}, body);
     if (bytes.empty()) {
         ++traffic_.tooLong;
         return;
@@ -56,7 +56,7 @@
     out.send.push_back({to, std::move(bytes)});
 }
 void Core::put(const std::vector<gossip::Message>& said, Step& out) {
-    for (const gossip::Message& m : said) put(gossip::Room::membership, m.to, write(m.body), out);
+    for (const gossip::Message& m : said) put(gossip::Channel::membership, m.to, write(m.body), out);
     for (const gossip::PresenceChange& c : membership_.takeChanges()) {
         ++out.presenceChanges;
         out.notes.push_back("member " + c.member + " is " + nameOf(c.presence) + " (incarnation " +
@@ -68,9 +68,9 @@
     // Own words to oneself are carried out at once; each may bring more.
     for (std::size_t i = 0;; ++i) {
         for (const std::uint64_t token : std::exchange(actions.confirmed, {}))
-            keeper_.confirmed(now, token, said);
-        keeper_.advance(now, actions, said);
-        if (ledger_.next() <= now) ledger_.advance(now, actions);
+            leaseManager_.confirmed(now, token, said);
+        leaseManager_.advance(now, actions, said);
+        if (raft_.next() <= now) raft_.advance(now, actions);
         if (i >= said.size() && actions.confirmed.empty()) break;
         if (i >= said.size()) {
             --i;
@@ -79,13 +79,13 @@
         const lease_sessions::Message m = said[i];
         if (m.to != options_.self) continue;
         if (std::holds_alternative<lease_sessions::Ask>(m.body) || std::holds_alternative<lease_sessions::Renew>(m.body))
-            keeper_.receive(now, m, actions, said);
+            leaseManager_.receive(now, m, actions, said);
         else
-            holder_.receive(now, m, said);
+            leaseClient_.receive(now, m, said);
     }
-    for (const raft::Message& m : actions.send) put(gossip::Room::ledger, m.to, write(m.body), out);
+    for (const raft::Message& m : actions.send) put(gossip::Channel::raft, m.to, write(m.body), out);
     for (const lease_sessions::Message& m : said)
-        if (m.to != options_.self && !m.to.empty()) put(gossip::Room::duties, m.to, write(m.body), out);
+        if (m.to != options_.self && !m.to.empty()) put(gossip::Channel::singletonRoles, m.to, write(m.body), out);
     out.keep = out.keep || actions.keep;
     out.notes.insert(out.notes.end(), actions.notes.begin(), actions.notes.end());
 }
@@ -106,26 +106,26 @@
     ++traffic_.received;
     raft::Actions actions;
     std::vector<lease_sessions::Message> said;
-    if (h.room == gossip::Room::ledger) {
-        const auto body = readLedger(opened->body);
+    if (h.room == gossip::Channel::raft) {
+        const auto body = readRaft(opened->body);
         if (!body) {
             ++traffic_.unreadable;
             return;
         }
-        ledger_.receive(now, {h.sender, options_.self, h.life, h.number, *body}, actions);
-    } else if (h.room == gossip::Room::duties) {
-        const auto body = readDuties(opened->body);
+        raft_.receive(now, {h.sender, options_.self, h.processIncarnation, h.number, *body}, actions);
+    } else if (h.room == gossip::Channel::singletonRoles) {
+        const auto body = readLeaseSessions(opened->body);
         if (!body) {
             ++traffic_.unreadable;
             return;
         }
-        if (h.number != ledger_.number() || h.number == 0) return;
-        const lease_sessions::Message m{h.sender, options_.self, h.life, *body};
+        if (h.number != raft_.number() || h.number == 0) return;
+        const lease_sessions::Message m{h.sender, options_.self, h.processIncarnation, *body};
         if (std::holds_alternative<lease_sessions::Ask>(*body) || std::holds_alternative<lease_sessions::Renew>(*body))
-            keeper_.receive(now, m, actions, said);
+            leaseManager_.receive(now, m, actions, said);
         else
-            holder_.receive(now, m, said);
-    } else if (h.room == gossip::Room::membership) {
+            leaseClient_.receive(now, m, said);
+    } else if (h.room == gossip::Channel::membership) {
         const auto body = readMembership(opened->body);
         if (!body) {
             ++traffic_.unreadable;
@@ -134,7 +134,7 @@
         std::vector<gossip::Message> words;
         membership_.receive(now, {h.sender, options_.self, *body}, words);
         return put(words, out);
-    } else if (h.room == gossip::Room::hostProber) {
+    } else if (h.room == gossip::Channel::hostProber) {
         const auto body = readHostProber(opened->body);
         if (!body) {
             ++traffic_.unreadable;
@@ -142,8 +142,8 @@
         }
         std::vector<health_check::Message> words;
         prober_.receive(now, {h.sender, options_.self, *body},
-                        holder_.mayAct(now, options_.proberDuty).has_value(), words);
-        for (const health_check::Message& m : words) put(gossip::Room::hostProber, m.to, write(m.body), out);
+                        leaseClient_.mayAct(now, options_.proberDuty).has_value(), words);
+        for (const health_check::Message& m : words) put(gossip::Channel::hostProber, m.to, write(m.body), out);
         return;
     }
     settle(now, actions, said, out);
@@ -151,11 +151,11 @@
 void Core::advance(Millis now, Step& out) {
     raft::Actions actions;
     std::vector<lease_sessions::Message> said;
-    if (ledger_.next() <= now) ledger_.advance(now, actions);
-    if (ledger_.number() != 0) {
-        if (now - ledger_.leaderHeard() < options_.ledger.electionFrom) holder_.leaderIs(ledger_.leader());
-        if (ledger_.leads()) holder_.leaderIs(options_.self);
-        if (holder_.next() <= now) holder_.advance(now, said);
+    if (raft_.next() <= now) raft_.advance(now, actions);
+    if (raft_.number() != 0) {
+        if (now - raft_.leaderHeard() < options_.raft.electionFrom) leaseClient_.leaderIs(raft_.leader());
+        if (raft_.leads()) leaseClient_.leaderIs(options_.self);
+        if (leaseClient_.next() <= now) leaseClient_.advance(now, said);
     }
     settle(now, actions, said, out);
     std::vector<gossip::Message> words;
@@ -163,27 +163,27 @@
     put(words, out);
 }
 Millis Core::next() const {
-    const Millis at = std::min({ledger_.next(), keeper_.next(), membership_.next()});
-    return ledger_.number() != 0 ? std::min(at, holder_.next()) : at;
+    const Millis at = std::min({raft_.next(), leaseManager_.next(), membership_.next()});
+    return raft_.number() != 0 ? std::min(at, leaseClient_.next()) : at;
 }
 bool Core::found(Millis now, std::uint64_t number, Step& out) {
     raft::Actions actions;
     std::vector<lease_sessions::Message> said;
-    const bool done = ledger_.found(now, number, actions);
+    const bool done = raft_.found(now, number, actions);
     settle(now, actions, said, out);
     return done;
 }
 bool Core::changeVoters(Millis now, std::vector<std::string> voters, Step& out) {
     raft::Actions actions;
     std::vector<lease_sessions::Message> said;
-    const bool done = ledger_.changeVoters(now, std::move(voters), actions);
+    const bool done = raft_.changeVoters(now, std::move(voters), actions);
     settle(now, actions, said, out);
     return done;
 }
 void Core::leave(Millis now, Step& out, bool forGood) {
     raft::Actions actions;
     std::vector<lease_sessions::Message> said;
-    holder_.leave(now, said);
+    leaseClient_.leave(now, said);
     settle(now, actions, said, out);
     if (!forGood) return;
     std::vector<gossip::Message> words;
@@ -192,14 +192,14 @@
 }
 
 bool Core::away(Millis now, const std::string& host, Step& out) {
-    const lease_sessions::Duty* duty = table_.duty(options_.proberDuty);
+    const lease_sessions::SingletonRole* singletonRole = table_.singletonRole(options_.proberDuty);
     std::vector<health_check::Message> words;
-    const auto advice = prober_.wanted(now, host, duty != nullptr ? duty->holder : std::string(), words);
-    for (const health_check::Message& m : words) put(gossip::Room::hostProber, m.to, write(m.body), out);
+    const auto advice = prober_.wanted(now, host, singletonRole != nullptr ? singletonRole->holder : std::string(), words);
+    for (const health_check::Message& m : words) put(gossip::Channel::hostProber, m.to, write(m.body), out);
     return advice == health_check::Advice::away;
 }
 void Core::resume(Millis now, Step& out) {
-    holder_.resume();
+    leaseClient_.resume();
     advance(now, out);
 }
 
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -27,7 +27,7 @@
     std::vector<std::string> members;  // all, by name
     std::vector<std::string> voters;   // that a new group begins with
     bool willing = true;               // to hold duties
-    raft::Options ledger;
+    raft::Options raft;
     lease_sessions::Times times;
     gossip::MembershipOptions membership;
     std::string proberDuty;  // whose holder looks at dead hosts for all; empty: each looks itself
@@ -53,8 +53,8 @@
 class Core {
 public:
     // `life`: new with each start, never 0. Throws std::invalid_argument for names or sets it can't work with.
-    Core(Options options, raft::Life life, std::uint64_t seed, Millis now,
-         const std::optional<raft::Kept>& kept = std::nullopt);
+    Core(Options options, raft::ProcessIncarnation processIncarnation, std::uint64_t seed, Millis now,
+         const std::optional<raft::PersistentState>& kept = std::nullopt);
 
     void receive(Millis now, std::string_view bytes, Step& out);
     void advance(Millis now, Step& out);
@@ -72,26 +72,26 @@
     void saw(Millis now, const std::string& host, bool there) { prober_.saw(now, host, there); }
 
     const health_check::HostProber& prober() const { return prober_; }
-    lease_sessions::Holder& holder() { return holder_; }
-    const lease_sessions::Holder& holder() const { return holder_; }
-    const raft::Ledger& ledger() const { return ledger_; }
+    lease_sessions::LeaseClient& holder() { return leaseClient_; }
+    const lease_sessions::LeaseClient& holder() const { return leaseClient_; }
+    const raft::RaftConsensus& raft() const { return raft_; }
     const lease_sessions::Table& table() const { return table_; }
-    const lease_sessions::Keeper& keeper() const { return keeper_; }
+    const lease_sessions::LeaseManager& keeper() const { return leaseManager_; }
     const gossip::Membership& membership() const { return membership_; }
     const Traffic& traffic() const { return traffic_; }
-    raft::Kept kept() const { return ledger_.kept(); }
+    raft::PersistentState kept() const { return raft_.kept(); }
 
 private:
     void settle(Millis now, raft::Actions& actions, std::vector<lease_sessions::Message>& said, Step& out);
-    void put(gossip::Room room, const std::string& to, const std::string& body, Step& out);
+    void put(gossip::Channel room, const std::string& to, const std::string& body, Step& out);
     void put(const std::vector<gossip::Message>& said, Step& out);
 
     Options options_;
-    raft::Life life_;
+    raft::ProcessIncarnation processIncarnation_;
     lease_sessions::Table table_;
-    raft::Ledger ledger_;
-    lease_sessions::Keeper keeper_;
-    lease_sessions::Holder holder_;
+    raft::RaftConsensus raft_;
+    lease_sessions::LeaseManager leaseManager_;
+    lease_sessions::LeaseClient leaseClient_;
     gossip::Membership membership_;
     health_check::HostProber prober_;
     Traffic traffic_;
--- a/src/cluster/settings.hpp
+++ b/src/cluster/settings.hpp
@@ -15,7 +15,7 @@
         members;                      // all, this one too; where each is reached from here
     std::vector<std::string> voters;  // 1 to 7, that a new group begins with
     bool holds = true;                // this member holds duties
-    std::vector<std::string> duties;  // that there are to be
+    std::vector<std::string> singletonRoles;  // that there are to be
     std::string proberDuty;  // the duty of the zone's host prober; empty: each looks at dead hosts itself
     std::string folder;   // that lasts over a restart; empty: this member comes back with nothing
 };
--- a/src/cluster/wire.cpp
+++ b/src/cluster/wire.cpp
@@ -9,21 +9,21 @@
 static auto fields(Entry& x) { return std::tie(x.term, x.kind, x.data); }
 static auto fields(PreVote& x) { return std::tie(x.term, x.last, x.lastTerm); }
 static auto fields(PreVoteReply& x) { return std::tie(x.term, x.yes, x.known); }
-static auto fields(VoteAsk& x) { return std::tie(x.term, x.last, x.lastTerm); }
+static auto fields(VoteRequest& x) { return std::tie(x.term, x.last, x.lastTerm); }
 static auto fields(VoteReply& x) { return std::tie(x.term, x.yes); }
 static auto fields(Append& x) {
     return std::tie(x.term, x.prev, x.prevDigest, x.commit, x.round, x.holds, x.entry);
 }
 static auto fields(AppendReply& x) { return std::tie(x.term, x.ok, x.match, x.round, x.counts); }
-static auto fields(StateAsk& x) { return std::tie(x.nonce); }
+static auto fields(StateRequest& x) { return std::tie(x.nonce); }
 static auto fields(StateReply& x) {
     return std::tie(x.nonce, x.standing, x.term, x.promised, x.leads, x.last, x.number, x.voter);
 }
-static auto fields(Found& x) { return std::tie(x.number, x.life); }
-static auto fields(Piece& x) {
+static auto fields(Found& x) { return std::tie(x.number, x.processIncarnation); }
+static auto fields(SnapshotChunk& x) {
     return std::tie(x.term, x.index, x.indexTerm, x.digest, x.sum, x.offset, x.total, x.bytes);
 }
-static auto fields(PieceReply& x) { return std::tie(x.term, x.index, x.offset); }
+static auto fields(SnapshotChunkReply& x) { return std::tie(x.term, x.index, x.offset); }
 static auto fields(Pull& x) { return std::tie(x.last, x.digest); }
 static auto fields(Tail& x) { return std::tie(x.prev, x.prevDigest, x.commit, x.holds, x.entry); }
 
@@ -32,14 +32,14 @@
 namespace beechpoint::lease_sessions {
 
 static auto fields(Command& x) {
-    return std::tie(x.op, x.member, x.life, x.number, x.session, x.duty, x.fence, x.to);
+    return std::tie(x.op, x.member, x.processIncarnation, x.number, x.session, x.singletonRole, x.fencingToken, x.to);
 }
-static auto fields(Result& x) { return std::tie(x.verdict, x.fence, x.session); }
+static auto fields(Result& x) { return std::tie(x.verdict, x.fencingToken, x.session); }
 static auto fields(Ask& x) { return std::tie(x.command); }
 static auto fields(Answer& x) { return std::tie(x.to, x.number, x.result, x.leader); }
 static auto fields(Renew& x) { return std::tie(x.session, x.number); }
 static auto fields(Renewed& x) { return std::tie(x.to, x.number, x.verdict, x.session, x.leader, x.held); }
-static auto fields(Granted& x) { return std::tie(x.to, x.session, x.duty, x.fence); }
+static auto fields(Granted& x) { return std::tie(x.to, x.session, x.singletonRole, x.fencingToken); }
 
 }  // namespace beechpoint::lease_sessions
 
@@ -75,10 +75,10 @@
 std::string write(const lease_sessions::Body& body) { return gossip::writeVariant(body); }
 std::string write(const gossip::Body& body) { return gossip::writeVariant(body); }
 std::string write(const health_check::Body& body) { return gossip::writeVariant(body); }
-std::optional<raft::Body> readLedger(std::string_view bytes) {
+std::optional<raft::Body> readRaft(std::string_view bytes) {
     auto body = readAs(bytes, static_cast<const raft::Body*>(nullptr));
     const auto senseless = [](const raft::Entry& e) {
-        return e.data.size() > raft::kMostData || e.kind > raft::Kind::voters;
+        return e.data.size() > raft::kMaxEntryBytes || e.kind > raft::Kind::voters;
     };
     if (body) {
         if (const auto* a = std::get_if<raft::Append>(&*body); a && senseless(a->entry))
@@ -90,7 +90,7 @@
     }
     return body;
 }
-std::optional<lease_sessions::Body> readDuties(std::string_view bytes) {
+std::optional<lease_sessions::Body> readLeaseSessions(std::string_view bytes) {
     auto body = readAs(bytes, static_cast<const lease_sessions::Body*>(nullptr));
     if (!body) return body;
     if (const auto* a = std::get_if<lease_sessions::Ask>(&*body); a && a->command.op > lease_sessions::Op::hand)
--- a/src/cluster/wire.hpp
+++ b/src/cluster/wire.hpp
@@ -16,8 +16,8 @@
 std::string write(const lease_sessions::Body& body);
 std::string write(const gossip::Body& body);
 std::string write(const health_check::Body& body);
-std::optional<raft::Body> readLedger(std::string_view bytes);
-std::optional<lease_sessions::Body> readDuties(std::string_view bytes);
+std::optional<raft::Body> readRaft(std::string_view bytes);
+std::optional<lease_sessions::Body> readLeaseSessions(std::string_view bytes);
 std::optional<gossip::Body> readMembership(std::string_view bytes);
 std::optional<health_check::Body> readHostProber(std::string_view bytes);
 
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -72,14 +72,14 @@
         group.members.emplace(name, udp(address(members, name.c_str())));
     group.voters = need(section, "voters").get<std::vector<std::string>>();
     group.holds = section.value("holds", true);
-    group.duties = section.value("duties", std::vector<std::string>());
+    group.singletonRoles = section.value("duties", std::vector<std::string>());
     group.folder = section.value("folder", std::string());
     group.proberDuty = section.value("lookout", std::string());
-    if (!group.proberDuty.empty()) group.duties.push_back(group.proberDuty);
-    for (const std::string& duty : group.duties)
-        if (duty.empty() || duty.size() > lease_sessions::kMostDutyName)
+    if (!group.proberDuty.empty()) group.singletonRoles.push_back(group.proberDuty);
+    for (const std::string& singletonRole : group.singletonRoles)
+        if (singletonRole.empty() || singletonRole.size() > lease_sessions::kMaxRoleNameBytes)
             throw BadConfig(
-                fmt::format("group: duty '{}' must have 1 to {} bytes", duty, lease_sessions::kMostDutyName));
+                fmt::format("group: duty '{}' must have 1 to {} bytes", singletonRole, lease_sessions::kMaxRoleNameBytes));
     if (!group.members.contains(config.name))
         throw BadConfig(fmt::format("group: this gatherer, {}, is none of the members", config.name));
     return group;
--- a/src/configuration/applied_operations.cpp
+++ b/src/configuration/applied_operations.cpp
@@ -23,12 +23,12 @@
     return number;
 }
 
-std::string takenKey(std::uint64_t revision) {
-    return fmt::format("{}{:0{}}", kTakenPrefix, revision, kRevisionDigits);
+std::string appliedKey(std::uint64_t revision) {
+    return fmt::format("{}{:0{}}", kAppliedPrefix, revision, kRevisionDigits);
 }
 
 // As earlier releases wrote it.
-std::string unpaddedKey(std::uint64_t revision) { return fmt::format("{}{}", kTakenPrefix, revision); }
+std::string unpaddedKey(std::uint64_t revision) { return fmt::format("{}{}", kAppliedPrefix, revision); }
 
 bool holds(const Table& table, const std::string& key, std::string_view value) {
     const auto found = table.find(key);
@@ -36,7 +36,7 @@
 }
 
 std::optional<std::uint64_t> storedCount(const Table& table) {
-    const auto found = table.find(std::string{kTakenCountKey});
+    const auto found = table.find(std::string{kAppliedCountKey});
     return found == table.end() ? std::nullopt : numberOf(found->second);
 }
 
@@ -44,20 +44,20 @@
 // for one more.
 std::uint64_t rewriteKeys(const Table& table, std::vector<Change>& changes) {
     std::map<std::uint64_t, std::string> digests;
-    eachWithPrefix(table, kTakenPrefix, [&](std::string_view name, std::string_view digest) {
-        changes.push_back({joinedKey(kTakenPrefix, name), std::nullopt});
+    eachWithPrefix(table, kAppliedPrefix, [&](std::string_view name, std::string_view digest) {
+        changes.push_back({joinedKey(kAppliedPrefix, name), std::nullopt});
         if (const auto revision = numberOf(name)) digests.emplace(*revision, digest);
     });
-    while (digests.size() >= kTakenKept) digests.erase(digests.begin());
-    for (auto& [revision, digest] : digests) changes.push_back({takenKey(revision), std::move(digest)});
+    while (digests.size() >= kAppliedRetained) digests.erase(digests.begin());
+    for (auto& [revision, digest] : digests) changes.push_back({appliedKey(revision), std::move(digest)});
     return digests.size();
 }
 
 // The same for a table of this release: without its lowest revision where it is full.
 std::uint64_t makeRoom(const Table& table, std::uint64_t count, std::vector<Change>& changes) {
-    if (count < kTakenKept) return count;
-    const auto oldest = table.lower_bound(std::string{kTakenPrefix});
-    if (oldest == table.end() || !oldest->first.starts_with(kTakenPrefix)) return count;
+    if (count < kAppliedRetained) return count;
+    const auto oldest = table.lower_bound(std::string{kAppliedPrefix});
+    if (oldest == table.end() || !oldest->first.starts_with(kAppliedPrefix)) return count;
     changes.push_back({oldest->first, std::nullopt});
     return count - 1;
 }
@@ -73,16 +73,16 @@
     return fmt::format("{:016x}{:016x}", hash.high64, hash.low64);
 }
 
-bool isTaken(const Table& table, std::uint64_t revision, std::string_view digest) {
-    return holds(table, takenKey(revision), digest) || holds(table, unpaddedKey(revision), digest);
+bool isApplied(const Table& table, std::uint64_t revision, std::string_view digest) {
+    return holds(table, appliedKey(revision), digest) || holds(table, unpaddedKey(revision), digest);
 }
 
 void rememberCall(const Table& table, std::uint64_t revision, std::string digest,
                   std::vector<Change>& changes) {
     const auto count = storedCount(table);
     const std::uint64_t kept = count ? makeRoom(table, *count, changes) : rewriteKeys(table, changes);
-    changes.push_back({takenKey(revision), std::move(digest)});
-    changes.push_back({std::string{kTakenCountKey}, std::to_string(kept + 1)});
+    changes.push_back({appliedKey(revision), std::move(digest)});
+    changes.push_back({std::string{kAppliedCountKey}, std::to_string(kept + 1)});
 }
 
 }  // namespace beechpoint::configuration
--- a/src/configuration/applied_operations.hpp
+++ b/src/configuration/applied_operations.hpp
@@ -2,7 +2,7 @@
 // any number of later ones, is recognised by its digest under its own revision. A revision is given to one call only, so that
 // another call under it is never taken for it.
 //
-// Bounded in entries (kTakenKept) and so in bytes (kMaxTakenBytes). The lowest revisions give way; since revisions rise, they are
+// Bounded in entries (kAppliedRetained) and so in bytes (kMaxAppliedBytes). The lowest revisions give way; since revisions rise, they are
 // those acknowledged longest ago. Both the look-up and the eviction are by key: nothing is walked over.
 #pragma once
 
@@ -21,8 +21,8 @@
 inline constexpr std::size_t kRevisionDigits = 20;  // in keys, so that their order is that of the numbers
 inline constexpr std::size_t kDigestBytes = 32;
 // Of keys and values of all that is remembered.
-inline constexpr std::size_t kMaxTakenBytes =
-    kTakenKept * (kTakenPrefix.size() + kRevisionDigits + kDigestBytes);
+inline constexpr std::size_t kMaxAppliedBytes =
+    kAppliedRetained * (kAppliedPrefix.size() + kRevisionDigits + kDigestBytes);
 
 struct Call {
     std::string_view method;
@@ -34,9 +34,9 @@
 std::string callDigest(const Call& call);
 
 // Whether the call that was acknowledged under this revision has this digest.
-bool isTaken(const Table& table, std::uint64_t revision, std::string_view digest);
+bool isApplied(const Table& table, std::uint64_t revision, std::string_view digest);
 
-// Remembers the call and drops what is beyond kTakenKept.
+// Remembers the call and drops what is beyond kAppliedRetained.
 void rememberCall(const Table& table, std::uint64_t revision, std::string digest,
                   std::vector<Change>& changes);
 
--- a/src/configuration/configuration.hpp
+++ b/src/configuration/configuration.hpp
@@ -39,7 +39,7 @@
     bool operator==(const Route&) const = default;
 
     // A repeat does no harm: idempotent, or a stream that may be taken up elsewhere.
-    bool repeatable() const {
+    bool idempotent() const {
         return type == RouteType::idempotent || (type == RouteType::streaming && resumable);
     }
 };
--- a/src/configuration/document.cpp
+++ b/src/configuration/document.cpp
@@ -12,7 +12,7 @@
 namespace beechpoint::configuration {
 namespace {
 
-using settings::Place;
+using settings::FieldPath;
 
 constexpr std::string_view kRoutes = "routes";
 constexpr std::string_view kServices = "services";
@@ -38,44 +38,44 @@
     explicit DocumentReader(Document& document) : document_(document) {}
 
     void readWhole(const Json& body) {
-        const Place top;
+        const FieldPath top;
         for (const std::string_view name : {kRoutes, kServices})
             if (!memberOf(body, name))
-                fault(Place{&top, name, {}}, "is missing", "send the whole configuration");
+                fault(FieldPath{&top, name, {}}, "is missing", "send the whole configuration");
         readItems(body, top, true);
     }
 
     void readChanges(const Json& body) {
-        const Place top;
+        const FieldPath top;
         if (const Json* const upsert = objectMember(body, kUpsert, top))
-            readItems(*upsert, Place{&top, kUpsert, {}}, false);
+            readItems(*upsert, FieldPath{&top, kUpsert, {}}, false);
         if (const Json* const remove = objectMember(body, kRemove, top))
-            readRemovals(*remove, Place{&top, kRemove, {}});
+            readRemovals(*remove, FieldPath{&top, kRemove, {}});
         if (const Json* const limits = memberOf(body, kLimits))
-            readLimitsAt(*limits, Place{&top, kLimits, {}});
+            readLimitsAt(*limits, FieldPath{&top, kLimits, {}});
     }
 
 private:
     bool full() const { return document_.faults.size() >= kMaxFaults; }
 
-    void fault(const Place& place, std::string message, std::string remedy) {
+    void fault(const FieldPath& path, std::string message, std::string remedy) {
         document_.faults.push_back(
-            {ErrorKind::invalid, place.text<JsonSource>(), std::move(message), std::move(remedy)});
+            {ErrorKind::invalid, path.text<JsonSource>(), std::move(message), std::move(remedy)});
     }
 
     // nullptr when the member is missing or null, and after the fault when it is something else.
-    const Json* objectMember(const Json& body, std::string_view name, const Place& top) {
+    const Json* objectMember(const Json& body, std::string_view name, const FieldPath& top) {
         const Json* const member = memberOf(body, name);
         if (!member || member->IsNull()) return nullptr;
         if (member->IsObject()) return member;
-        fault(Place{&top, name, {}}, "is no object", "send lists by name");
+        fault(FieldPath{&top, name, {}}, "is no object", "send lists by name");
         return nullptr;
     }
 
-    void readItems(const Json& holder, const Place& place, bool whole) {
+    void readItems(const Json& holder, const FieldPath& path, bool whole) {
         for (const auto& member : holder.GetObject()) {
             const std::string_view name = textOf(member.name);
-            const Place here{&place, name, {}};
+            const FieldPath here{&path, name, {}};
             if (name == kRoutes)
                 readList(member.value, here, whole, readRoute, document_.items.routes);
             else if (name == kServices)
@@ -89,40 +89,40 @@
 
     // A list of the whole configuration has to be there; of changes it may be null.
     template <class Value, class Read>
-    void readList(const Json& list, const Place& place, bool needed, Read readItem,
+    void readList(const Json& list, const FieldPath& path, bool needed, Read readItem,
                   std::vector<Item<Value>>& items) {
         if (list.IsNull() && !needed) return;
         if (!list.IsArray())
-            return fault(place, "is not a list of objects", "send a list of objects with names");
+            return fault(path, "is not a list of objects", "send a list of objects with names");
         items.reserve(list.Size());
         for (std::size_t index = 0; index < list.Size() && !full(); ++index) {
             const Json& json = list[static_cast<rapidjson::SizeType>(index)];
-            const Place here{&place, {}, index};
+            const FieldPath here{&path, {}, index};
             Item<Value>& item = items.emplace_back();
             readItem(json, here, document_.faults, item.value);
             item.json = compactJson(json);
-            item.place = here.text<JsonSource>();
+            item.path = here.text<JsonSource>();
         }
     }
 
-    void readLimitsAt(const Json& limits, const Place& place) {
+    void readLimitsAt(const Json& limits, const FieldPath& path) {
         if (limits.IsNull()) return;
         Limits read;
-        readLimits(limits, place, document_.faults, read);
+        readLimits(limits, path, document_.faults, read);
         document_.items.limits = compactJson(limits);
     }
 
-    bool nameFits(std::string_view name, const Place& place) {
+    bool nameFits(std::string_view name, const FieldPath& path) {
         if (!name.empty() && name.size() <= kMaxNameBytes) return true;
-        fault(place, fmt::format("has a name of {} bytes", name.size()),
+        fault(path, fmt::format("has a name of {} bytes", name.size()),
               fmt::format("use 1 to {}", kMaxNameBytes));
         return false;
     }
 
-    void readRemovals(const Json& holder, const Place& place) {
+    void readRemovals(const Json& holder, const FieldPath& path) {
         for (const auto& member : holder.GetObject()) {
             const std::string_view name = textOf(member.name);
-            const Place here{&place, name, {}};
+            const FieldPath here{&path, name, {}};
             if (member.value.IsNull()) continue;
             std::vector<std::string> names = readNames(member.value, here);
             if (name == kRoutes)
@@ -134,9 +134,9 @@
         }
     }
 
-    std::vector<std::string> readNames(const Json& list, const Place& place) {
+    std::vector<std::string> readNames(const Json& list, const FieldPath& path) {
         std::vector<std::string> names;
-        settings::DescribedReader<JsonSource>{document_.faults}.read(JsonSource{list}, place,
+        settings::DescribedReader<JsonSource>{document_.faults}.read(JsonSource{list}, path,
                                                                      settings::kNoRule, names);
         return names;
     }
--- a/src/configuration/document.hpp
+++ b/src/configuration/document.hpp
@@ -18,7 +18,7 @@
 struct Item {
     Value value;
     std::string json;   // compact, members in the order sent
-    std::string place;  // JSON pointer into the body
+    std::string path;  // JSON pointer into the body
 };
 
 // A member that is not known here.
--- a/src/configuration/editing.cpp
+++ b/src/configuration/editing.cpp
@@ -57,7 +57,7 @@
     const std::string ifMatch = matched ? std::to_string(*matched) : std::string{call.ifMatch};
     std::string digest = callDigest({call.method, ifMatch, call.body});
     const std::optional<std::uint64_t> named = revisionOfBody(call.body);
-    if (named && isTaken(table, *named, digest)) return Decision{AlreadyTaken{*named}};
+    if (named && isApplied(table, *named, digest)) return Decision{AlreadyApplied{*named}};
     const std::uint64_t current = currentRevision(table);
     // Before the body is read: where it is invalid as well, either answer will do.
     if (matched != current) return versionConflict(current);
@@ -96,7 +96,7 @@
                      fmt::format("name a zone by 1 to {} bytes", kMaxZoneNameBytes)};
     const std::uint64_t current = currentRevision(table);
     std::string key = joinedKey(kEvacuatedPrefix, zone);
-    if (table.contains(key) == evacuated) return Decision{AlreadyTaken{current}};
+    if (table.contains(key) == evacuated) return Decision{AlreadyApplied{current}};
     if (!evacuated) return Decision{Accepted{current, {{std::move(key), std::nullopt}}}};
     if (evacuatedZones(table) >= kMaxEvacuatedZones)
         return Error{ErrorKind::invalid, "zone",
--- a/src/configuration/editing.hpp
+++ b/src/configuration/editing.hpp
@@ -2,9 +2,9 @@
 // chain runs them with no other batch in flight, so that of two calls on top of one version the second gets a
 // conflict. None of them changes the table; what they accept is a batch for the chain.
 //
-//   PUT, PATCH   unreadable -> invalid; acknowledged before, same call -> AlreadyTaken; If-Match is not the
+//   PUT, PATCH   unreadable -> invalid; acknowledged before, same call -> AlreadyApplied; If-Match is not the
 //                version in force -> conflict; revision not above it, or a rule broken -> invalid; else Accepted
-//   evacuation   as it is already -> AlreadyTaken; else Accepted
+//   evacuation   as it is already -> AlreadyApplied; else Accepted
 #pragma once
 
 #include <cstddef>
@@ -20,12 +20,12 @@
 namespace beechpoint::configuration {
 
 // So many acknowledged calls are remembered, those of the highest revisions.
-inline constexpr std::size_t kTakenKept = 2048;
+inline constexpr std::size_t kAppliedRetained = 2048;
 inline constexpr std::size_t kMaxZoneNameBytes = 256;
 inline constexpr std::size_t kMaxEvacuatedZones = 1024;
 
 // The call is in force, or was and has been followed by others: answer 200, nothing to replicate.
-struct AlreadyTaken {
+struct AlreadyApplied {
     std::uint64_t revision = 0;
 };
 
@@ -35,7 +35,7 @@
     std::vector<Change> changes;
 };
 
-using Decision = std::variant<AlreadyTaken, Accepted>;
+using Decision = std::variant<AlreadyApplied, Accepted>;
 
 // `ifMatch` is the value of the header, empty when there is none. Errors: ErrorKind::conflict (412) and
 // ErrorKind::invalid (400); the place is a JSON pointer into the body.
--- a/src/configuration/item_checks.cpp
+++ b/src/configuration/item_checks.cpp
@@ -14,7 +14,7 @@
 }
 
 void addSharedPlace(const Item<Route>& item, const std::string& otherName, std::vector<Error>& faults) {
-    faults.push_back({ErrorKind::invalid, item.place + "/path_prefix",
+    faults.push_back({ErrorKind::invalid, item.path + "/path_prefix",
                       fmt::format("\"{}\" and \"{}\" share host and prefix", otherName, item.value.name),
                       "give one of them another prefix or remove it"});
 }
--- a/src/configuration/item_checks.hpp
+++ b/src/configuration/item_checks.hpp
@@ -20,7 +20,7 @@
     NameSet names;
     for (const Item<Value>& item : items)
         if (!names.insert(item.value.name).second)
-            faults.push_back({ErrorKind::invalid, item.place + "/name",
+            faults.push_back({ErrorKind::invalid, item.path + "/name",
                               "\"" + item.value.name + "\" is in the list twice",
                               "give each item its own name"});
     return names;
@@ -41,9 +41,9 @@
 // `isService(name)` says whether the service is there.
 template <class IsService>
 void checkServices(const Item<Route>& item, const IsService& isService, std::vector<Error>& faults) {
-    const auto check = [&](const std::string& name, const std::string& place) {
+    const auto check = [&](const std::string& name, const std::string& path) {
         if (isService(name)) return;
-        faults.push_back({ErrorKind::invalid, item.place + place, "there is no service \"" + name + "\"",
+        faults.push_back({ErrorKind::invalid, item.path + path, "there is no service \"" + name + "\"",
                           "name a service of this configuration"});
     };
     const std::vector<WeightedBackend>& split = item.value.trafficSplit;
--- a/src/configuration/items.cpp
+++ b/src/configuration/items.cpp
@@ -8,21 +8,21 @@
 namespace {
 
 using settings::kNoRule;
-using settings::Place;
+using settings::FieldPath;
 using Reader = settings::DescribedReader<JsonSource>;
 
 // The weights must lead somewhere; a route without a split needs its one service.
-void checkBackends(const Route& route, const Place& place, Reader& reader) {
+void checkBackends(const Route& route, const FieldPath& path, Reader& reader) {
     if (route.trafficSplit.empty()) {
         if (route.backend.empty())
-            reader.fault(Place{&place, "backend", {}}, "is missing, and there is no traffic_split",
+            reader.fault(FieldPath{&path, "backend", {}}, "is missing, and there is no traffic_split",
                          "name a service");
         return;
     }
     double sum = 0;
     for (const WeightedBackend& part : route.trafficSplit) sum += part.weight;
     if (!(sum > 0))
-        reader.fault(Place{&place, "traffic_split", {}}, "has weights that add up to 0",
+        reader.fault(FieldPath{&path, "traffic_split", {}}, "has weights that add up to 0",
                      "give one service a weight above 0");
 }
 
@@ -40,7 +40,7 @@
                      "send one JSON object"};
     std::vector<Error> faults;
     Item item;
-    read(json, Place{}, faults, item);
+    read(json, FieldPath{}, faults, item);
     if (!faults.empty()) return faults.front();
     return item;
 }
@@ -56,19 +56,19 @@
         out = RouteType::nonIdempotent;
 }
 
-void readRoute(const Json& json, const Place& place, std::vector<Error>& faults, Route& out) {
+void readRoute(const Json& json, const FieldPath& path, std::vector<Error>& faults, Route& out) {
     Reader reader{faults};
     const std::size_t before = faults.size();
-    reader.read(JsonSource{json}, place, kNoRule, out);
-    if (faults.size() == before) checkBackends(out, place, reader);
+    reader.read(JsonSource{json}, path, kNoRule, out);
+    if (faults.size() == before) checkBackends(out, path, reader);
 }
 
-void readService(const Json& json, const Place& place, std::vector<Error>& faults, Service& out) {
-    Reader{faults}.read(JsonSource{json}, place, kNoRule, out);
+void readService(const Json& json, const FieldPath& path, std::vector<Error>& faults, Service& out) {
+    Reader{faults}.read(JsonSource{json}, path, kNoRule, out);
 }
 
-void readLimits(const Json& json, const Place& place, std::vector<Error>& faults, Limits& out) {
-    Reader{faults}.read(JsonSource{json}, place, kNoRule, out);
+void readLimits(const Json& json, const FieldPath& path, std::vector<Error>& faults, Limits& out) {
+    Reader{faults}.read(JsonSource{json}, path, kNoRule, out);
 }
 
 Result<Route> parseRoute(std::string_view json) { return parseItem<Route>(json, readRoute); }
--- a/src/configuration/items.hpp
+++ b/src/configuration/items.hpp
@@ -15,8 +15,8 @@
 void parseName(std::string_view name, RouteType& out);
 
 // Faults carry the place of the item as the beginning of theirs.
-void readRoute(const Json& json, const settings::Place& place, std::vector<Error>& faults, Route& out);
-void readService(const Json& json, const settings::Place& place, std::vector<Error>& faults, Service& out);
-void readLimits(const Json& json, const settings::Place& place, std::vector<Error>& faults, Limits& out);
+void readRoute(const Json& json, const settings::FieldPath& path, std::vector<Error>& faults, Route& out);
+void readService(const Json& json, const settings::FieldPath& path, std::vector<Error>& faults, Service& out);
+void readLimits(const Json& json, const settings::FieldPath& path, std::vector<Error>& faults, Limits& out);
 
 }  // namespace beechpoint::configuration
--- a/src/configuration/ordering.cpp
+++ b/src/configuration/ordering.cpp
@@ -14,14 +14,14 @@
     std::vector<std::size_t> previous(numbers.size(), kNone);
     for (std::size_t index = 0; index < numbers.size(); ++index) {
         if (!numbers[index]) continue;
-        const auto place =
+        const auto path =
             std::lower_bound(endOfLength.begin(), endOfLength.end(), *numbers[index],
                              [&](std::size_t end, std::uint64_t number) { return *numbers[end] < number; });
-        if (place != endOfLength.begin()) previous[index] = *(place - 1);
-        if (place == endOfLength.end())
+        if (path != endOfLength.begin()) previous[index] = *(path - 1);
+        if (path == endOfLength.end())
             endOfLength.push_back(index);
         else
-            *place = index;
+            *path = index;
     }
     std::vector<bool> marked(numbers.size(), false);
     for (std::size_t index = endOfLength.empty() ? kNone : endOfLength.back(); index != kNone;
--- a/src/configuration/rendering.cpp
+++ b/src/configuration/rendering.cpp
@@ -64,7 +64,7 @@
 std::string renderError(const Error& error) {
     std::string out = "{\"error\":{\"kind\":";
     out.append(quotedJson(kindName(error.kind)));
-    out.append(",\"place\":").append(quotedJson(error.place));
+    out.append(",\"place\":").append(quotedJson(error.location));
     out.append(",\"message\":").append(quotedJson(error.message));
     out.append(",\"remedy\":").append(quotedJson(error.remedy));
     return out + "}}";
--- a/src/configuration/stored_item.hpp
+++ b/src/configuration/stored_item.hpp
@@ -17,8 +17,8 @@
 inline constexpr std::string_view kServicePrefix = "service/";
 inline constexpr std::string_view kLimitsKey = "limits";
 inline constexpr std::string_view kEvacuatedPrefix = "evacuated/";
-inline constexpr std::string_view kTakenPrefix = "taken/";
-inline constexpr std::string_view kTakenCountKey = "meta/taken";
+inline constexpr std::string_view kAppliedPrefix = "taken/";
+inline constexpr std::string_view kAppliedCountKey = "meta/taken";
 inline constexpr std::string_view kMemberPrefix = "member/";
 
 struct StoredItem {
--- a/src/control/codec.cpp
+++ b/src/control/codec.cpp
@@ -20,7 +20,7 @@
     }
 };
 template <>
-struct Fields<leases::SharedLease> {
+struct Fields<leases::ReportedLease> {
     static auto of(auto& lease) { return std::tie(lease.gateway, lease.age); }
 };
 template <>
@@ -29,7 +29,7 @@
 };
 template <>
 struct Fields<host_discovery::HostListVersion> {
-    static auto of(auto& version) { return std::tie(version.fence, version.number, version.reader); }
+    static auto of(auto& version) { return std::tie(version.fencingToken, version.number, version.reader); }
 };
 template <>
 struct Fields<host_discovery::Model> {
@@ -76,15 +76,15 @@
     }
 };
 template <>
-struct Fields<Share> {
-    static auto of(auto& share) {
-        return std::tie(share.member, share.session, share.epoch, share.leases, share.hostListVersion,
-                        share.hostListAge, share.hostList, share.readsHosts, share.renewals,
-                        share.packedHostList, share.packedHostChanges, share.hostListReadAge);
+struct Fields<PeerUpdate> {
+    static auto of(auto& peerUpdate) {
+        return std::tie(peerUpdate.member, peerUpdate.session, peerUpdate.epoch, peerUpdate.leases, peerUpdate.hostListVersion,
+                        peerUpdate.hostListAge, peerUpdate.hostList, peerUpdate.readsHosts, peerUpdate.renewals,
+                        peerUpdate.packedHostList, peerUpdate.packedHostChanges, peerUpdate.hostListReadAge);
     }
 };
 template <>
-struct Fields<ShareReply> {
+struct Fields<PeerUpdateReply> {
     static auto of(auto& reply) {
         return std::tie(reply.hostListVersion, reply.takesIncrements, reply.unknownLeases);
     }
@@ -158,14 +158,14 @@
 }
 
 std::string encode(const PollRequest& request) { return enveloped(RequestKind::poll, request); }
-std::string encode(const Share& share) { return enveloped(RequestKind::share, share); }
+std::string encode(const PeerUpdate& peerUpdate) { return enveloped(RequestKind::peerUpdate, peerUpdate); }
 std::string encode(const PollReply& reply) {
     if (!reply.table || !reply.packedTable.empty()) return rpc::pack(reply);
     PollReply packed = reply;
     packed.packedTable = packTable(*reply.table);
     return rpc::pack(packed);
 }
-std::string encode(const ShareReply& reply) { return rpc::pack(reply); }
+std::string encode(const PeerUpdateReply& reply) { return rpc::pack(reply); }
 
 std::string packHostList(const host_discovery::HostList& list) {
     return packBytes(rpc::pack(SharedHostList{list.version, 0, list.hosts}));
@@ -179,7 +179,7 @@
 
 Result<Envelope> openEnvelope(std::string_view bytes) {
     const auto first = bytes.empty() ? std::uint8_t{0} : static_cast<std::uint8_t>(bytes.front());
-    const auto last = static_cast<std::uint8_t>(RequestKind::share);
+    const auto last = static_cast<std::uint8_t>(RequestKind::peerUpdate);
     if (first < static_cast<std::uint8_t>(RequestKind::poll) || first > last) {
         return Error{ErrorKind::invalid, "message", "the request is of no known kind",
                      "check that both processes are of one version"};
@@ -194,15 +194,15 @@
     if (auto error = unpackFields(reply.value())) return *error;
     return reply;
 }
-Result<Share> decodeShare(std::string_view body) {
-    auto share = rpc::unpack<Share>(body);
-    if (!share) return share;
+Result<PeerUpdate> decodePeerUpdate(std::string_view body) {
+    auto peerUpdate = rpc::unpack<PeerUpdate>(body);
+    if (!peerUpdate) return peerUpdate;
     const auto takeChanges = [&](host_discovery::HostListChanges changes) {
-        share.value().hostChanges = SharedHostChanges{std::move(changes), share.value().hostListReadAge};
+        peerUpdate.value().hostChanges = SharedHostChanges{std::move(changes), peerUpdate.value().hostListReadAge};
     };
-    if (auto error = unpackHosts(share.value(), takeChanges)) return *error;
-    return share;
+    if (auto error = unpackHosts(peerUpdate.value(), takeChanges)) return *error;
+    return peerUpdate;
 }
-Result<ShareReply> decodeShareReply(std::string_view bytes) { return rpc::unpack<ShareReply>(bytes); }
+Result<PeerUpdateReply> decodePeerUpdateReply(std::string_view bytes) { return rpc::unpack<PeerUpdateReply>(bytes); }
 
 }  // namespace beechpoint::control
--- a/src/control/codec.hpp
+++ b/src/control/codec.hpp
@@ -12,8 +12,8 @@
 // Requests begin with the envelope's kind, replies carry none.
 std::string encode(const PollRequest& request);
 std::string encode(const PollReply& reply);
-std::string encode(const Share& share);
-std::string encode(const ShareReply& reply);
+std::string encode(const PeerUpdate& peerUpdate);
+std::string encode(const PeerUpdateReply& reply);
 
 // The packed fields of PollReply and Share. The age of the list's reading travels beside them, so that they are packed once for all.
 std::string packHostList(const host_discovery::HostList& list);
@@ -30,7 +30,7 @@
 // Errors (invalid): bytes that are no such message.
 Result<PollRequest> decodePollRequest(std::string_view body);
 Result<PollReply> decodePollReply(std::string_view bytes);
-Result<Share> decodeShare(std::string_view body);
-Result<ShareReply> decodeShareReply(std::string_view bytes);
+Result<PeerUpdate> decodePeerUpdate(std::string_view body);
+Result<PeerUpdateReply> decodePeerUpdateReply(std::string_view bytes);
 
 }  // namespace beechpoint::control
--- a/src/control/committed_table_source.hpp
+++ b/src/control/committed_table_source.hpp
@@ -11,9 +11,9 @@
 
 namespace beechpoint::control {
 
-class VouchedTable {
+class CommittedTableSource {
 public:
-    virtual ~VouchedTable() = default;
+    virtual ~CommittedTableSource() = default;
     virtual bool fresh(Millis now) const = 0;  // may answer polls
     virtual Position committedPosition() const = 0;
     // From an older position to the committed one; nothing while this process may not vouch for its state.
@@ -23,9 +23,9 @@
     virtual bool inView() const = 0;
 };
 
-class ReplicaTable final : public VouchedTable {
+class ReplicaTableSource final : public CommittedTableSource {
 public:
-    explicit ReplicaTable(const replica::Replica& replica) : replica_(replica) {}
+    explicit ReplicaTableSource(const replica::Replica& replica) : replica_(replica) {}
     bool fresh(Millis now) const override { return replica_.fresh(now); }
     Position committedPosition() const override { return replica_.committedPosition(); }
     std::optional<TableUpdate> updateSince(Position held) const override {
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -146,7 +146,7 @@
 
     const replica::Replica* replica() const { return driver_.replica(); }
     bool readsHosts() const { return gateways_.readsHosts(); }
-    std::size_t waitingPolls() const { return gateways_.waitingPolls(); }
+    std::size_t pendingLongPolls() const { return gateways_.pendingLongPolls(); }
 
 private:
     struct Listener {
@@ -239,10 +239,10 @@
                 if (!request) return tellUnreadable(request.error(), reply);
                 return gateways_.onPoll(std::move(request.value()), std::move(reply));
             }
-            case RequestKind::share: {
-                const auto share = decodeShare(body);
-                if (!share) return tellUnreadable(share.error(), reply);
-                return gateways_.onShare(share.value(), std::move(reply));
+            case RequestKind::peerUpdate: {
+                const auto peerUpdate = decodePeerUpdate(body);
+                if (!peerUpdate) return tellUnreadable(peerUpdate.error(), reply);
+                return gateways_.onPeerUpdate(peerUpdate.value(), std::move(reply));
             }
         }
     }
@@ -345,6 +345,6 @@
 void Control::stop(std::function<void()> done) { impl_->stop(std::move(done)); }
 const replica::Replica* Control::replica() const { return impl_->replica(); }
 bool Control::readsHosts() const { return impl_->readsHosts(); }
-std::size_t Control::waitingPolls() const { return impl_->waitingPolls(); }
+std::size_t Control::pendingLongPolls() const { return impl_->pendingLongPolls(); }
 
 }  // namespace beechpoint::control
--- a/src/control/gateway_service.cpp
+++ b/src/control/gateway_service.cpp
@@ -20,9 +20,9 @@
                std::uint64_t seed, host_discovery::Poller::OnReading onReading)
         : poller_(io, clock, logger, std::move(settings), seed, seed, std::move(onReading)) {}
 
-    void start(std::uint64_t fence, std::uint64_t lastNumber,
+    void start(std::uint64_t fencingToken, std::uint64_t lastNumber,
                std::shared_ptr<const host_discovery::HostList> held) override {
-        poller_.start(fence, lastNumber, std::move(held));
+        poller_.start(fencingToken, lastNumber, std::move(held));
     }
     void stop() override { poller_.stop(); }
     bool running() const override { return poller_.running(); }
@@ -59,9 +59,9 @@
                            field("gateway", gateway));
     }
 
-    void onShare(const Share& share, rpc::Reply reply) {
-        ShareReply answer;
-        ServiceActions actions = state_.onShare(clock_.now(), table(), share, answer);
+    void onPeerUpdate(const PeerUpdate& peerUpdate, rpc::Reply reply) {
+        PeerUpdateReply answer;
+        ServiceActions actions = state_.onPeerUpdate(clock_.now(), table(), peerUpdate, answer);
         reply.send(encode(answer));
         perform(std::move(actions));
     }
@@ -73,7 +73,7 @@
 
     std::vector<leases::Gateway> liveGateways() const { return state_.leases().live(clock_.now()); }
     bool readsHosts() const { return state_.hosts().reads(); }
-    std::size_t waitingPolls() const { return state_.waitingPolls(); }
+    std::size_t pendingLongPolls() const { return state_.pendingLongPolls(); }
     bool waitsForFreshness() const { return state_.waitsForFreshness(); }
 
     void describe(MemberStatus& status) const {
@@ -83,12 +83,12 @@
         status.leaseLength = state_.leaseMs();
         if (hosts.list()) status.hostList = HostListStatus{hosts.list()->hosts.size(), *hosts.age(now)};
         status.readsHosts = readsHosts();
-        status.waitingPolls = waitingPolls();
+        status.pendingLongPolls = pendingLongPolls();
     }
 
 private:
     // Null until the replica is open.
-    const VouchedTable* table() {
+    const CommittedTableSource* table() {
         table_.reset();
         if (driver_.replica()) table_.emplace(*driver_.replica());
         return table_ ? &*table_ : nullptr;
@@ -102,24 +102,24 @@
             replies_.erase(reply);
             open.send(encode(answer.reply));
         }
-        for (const ShareCall& call : actions.shares) send(call);
+        for (const PeerUpdateCall& call : actions.peerUpdates) send(call);
         if (actions.gatewaysChanged) onGateways_();
     }
 
-    void send(const ShareCall& call) {
-        client_.call(call.address, encode(call.share), kShareTimeout,
+    void send(const PeerUpdateCall& call) {
+        client_.call(call.address, encode(call.peerUpdate), kPeerUpdateTimeout,
                      [weak = weak_from_this(), member = call.member](const Result<std::string>& bytes) {
-                         if (const auto self = weak.lock()) self->onShared(member, bytes);
+                         if (const auto self = weak.lock()) self->onPeerUpdateReply(member, bytes);
                      });
     }
 
-    void onShared(const std::string& member, const Result<std::string>& bytes) {
-        std::optional<ShareReply> answer;
+    void onPeerUpdateReply(const std::string& member, const Result<std::string>& bytes) {
+        std::optional<PeerUpdateReply> answer;
         if (bytes) {
-            const auto decoded = decodeShareReply(bytes.value());
+            const auto decoded = decodePeerUpdateReply(bytes.value());
             if (decoded) answer = decoded.value();
         }
-        perform(state_.onShared(clock_.now(), table(), member, answer));
+        perform(state_.onPeerUpdateReply(clock_.now(), table(), member, answer));
     }
 
     void onHosts(const std::shared_ptr<const host_discovery::HostList>& list, Millis confirmedAt) {
@@ -133,7 +133,7 @@
     PolledList list_;
     GatewayServiceState state_;
     std::function<void()> onGateways_;
-    std::optional<ReplicaTable> table_;
+    std::optional<ReplicaTableSource> table_;
     std::map<PollTicket, rpc::Reply> replies_;  // of waiting polls: at most kMaxWaitingPolls
     PollTicket lastTicket_ = 0;
 };
@@ -149,8 +149,8 @@
 void GatewayService::onPoll(PollRequest request, rpc::Reply reply) {
     impl_->onPoll(std::move(request), std::move(reply));
 }
-void GatewayService::onShare(const Share& share, rpc::Reply reply) {
-    impl_->onShare(share, std::move(reply));
+void GatewayService::onPeerUpdate(const PeerUpdate& peerUpdate, rpc::Reply reply) {
+    impl_->onPeerUpdate(peerUpdate, std::move(reply));
 }
 void GatewayService::onTableMoved() { impl_->onTableMoved(); }
 void GatewayService::onView() { impl_->onView(); }
@@ -159,7 +159,7 @@
 std::vector<leases::Gateway> GatewayService::liveGateways() const { return impl_->liveGateways(); }
 bool GatewayService::waitsForFreshness() const { return impl_->waitsForFreshness(); }
 bool GatewayService::readsHosts() const { return impl_->readsHosts(); }
-std::size_t GatewayService::waitingPolls() const { return impl_->waitingPolls(); }
+std::size_t GatewayService::pendingLongPolls() const { return impl_->pendingLongPolls(); }
 void GatewayService::describe(MemberStatus& status) const { impl_->describe(status); }
 
 }  // namespace beechpoint::control
--- a/src/control/gateway_service.hpp
+++ b/src/control/gateway_service.hpp
@@ -43,7 +43,7 @@
     GatewayService& operator=(const GatewayService&) = delete;
 
     void onPoll(PollRequest request, rpc::Reply reply);
-    void onShare(const Share& share, rpc::Reply reply);
+    void onPeerUpdate(const PeerUpdate& peerUpdate, rpc::Reply reply);
     void onTableMoved();
     void onView();
     void tick();
@@ -54,7 +54,7 @@
     // A poll waits until this member can vouch for its table: tick() is wanted often.
     bool waitsForFreshness() const;
     bool readsHosts() const;  // holds the duty
-    std::size_t waitingPolls() const;
+    std::size_t pendingLongPolls() const;
     // Its part of what the member says of itself: leases, list of hosts, polls.
     void describe(MemberStatus& status) const;
 
--- a/src/control/gateway_service_state.cpp
+++ b/src/control/gateway_service_state.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kMaxZones = 256;
 constexpr std::size_t kPackedUpdates =
     16;  // kept for the present position, by the position that they start from
-constexpr std::uint32_t kCountShare = 8;  // a count that rises by less than one in so many wakes nobody
+constexpr std::uint32_t kCountPeerUpdate = 8;  // a count that rises by less than one in so many wakes nobody
 
 bool differsForClients(const leases::Gateway& one, const leases::Gateway& other) {
     return one.session != other.session || one.ready != other.ready || one.draining != other.draining ||
@@ -31,7 +31,7 @@
 
 // --- events
 
-ServiceActions GatewayServiceState::onPoll(Millis now, const VouchedTable* table, PollRequest request,
+ServiceActions GatewayServiceState::onPoll(Millis now, const CommittedTableSource* table, PollRequest request,
                                            PollTicket ticket) {
     ServiceActions actions;
     endEarlierPoll(now, table, request.gateway.name, actions);
@@ -44,7 +44,7 @@
         refuse(ticket, PollStatus::full, actions);
         return actions;
     }
-    if (actions.gatewaysChanged) shareSoon(now, table, actions);
+    if (actions.gatewaysChanged) updatePeersSoon(now, table, actions);
     const bool may = mayAnswer(now, table);
     const Millis wait = std::clamp(request.waitMs, 0.0, kMaxPollWait);
     const bool hold = !may || (wait > 0 && !hasNews(*table, request));
@@ -55,23 +55,23 @@
     return actions;
 }
 
-ServiceActions GatewayServiceState::onShare(Millis now, const VouchedTable* table, const Share& share,
-                                            ShareReply& reply) {
+ServiceActions GatewayServiceState::onPeerUpdate(Millis now, const CommittedTableSource* table, const PeerUpdate& peerUpdate,
+                                            PeerUpdateReply& reply) {
     ServiceActions actions;
-    leases_.merge(now, share.leases);
-    reply.unknownLeases = leases_.mergeRenewals(now, share.renewals);
+    leases_.merge(now, peerUpdate.leases);
+    reply.unknownLeases = leases_.mergeRenewals(now, peerUpdate.renewals);
     reply.takesIncrements = true;
-    const bool isNewList = hosts_.take(now, share);
+    const bool isNewList = hosts_.take(now, peerUpdate);
     reply.hostListVersion = hosts_.version();
-    if (Peer* peer = peerOf(table, share.member)) peer->hostList = share.hostListVersion;
+    if (Peer* peer = peerOf(table, peerUpdate.member)) peer->hostList = peerUpdate.hostListVersion;
     lookAtCount(now);
     actions.gatewaysChanged = true;
     if (isNewList) answerDue(now, table, 0, actions);
     return actions;
 }
 
-ServiceActions GatewayServiceState::onShared(Millis, const VouchedTable*, const std::string& member,
-                                             const std::optional<ShareReply>& reply) {
+ServiceActions GatewayServiceState::onPeerUpdateReply(Millis, const CommittedTableSource*, const std::string& member,
+                                             const std::optional<PeerUpdateReply>& reply) {
     const auto found = peers_.find(member);
     if (found == peers_.end()) return {};
     Peer& peer = found->second;
@@ -85,37 +85,37 @@
     return {};
 }
 
-ServiceActions GatewayServiceState::onTableMoved(Millis now, const VouchedTable* table) {
+ServiceActions GatewayServiceState::onTableMoved(Millis now, const CommittedTableSource* table) {
     ServiceActions actions;
     answerDue(now, table, 0, actions);
     return actions;
 }
 
-ServiceActions GatewayServiceState::onView(Millis now, const VouchedTable* table) {
+ServiceActions GatewayServiceState::onView(Millis now, const CommittedTableSource* table) {
     forgetPeers(table);
     lookAtHosts(now, table);
-    shareSoon_ = true;
+    updatePeersSoon_ = true;
     return {};
 }
 
-ServiceActions GatewayServiceState::onHosts(Millis now, const VouchedTable* table,
+ServiceActions GatewayServiceState::onHosts(Millis now, const CommittedTableSource* table,
                                             std::shared_ptr<const host_discovery::HostList> list,
                                             Millis confirmedAt) {
     ServiceActions actions;
     if (!hosts_.offer(now, std::move(list), confirmedAt)) return actions;
-    if (hosts_.reads()) shareWithAll(now, table, actions);
+    if (hosts_.reads()) updateAllPeers(now, table, actions);
     answerDue(now, table, 0, actions);
     return actions;
 }
 
-ServiceActions GatewayServiceState::tick(Millis now, const VouchedTable* table) {
+ServiceActions GatewayServiceState::tick(Millis now, const CommittedTableSource* table) {
     ServiceActions actions;
     leases_.look(now);
     lookAtCount(now);
     lookAtHosts(now, table);
     wakeForCount(now, table, actions);
     answerDue(now, table, kServiceTick, actions);
-    if (shareSoon_ || now - sharedAt_ >= kShareEvery - kServiceTick / 2) shareWithAll(now, table, actions);
+    if (updatePeersSoon_ || now - sharedAt_ >= kPeerUpdateInterval - kServiceTick / 2) updateAllPeers(now, table, actions);
     return actions;
 }
 
@@ -123,13 +123,13 @@
     ServiceActions actions;
     leaving_ = true;
     hosts_.stop();
-    for (const WaitingPoll& poll : polls_.takeAll()) refuse(poll.ticket, PollStatus::notFresh, actions);
+    for (const LongPoll& poll : polls_.takeAll()) refuse(poll.ticket, PollStatus::notFresh, actions);
     return actions;
 }
 
 // --- polls
 
-bool GatewayServiceState::mayAnswer(Millis now, const VouchedTable* table) const {
+bool GatewayServiceState::mayAnswer(Millis now, const CommittedTableSource* table) const {
     return !leaving_ && table && table->fresh(now);
 }
 
@@ -141,9 +141,9 @@
 
 // A gateway that asks again has no use for the wait of its earlier poll; it is answered, since a call that times out costs
 // the gateway its connection, but without state that the poll that has come now is answered with.
-void GatewayServiceState::endEarlierPoll(Millis now, const VouchedTable* table, const std::string& gateway,
+void GatewayServiceState::endEarlierPoll(Millis now, const CommittedTableSource* table, const std::string& gateway,
                                          ServiceActions& actions) {
-    for (const WaitingPoll& poll : polls_.take(gateway)) {
+    for (const LongPoll& poll : polls_.take(gateway)) {
         if (!mayAnswer(now, table)) {
             refuse(poll.ticket, PollStatus::notFresh, actions);
             continue;
@@ -168,11 +168,11 @@
     return true;
 }
 
-bool GatewayServiceState::hasNews(const VouchedTable& table, const PollRequest& request) const {
+bool GatewayServiceState::hasNews(const CommittedTableSource& table, const PollRequest& request) const {
     return table.committedPosition() > request.position || hosts_.hasNewsFor(request);
 }
 
-void GatewayServiceState::answer(Millis now, const VouchedTable* table, const PollRequest& request,
+void GatewayServiceState::answer(Millis now, const CommittedTableSource* table, const PollRequest& request,
                                  PollTicket ticket, ServiceActions& actions) {
     if (!mayAnswer(now, table)) return refuse(ticket, PollStatus::notFresh, actions);
     PollReply reply;
@@ -186,7 +186,7 @@
     actions.answers.push_back({ticket, std::move(reply)});
 }
 
-void GatewayServiceState::addSmallState(Millis now, const VouchedTable& table, const PollRequest& request,
+void GatewayServiceState::addSmallState(Millis now, const CommittedTableSource& table, const PollRequest& request,
                                         PollReply& reply) {
     if (!directoryAt_ || now - *directoryAt_ >= kDirectoryRefresh) {
         directoryAt_ = now;
@@ -207,7 +207,7 @@
     reply.leaseMs = leaseMs_;
 }
 
-void GatewayServiceState::addMembers(const VouchedTable& table, PollReply& reply) const {
+void GatewayServiceState::addMembers(const CommittedTableSource& table, PollReply& reply) const {
     const auto add = [&](const replica::Member& member) {
         const auto region = regions_.find(member.zone);
         reply.members.push_back(member.internalAddress);
@@ -236,7 +236,7 @@
 }
 
 // Many gateways ask from the same position: the update is packed once.
-std::string GatewayServiceState::packedSince(const VouchedTable& table, Position held) {
+std::string GatewayServiceState::packedSince(const CommittedTableSource& table, Position held) {
     if (packedAt_ != table.committedPosition() || packed_.size() >= kPackedUpdates) packed_.clear();
     packedAt_ = table.committedPosition();
     const auto known = packed_.find(held);
@@ -246,13 +246,13 @@
     return packed_[held] = packTable(*update);
 }
 
-void GatewayServiceState::answerAll(Millis now, const VouchedTable* table, std::vector<WaitingPoll> polls,
+void GatewayServiceState::answerAll(Millis now, const CommittedTableSource* table, std::vector<LongPoll> polls,
                                     ServiceActions& actions) {
-    for (const WaitingPoll& poll : polls) answer(now, table, poll.request, poll.ticket, actions);
+    for (const LongPoll& poll : polls) answer(now, table, poll.request, poll.ticket, actions);
 }
 
 // Polls whose wait ends within `ahead` are answered now.
-void GatewayServiceState::answerDue(Millis now, const VouchedTable* table, Millis ahead,
+void GatewayServiceState::answerDue(Millis now, const CommittedTableSource* table, Millis ahead,
                                     ServiceActions& actions) {
     const auto news = [&](const PollRequest& request) { return table && hasNews(*table, request); };
     answerAll(now, table, polls_.takeDue(now, mayAnswer(now, table), ahead, news), actions);
@@ -261,7 +261,7 @@
 // --- the count of gateways, by which budgets are divided
 
 bool GatewayServiceState::countMatters(std::uint32_t largest) const {
-    return !toldCount_ || largest > *toldCount_ + *toldCount_ / kCountShare;
+    return !toldCount_ || largest > *toldCount_ + *toldCount_ / kCountPeerUpdate;
 }
 
 void GatewayServiceState::lookAtCount(Millis now) {
@@ -272,7 +272,7 @@
 }
 
 // More gateways share the budgets from now on: all must know soon.
-void GatewayServiceState::wakeForCount(Millis now, const VouchedTable* table, ServiceActions& actions) {
+void GatewayServiceState::wakeForCount(Millis now, const CommittedTableSource* table, ServiceActions& actions) {
     if (!wakeForCountAt_ || now < *wakeForCountAt_) return;
     wakeForCountAt_.reset();
     const auto largest = leases_.largestLive(now);
@@ -283,68 +283,68 @@
 
 // --- what members tell each other
 
-GatewayServiceState::Peer* GatewayServiceState::peerOf(const VouchedTable* table, const std::string& member) {
+GatewayServiceState::Peer* GatewayServiceState::peerOf(const CommittedTableSource* table, const std::string& member) {
     if (!table || !table->view().find(member)) return nullptr;
     return &peers_[member];
 }
 
-void GatewayServiceState::forgetPeers(const VouchedTable* table) {
+void GatewayServiceState::forgetPeers(const CommittedTableSource* table) {
     const auto isMember = [&](const std::string& name) { return table && table->view().find(name); };
     std::erase_if(peers_, [&](const auto& entry) { return !isMember(entry.first); });
     hosts_.forget(isMember);
 }
 
-void GatewayServiceState::shareSoon(Millis now, const VouchedTable* table, ServiceActions& actions) {
-    shareSoon_ = true;
-    if (now - sharedAt_ >= kShareGather) shareWithAll(now, table, actions);
+void GatewayServiceState::updatePeersSoon(Millis now, const CommittedTableSource* table, ServiceActions& actions) {
+    updatePeersSoon_ = true;
+    if (now - sharedAt_ >= kPeerUpdateGatherWindow) updateAllPeers(now, table, actions);
 }
 
-void GatewayServiceState::shareWithAll(Millis now, const VouchedTable* table, ServiceActions& actions) {
+void GatewayServiceState::updateAllPeers(Millis now, const CommittedTableSource* table, ServiceActions& actions) {
     if (!table || !table->inView()) return;
     sharedAt_ = now;
-    shareSoon_ = false;
-    Share share;
-    share.member = table->self().name;
-    share.session = table->self().session;
-    share.epoch = table->view().epoch;
-    hosts_.describe(now, share);
+    updatePeersSoon_ = false;
+    PeerUpdate peerUpdate;
+    peerUpdate.member = table->self().name;
+    peerUpdate.session = table->self().session;
+    peerUpdate.epoch = table->view().epoch;
+    hosts_.describe(now, peerUpdate);
     for (const replica::Member& member : table->view().members)
-        if (member.name != share.member) shareWith(now, member, share, actions);
+        if (member.name != peerUpdate.member) updatePeer(now, member, peerUpdate, actions);
 }
 
-void GatewayServiceState::shareWith(Millis now, const replica::Member& member, Share share,
+void GatewayServiceState::updatePeer(Millis now, const replica::Member& member, PeerUpdate peerUpdate,
                                     ServiceActions& actions) {
     if (peers_.size() >= kMaxPeers && !peers_.contains(member.name)) return;
     Peer& peer = peers_[member.name];
     if (peer.asked) {
-        shareSoon_ = true;
+        updatePeersSoon_ = true;
         return;
     }
     peer.asked = true;
     peer.askedAt = now;
-    addLeases(now, peer, share);
-    if (hosts_.isToTell(now, peer.hostList)) hosts_.tell(now, peer.hostList, peer.takesIncrements, share);
-    actions.shares.push_back({member.name, member.internalAddress, std::move(share)});
+    addLeases(now, peer, peerUpdate);
+    if (hosts_.isToTell(now, peer.hostList)) hosts_.tell(now, peer.hostList, peer.takesIncrements, peerUpdate);
+    actions.peerUpdates.push_back({member.name, member.internalAddress, std::move(peerUpdate)});
 }
 
-void GatewayServiceState::addLeases(Millis now, Peer& peer, Share& share) {
+void GatewayServiceState::addLeases(Millis now, Peer& peer, PeerUpdate& peerUpdate) {
     if (!peer.takesIncrements) {
-        share.leases = leases_.granted(now);
+        peerUpdate.leases = leases_.granted(now);
         return;
     }
     if (peer.told.size() > 2 * maxGateways_) peer.told.clear();
     for (const auto& granted : leases_.grantedSince(peer.toldUntil, now)) {
         const bool isKnown = !peer.told.insert(granted.id).second;
         if (isKnown)
-            share.renewals.push_back({granted.id, static_cast<std::uint32_t>(std::floor(granted.age))});
+            peerUpdate.renewals.push_back({granted.id, static_cast<std::uint32_t>(std::floor(granted.age))});
         else
-            share.leases.push_back({*granted.gateway, granted.age});
+            peerUpdate.leases.push_back({*granted.gateway, granted.age});
     }
 }
 
 // --- the host list
 
-void GatewayServiceState::lookAtHosts(Millis now, const VouchedTable* table) {
+void GatewayServiceState::lookAtHosts(Millis now, const CommittedTableSource* table) {
     hosts_.look(now, leaving_ ? nullptr : table);
 }
 
--- a/src/control/gateway_service_state.hpp
+++ b/src/control/gateway_service_state.hpp
@@ -8,7 +8,7 @@
 //                where that holds more than one part, the gateway's next poll says what it lacks still
 //   news         a table that moved and another host list are answered at once; a risen count of gateways is gathered over kCountWindow,
 //                and wakes the waiting polls only where the budgets move by it (countMatters)
-//   shares       each kShareEvery, and at once or within kShareGather where something changed that can't wait
+//   shares       each kPeerUpdateInterval, and at once or within kPeerUpdateGatherWindow where something changed that can't wait
 #pragma once
 
 #include <cstdint>
@@ -31,9 +31,9 @@
 namespace beechpoint::control {
 
 inline constexpr Millis kServiceTick = 100;  // tick() is to be called so often
-inline constexpr Millis kShareEvery = 500;   // to each other member of the view
-inline constexpr Millis kShareGather = 100;  // changes that come together travel together
-inline constexpr Millis kShareTimeout = 1000;
+inline constexpr Millis kPeerUpdateInterval = 500;   // to each other member of the view
+inline constexpr Millis kPeerUpdateGatherWindow = 100;  // changes that come together travel together
+inline constexpr Millis kPeerUpdateTimeout = 1000;
 inline constexpr Millis kCountWindow =
     300;  // rises of the count of gateways that come together wake polls once
 inline constexpr Millis kDirectoryRefresh = 100;   // what gateways are told of each other is at most so old
@@ -45,15 +45,15 @@
     PollTicket ticket = 0;
     PollReply reply;
 };
-// A share to be sent; its end is to be told by onShared().
-struct ShareCall {
+// A share to be sent; its end is to be told by onPeerUpdateReply().
+struct PeerUpdateCall {
     std::string member;
     std::string address;
-    Share share;
+    PeerUpdate peerUpdate;
 };
 struct ServiceActions {
     std::vector<PollAnswer> answers;
-    std::vector<ShareCall> shares;
+    std::vector<PeerUpdateCall> peerUpdates;
     bool gatewaysChanged = false;  // a lease was granted or heard of
 };
 
@@ -61,23 +61,23 @@
 public:
     GatewayServiceState(leases::LeaseTable::Settings settings, Millis now, HostListSource& source);
 
-    ServiceActions onPoll(Millis now, const VouchedTable* table, PollRequest request, PollTicket ticket);
-    ServiceActions onShare(Millis now, const VouchedTable* table, const Share& share, ShareReply& reply);
-    // The end of a ShareCall; nothing: no answer.
-    ServiceActions onShared(Millis now, const VouchedTable* table, const std::string& member,
-                            const std::optional<ShareReply>& reply);
-    ServiceActions onTableMoved(Millis now, const VouchedTable* table);
-    ServiceActions onView(Millis now, const VouchedTable* table);
+    ServiceActions onPoll(Millis now, const CommittedTableSource* table, PollRequest request, PollTicket ticket);
+    ServiceActions onPeerUpdate(Millis now, const CommittedTableSource* table, const PeerUpdate& peerUpdate, PeerUpdateReply& reply);
+    // The end of a PeerUpdateCall; nothing: no answer.
+    ServiceActions onPeerUpdateReply(Millis now, const CommittedTableSource* table, const std::string& member,
+                            const std::optional<PeerUpdateReply>& reply);
+    ServiceActions onTableMoved(Millis now, const CommittedTableSource* table);
+    ServiceActions onView(Millis now, const CommittedTableSource* table);
     // What the source has read.
-    ServiceActions onHosts(Millis now, const VouchedTable* table,
+    ServiceActions onHosts(Millis now, const CommittedTableSource* table,
                            std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt);
-    ServiceActions tick(Millis now, const VouchedTable* table);
+    ServiceActions tick(Millis now, const CommittedTableSource* table);
     // Every waiting poll is answered, and later ones at once, with notFresh: gateways go elsewhere.
     ServiceActions leave();
 
     const leases::LeaseTable& leases() const { return leases_; }
     const SharedHosts& hosts() const { return hosts_; }
-    std::size_t waitingPolls() const { return polls_.size(); }
+    std::size_t pendingLongPolls() const { return polls_.size(); }
     bool waitsForFreshness() const { return polls_.waitsForFreshness(); }
     Millis leaseMs() const { return leaseMs_; }
 
@@ -91,40 +91,40 @@
         std::set<std::uint64_t> told;  // ids of leases told whole
     };
 
-    bool mayAnswer(Millis now, const VouchedTable* table) const;
+    bool mayAnswer(Millis now, const CommittedTableSource* table) const;
     bool renewLease(Millis now, const leases::Gateway& gateway, ServiceActions& actions);
     void refuse(PollTicket ticket, PollStatus status, ServiceActions& actions) const;
-    void endEarlierPoll(Millis now, const VouchedTable* table, const std::string& gateway,
+    void endEarlierPoll(Millis now, const CommittedTableSource* table, const std::string& gateway,
                         ServiceActions& actions);
 
-    bool hasNews(const VouchedTable& table, const PollRequest& request) const;
-    void answer(Millis now, const VouchedTable* table, const PollRequest& request, PollTicket ticket,
+    bool hasNews(const CommittedTableSource& table, const PollRequest& request) const;
+    void answer(Millis now, const CommittedTableSource* table, const PollRequest& request, PollTicket ticket,
                 ServiceActions& actions);
-    void addSmallState(Millis now, const VouchedTable& table, const PollRequest& request, PollReply& reply);
-    void addMembers(const VouchedTable& table, PollReply& reply) const;
+    void addSmallState(Millis now, const CommittedTableSource& table, const PollRequest& request, PollReply& reply);
+    void addMembers(const CommittedTableSource& table, PollReply& reply) const;
     void limitLargeState(Millis now, const PollRequest& request, PollReply& reply);
-    void answerAll(Millis now, const VouchedTable* table, std::vector<WaitingPoll> polls,
+    void answerAll(Millis now, const CommittedTableSource* table, std::vector<LongPoll> polls,
                    ServiceActions& actions);
-    void answerDue(Millis now, const VouchedTable* table, Millis ahead, ServiceActions& actions);
-    std::string packedSince(const VouchedTable& table, Position held);
+    void answerDue(Millis now, const CommittedTableSource* table, Millis ahead, ServiceActions& actions);
+    std::string packedSince(const CommittedTableSource& table, Position held);
 
     bool countMatters(std::uint32_t largest) const;
     void lookAtCount(Millis now);
-    void wakeForCount(Millis now, const VouchedTable* table, ServiceActions& actions);
+    void wakeForCount(Millis now, const CommittedTableSource* table, ServiceActions& actions);
 
-    Peer* peerOf(const VouchedTable* table, const std::string& member);
-    void forgetPeers(const VouchedTable* table);
-    void shareSoon(Millis now, const VouchedTable* table, ServiceActions& actions);
-    void shareWithAll(Millis now, const VouchedTable* table, ServiceActions& actions);
-    void shareWith(Millis now, const replica::Member& member, Share share, ServiceActions& actions);
-    void addLeases(Millis now, Peer& peer, Share& share);
-    void lookAtHosts(Millis now, const VouchedTable* table);
+    Peer* peerOf(const CommittedTableSource* table, const std::string& member);
+    void forgetPeers(const CommittedTableSource* table);
+    void updatePeersSoon(Millis now, const CommittedTableSource* table, ServiceActions& actions);
+    void updateAllPeers(Millis now, const CommittedTableSource* table, ServiceActions& actions);
+    void updatePeer(Millis now, const replica::Member& member, PeerUpdate peerUpdate, ServiceActions& actions);
+    void addLeases(Millis now, Peer& peer, PeerUpdate& peerUpdate);
+    void lookAtHosts(Millis now, const CommittedTableSource* table);
 
     Millis leaseMs_;
     std::size_t maxGateways_;
     leases::LeaseTable leases_;
     SharedHosts hosts_;
-    WaitingPolls polls_;
+    LongPolls polls_;
     TransferSlots slots_;
     std::map<std::string, Peer> peers_;           // by member's name
     std::map<std::string, std::string> regions_;  // of zones, as gateways say
@@ -135,7 +135,7 @@
     DirectorySamples directory_;
     std::optional<Millis> directoryAt_;
     Millis sharedAt_ = 0;
-    bool shareSoon_ = false, leaving_ = false;
+    bool updatePeersSoon_ = false, leaving_ = false;
 };
 
 }  // namespace beechpoint::control
--- a/src/control/host_list_source.hpp
+++ b/src/control/host_list_source.hpp
@@ -12,7 +12,7 @@
 public:
     virtual ~HostListSource() = default;
     // Starting anew while it runs under the same fence changes nothing.
-    virtual void start(std::uint64_t fence, std::uint64_t lastNumber,
+    virtual void start(std::uint64_t fencingToken, std::uint64_t lastNumber,
                        std::shared_ptr<const host_discovery::HostList> held) = 0;
     virtual void stop() = 0;
     virtual bool running() const = 0;
--- a/src/control/long_polls.hpp
+++ b/src/control/long_polls.hpp
@@ -21,7 +21,7 @@
 inline constexpr std::size_t kMaxWaitingPolls = 512;
 inline constexpr Millis kNotFreshWait = 300;
 
-struct WaitingPoll {
+struct LongPoll {
     PollRequest request;
     PollTicket ticket = 0;
     Millis deadline = 0;
@@ -30,24 +30,24 @@
     Millis refuseAt = 0;  // 0: this member can vouch for its table
 };
 
-class WaitingPolls {
+class LongPolls {
 public:
     using HasNews = std::function<bool(const PollRequest&)>;
 
     // Takes the place of an earlier poll of the same gateway, which must have been taken out.
     void hold(Millis now, PollRequest request, PollTicket ticket, Millis wait, bool fresh);
     // The poll of that gateway, taken out, if there is one.
-    std::vector<WaitingPoll> take(const std::string& gateway);
+    std::vector<LongPoll> take(const std::string& gateway);
     // Those that are due, taken out; the ends of waits within `ahead` count as come.
-    std::vector<WaitingPoll> takeDue(Millis now, bool fresh, Millis ahead, const HasNews& hasNews);
-    std::vector<WaitingPoll> takeAll();
+    std::vector<LongPoll> takeDue(Millis now, bool fresh, Millis ahead, const HasNews& hasNews);
+    std::vector<LongPoll> takeAll();
 
     std::size_t size() const { return polls_.size(); }
     bool full() const { return polls_.size() >= kMaxWaitingPolls; }
     bool waitsForFreshness() const;
 
 private:
-    std::map<std::string, WaitingPoll> polls_;  // by gateway
+    std::map<std::string, LongPoll> polls_;  // by gateway
 };
 
 }  // namespace beechpoint::control
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -19,7 +19,7 @@
 enum class RequestKind : std::uint8_t {
     poll = 1,     // PollRequest -> PollReply
     replica = 2,  // replica messages (replica_codec.hpp) -> those that answer them at once, if any
-    share = 3,    // Share -> ShareReply
+    peerUpdate = 3,    // Share -> PeerUpdateReply
 };
 
 // A gateway asks what is new and thereby renews its lease. It is answered at once where something is, or after `waitMs`.
@@ -84,11 +84,11 @@
 };
 
 // What one control member tells each other member of the view every half second, and at once where something changed that can't wait.
-struct Share {
+struct PeerUpdate {
     std::string member;
     std::uint64_t session = 0;
     std::uint64_t epoch = 0;
-    std::vector<leases::SharedLease> leases;  // granted by the sender since its last share
+    std::vector<leases::ReportedLease> leases;  // granted by the sender since its last share
     host_discovery::HostListVersion hostListVersion;
     std::optional<Millis> hostListAge;              // since it was last read or confirmed
     std::optional<SharedHostList> hostList;         // where the receiver is not known to have it
@@ -99,7 +99,7 @@
     std::optional<SharedHostChanges> hostChanges;   // not on the wire: packedHostChanges as received
 };
 
-struct ShareReply {
+struct PeerUpdateReply {
     host_discovery::HostListVersion hostListVersion;  // that the receiver has now
     bool takesIncrements = false;                // understands Share::renewals and the packed fields
     std::vector<std::uint64_t> unknownLeases;    // renewed, and not known here: to be told whole
--- a/src/control/operator_call.cpp
+++ b/src/control/operator_call.cpp
@@ -54,7 +54,7 @@
 }
 
 int statusOfCallError(const Error& error) {
-    return error.place == kMethodPlace ? kMethodNotAllowed : configuration::httpStatus(error.kind);
+    return error.location == kMethodPlace ? kMethodNotAllowed : configuration::httpStatus(error.kind);
 }
 
 Result<configuration::Decision> decide(const OperatorCall& call, const Table& table) {
--- a/src/control/replica_codec.cpp
+++ b/src/control/replica_codec.cpp
@@ -21,8 +21,8 @@
     static auto of(auto& view) { return std::tie(view.epoch, view.members, view.start, view.voters); }
 };
 template <>
-struct Fields<replica::Ballot> {
-    static auto of(auto& ballot) { return std::tie(ballot.round, ballot.member, ballot.session); }
+struct Fields<replica::ProposalNumber> {
+    static auto of(auto& proposal) { return std::tie(proposal.round, proposal.member, proposal.session); }
 };
 template <>
 struct Fields<replica::Vote> {
@@ -35,7 +35,7 @@
 template <>
 struct Fields<replica::Status> {
     static auto of(auto& status) {
-        return std::tie(status.sealed, status.settled, status.diskFailing, status.syncedEpoch, status.chained,
+        return std::tie(status.sealed, status.installed, status.diskFailing, status.syncedEpoch, status.chained,
                         status.committed, status.reached, status.unheard, status.stalledAt, status.leaving,
                         status.stored);
     }
@@ -53,29 +53,29 @@
 template <>
 struct Fields<replica::Prepare> {
     static auto of(auto& message) {
-        return std::tie(message.ballot, message.base, message.founders, message.observed);
+        return std::tie(message.proposal, message.base, message.founders, message.observed);
     }
 };
 template <>
 struct Fields<replica::Promise> {
     static auto of(auto& message) {
-        return std::tie(message.ballot, message.target, message.accepted, message.value, message.syncedEpoch,
+        return std::tie(message.proposal, message.target, message.accepted, message.value, message.syncedEpoch,
                         message.position, message.diskFailing, message.folded);
     }
 };
 template <>
 struct Fields<replica::Refuse> {
-    static auto of(auto& message) { return std::tie(message.ballot, message.target, message.promised); }
+    static auto of(auto& message) { return std::tie(message.proposal, message.target, message.promised); }
 };
 template <>
 struct Fields<replica::Accept> {
     static auto of(auto& message) {
-        return std::tie(message.ballot, message.base, message.founders, message.value);
+        return std::tie(message.proposal, message.base, message.founders, message.value);
     }
 };
 template <>
 struct Fields<replica::Accepted> {
-    static auto of(auto& message) { return std::tie(message.ballot, message.target); }
+    static auto of(auto& message) { return std::tie(message.proposal, message.target); }
 };
 template <>
 struct Fields<replica::Decided> {
--- a/src/control/shared_hosts.cpp
+++ b/src/control/shared_hosts.cpp
@@ -17,22 +17,22 @@
 
 }  // namespace
 
-bool SharedHosts::take(Millis now, const Share& share) {
-    const bool isChanged = takeList(now, share);
-    if (share.hostListAge) holder_.confirm(share.hostListVersion, now - *share.hostListAge);
-    if (share.readsHosts) readElsewhere_[share.member] = now;
-    if (share.hostListVersion.fence == fence_) source_.raiseNumber(share.hostListVersion.number);
+bool SharedHosts::take(Millis now, const PeerUpdate& peerUpdate) {
+    const bool isChanged = takeList(now, peerUpdate);
+    if (peerUpdate.hostListAge) holder_.confirm(peerUpdate.hostListVersion, now - *peerUpdate.hostListAge);
+    if (peerUpdate.readsHosts) readElsewhere_[peerUpdate.member] = now;
+    if (peerUpdate.hostListVersion.fencingToken == fencingToken_) source_.raiseNumber(peerUpdate.hostListVersion.number);
     return isChanged;
 }
 
-bool SharedHosts::takeList(Millis now, const Share& share) {
-    if (share.hostList)
-        return offer(now, receivedList(*share.hostList, now),
-                     now - share.hostListAge.value_or(share.hostList->readAge));
-    if (!share.hostChanges || !list()) return false;
-    const Millis readAge = share.hostChanges->readAge;
-    auto changed = host_discovery::applyChanges(*list(), share.hostChanges->changes, now - readAge);
-    return changed && offer(now, std::move(changed), now - share.hostListAge.value_or(readAge));
+bool SharedHosts::takeList(Millis now, const PeerUpdate& peerUpdate) {
+    if (peerUpdate.hostList)
+        return offer(now, receivedList(*peerUpdate.hostList, now),
+                     now - peerUpdate.hostListAge.value_or(peerUpdate.hostList->readAge));
+    if (!peerUpdate.hostChanges || !list()) return false;
+    const Millis readAge = peerUpdate.hostChanges->readAge;
+    auto changed = host_discovery::applyChanges(*list(), peerUpdate.hostChanges->changes, now - readAge);
+    return changed && offer(now, std::move(changed), now - peerUpdate.hostListAge.value_or(readAge));
 }
 
 void SharedHosts::forget(const std::function<bool(const std::string& member)>& isMember) {
@@ -48,7 +48,7 @@
     return true;
 }
 
-void SharedHosts::look(Millis now, const VouchedTable* replica) {
+void SharedHosts::look(Millis now, const CommittedTableSource* replica) {
     if (!replica || !replica->inView() || !replica->fresh(now)) return source_.stop();
     std::vector<std::string> names;
     for (const replica::Member& member : replica->view().members) names.push_back(member.name);
@@ -71,8 +71,8 @@
 }
 
 void SharedHosts::read(std::uint64_t epoch) {
-    fence_ = epoch;
-    const bool sameFence = version().fence == epoch;
+    fencingToken_ = epoch;
+    const bool sameFence = version().fencingToken == epoch;
     source_.start(epoch, sameFence ? version().number : 0, list());
 }
 
@@ -102,14 +102,14 @@
     return reads() || now - takenAt_ >= kRelayAfter;
 }
 
-void SharedHosts::tell(Millis now, const host_discovery::HostListVersion& held, bool packed, Share& share) {
+void SharedHosts::tell(Millis now, const host_discovery::HostListVersion& held, bool packed, PeerUpdate& peerUpdate) {
     if (!packed) {
-        share.hostList = whole(now);
+        peerUpdate.hostList = whole(now);
         return;
     }
-    share.hostListReadAge = readAge(now);
-    share.packedHostChanges = packedChanges(held);
-    if (share.packedHostChanges.empty()) share.packedHostList = packedList();
+    peerUpdate.hostListReadAge = readAge(now);
+    peerUpdate.packedHostChanges = packedChanges(held);
+    if (peerUpdate.packedHostChanges.empty()) peerUpdate.packedHostList = packedList();
 }
 
 void SharedHosts::answer(Millis now, const PollRequest& request, PollReply& reply) {
@@ -131,11 +131,11 @@
         reply.hostList = whole(now);
 }
 
-void SharedHosts::describe(Millis now, Share& share) const {
-    share.hostListVersion = version();
-    share.hostListAge = age(now);
-    const bool lately = share.hostListAge && *share.hostListAge < kReaderHeard;
-    share.readsHosts = source_.running() && source_.failures() == 0 && lately;
+void SharedHosts::describe(Millis now, PeerUpdate& peerUpdate) const {
+    peerUpdate.hostListVersion = version();
+    peerUpdate.hostListAge = age(now);
+    const bool lately = peerUpdate.hostListAge && *peerUpdate.hostListAge < kReaderHeard;
+    peerUpdate.readsHosts = source_.running() && source_.failures() == 0 && lately;
 }
 
 }  // namespace beechpoint::control
--- a/src/control/shared_hosts.hpp
+++ b/src/control/shared_hosts.hpp
@@ -28,12 +28,12 @@
     SharedHosts(Millis now, HostListSource& source) : startedAt_(now), source_(source) {}
 
     // Reads or leaves it to another, by the view. Null: this process may not read.
-    void look(Millis now, const VouchedTable* replica);
+    void look(Millis now, const CommittedTableSource* replica);
     void stop() { source_.stop(); }
     // A list, read here or told. Whether it is the newest now.
     bool offer(Millis now, std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt);
     // What another member told. Whether there is another list now.
-    bool take(Millis now, const Share& share);
+    bool take(Millis now, const PeerUpdate& peerUpdate);
     // A member that is no longer in the view can't hold the duty.
     void forget(const std::function<bool(const std::string& member)>& isMember);
 
@@ -41,12 +41,12 @@
     void answer(Millis now, const PollRequest& request, PollReply& reply);
     bool hasNewsFor(const PollRequest& request) const { return list() && version() > request.hostList; }
     // Fills in the version, the age and whether this member reads.
-    void describe(Millis now, Share& share) const;
+    void describe(Millis now, PeerUpdate& peerUpdate) const;
     // Whether another member, which said that it has `held`, is to be sent the list by this one: by the reader at once, by others where the
     // reader did not within kRelayAfter.
     bool isToTell(Millis now, const host_discovery::HostListVersion& held) const;
     // Fills in what it lacks; packed only where it takes that.
-    void tell(Millis now, const host_discovery::HostListVersion& held, bool packed, Share& share);
+    void tell(Millis now, const host_discovery::HostListVersion& held, bool packed, PeerUpdate& peerUpdate);
 
     const std::shared_ptr<const host_discovery::HostList>& list() const { return holder_.list(); }
     host_discovery::HostListVersion version() const { return holder_.version(); }
@@ -54,7 +54,7 @@
     bool reads() const { return source_.running(); }
 
 private:
-    bool takeList(Millis now, const Share& share);
+    bool takeList(Millis now, const PeerUpdate& peerUpdate);
     const std::string& packedList();
     const std::string& packedChanges(const host_discovery::HostListVersion& held);  // empty: none, or not worth it
     std::optional<SharedHostList> whole(Millis now) const;                     // nothing: none known
@@ -64,13 +64,13 @@
 
     Millis startedAt_;
     HostListSource& source_;
-    host_discovery::HostListHolder holder_;
+    host_discovery::HostListConsumer holder_;
     host_discovery::HostListHistory history_;                               // of holder_
     Millis takenAt_ = 0;                                               // when holder_ took its list
     std::string packedList_;                                           // of holder_; empty: not packed yet
     std::map<host_discovery::HostListVersion, std::string> packedChanges_;  // to holder_'s list, by the base
     std::map<std::string, Millis> readElsewhere_;  // when each other member last said that it reads
-    std::uint64_t fence_ = 0;
+    std::uint64_t fencingToken_ = 0;
 };
 
 }  // namespace beechpoint::control
--- a/src/control/status.cpp
+++ b/src/control/status.cpp
@@ -34,7 +34,7 @@
 
 Json gatewaysJson(const MemberStatus& status) {
     Json gateways = Json::array();
-    for (const leases::SharedLease& lease : status.leases)
+    for (const leases::ReportedLease& lease : status.leases)
         gateways.push_back(Json{{"name", lease.gateway.name},
                                 {"zone", lease.gateway.zone},
                                 {"region", lease.gateway.region},
@@ -74,7 +74,7 @@
                     {"gateways", gatewaysJson(status)},
                     {"host_list", hostListJson(status.hostList)},
                     {"reads_hosts", status.readsHosts},
-                    {"waiting_polls", status.waitingPolls},
+                    {"waiting_polls", status.pendingLongPolls},
                     {"writes_taken", status.writesTaken}};
     return body.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
@@ -107,7 +107,7 @@
     text.gauge("beechpoint_control_reads_hosts", "1 while this member reads the platform's list.",
                figure(status.readsHosts));
     text.gauge("beechpoint_control_waiting_polls", "Polls of gateways that wait for news.",
-               figure(status.waitingPolls));
+               figure(status.pendingLongPolls));
     text.counter("beechpoint_control_writes_taken_total", "Operators' writes that this process committed.",
                  figure(status.writesTaken));
     return text.text();
--- a/src/control/status.hpp
+++ b/src/control/status.hpp
@@ -34,11 +34,11 @@
     Position position;
     std::uint64_t revision = 0;  // of the configuration
     std::vector<std::string> evacuatedZones;
-    std::vector<leases::SharedLease> leases;  // those that run
+    std::vector<leases::ReportedLease> leases;  // those that run
     Millis leaseLength = 0;
     std::optional<HostListStatus> hostList;  // nothing: none is known
     bool readsHosts = false;
-    std::size_t waitingPolls = 0;
+    std::size_t pendingLongPolls = 0;
     std::uint64_t writesTaken = 0;  // operators' writes that this process committed
 };
 
--- a/src/core/result.hpp
+++ b/src/core/result.hpp
@@ -21,12 +21,12 @@
 
 struct Error {
     ErrorKind kind = ErrorKind::invalid;
-    std::string place;    // JSON pointer, setting or peer that the error is about; may be empty
+    std::string location;    // JSON pointer, setting or peer that the error is about; may be empty
     std::string message;  // what is wrong
     std::string remedy;   // what to do about it
 
     std::string text() const {
-        return fmt::format("{}{}{}{}{}", place, place.empty() ? "" : ": ", message, remedy.empty() ? "" : "; ",
+        return fmt::format("{}{}{}{}{}", location, location.empty() ? "" : ": ", message, remedy.empty() ? "" : "; ",
                            remedy);
     }
 };
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -106,7 +106,7 @@
         if (!on(Mechanism::sharedLoad)) return;
         shared_.expire(now_);
         services_.loadIsShared(shared_.heard());
-        ShareLoad changed;
+        ReportLoad changed;
         for (int i = 0; i < static_cast<int>(hosts_.size()); ++i) {
             HostSlot& slot = hosts_.at(i);
             if (!std::exchange(slot.loadChanged, false)) continue;
@@ -124,7 +124,7 @@
         Request request = newRequest(arrived, random_(), now_);
         if (request.service.empty() || arrived.deadline <= 0) return act(Refuse{arrived.id, 503, 0});
         serviceOf(request).budget.requested(now_);
-        if (request.repeatable()) copies_.repeatableArrived(now_);
+        if (request.idempotent()) copies_.repeatableArrived(now_);
         if (requests_.size() >= settings_.mostRequests) {
             say("refused full", fmt::format("{} requests are held", requests_.size()));
             return act(Refuse{arrived.id, 503, retryAfter(0, arrived.deadline)});
@@ -180,7 +180,7 @@
         };
         return std::min(policy::width(choice, record.gainTargetS(), recentOf), request.asked.maxAttempts);
     }
-    bool copiesAllowed(const Request& request) const { return request.repeatable() && !request.open; }
+    bool copiesAllowed(const Request& request) const { return request.idempotent() && !request.open; }
     // All slow alike is no reason for copies: they would feed the overload.
     bool calm(const Request& request) {
         return routeOf(request).timeS(now_) * 1000 <= kCalmShare * request.asked.aim;
@@ -190,7 +190,7 @@
         if (now_ >= request.deadlineAt) return false;
         if (request.hostsUsed() >= request.asked.maxAttempts) return false;
         if (static_cast<int>(request.attempts.size()) >= request.asked.maxAttempts + kDialsMore) return false;
-        return request.repeatable() || !request.mayHaveRun();
+        return request.idempotent() || !request.mayHaveRun();
     }
     bool send(Request& request, int host, const std::vector<policy::Scored>& scores, bool copy) {
         if (!mayTryAgain(request)) return false;
@@ -317,11 +317,11 @@
         if (!attempt.out || attempt.cancelled || head.notExecuted) return;
         attempt.status = head.status;
         const bool success = head.status >= 200 && head.status < 300;
-        const bool failure = head.status >= 500 && request->repeatable();
+        const bool failure = head.status >= 500 && request->idempotent();
         attempt.unusable =
             (success && !head.sealed) || promises(head.status) || failure || (request->open && !success);
         if (attempt.unusable || request->open) return;  // a resumed one goes on with its first event
-        const bool held = request->repeatable() && head.bodyBytes && *head.bodyBytes <= kHeldBytes;
+        const bool held = request->idempotent() && head.bodyBytes && *head.bodyBytes <= kHeldBytes;
         if ((request->streaming() && success) || held) return;
         relay(*request, head.attempt);
         reschedule(head.id);
@@ -371,7 +371,7 @@
 
     // ---- the rest of what is told
 
-    void on(const ClientGone& gone) {
+    void on(const ClientDisconnected& gone) {
         const auto found = requests_.find(gone.id);
         if (found != requests_.end()) end(found->second);
     }
--- a/src/dispatch/messages.hpp
+++ b/src/dispatch/messages.hpp
@@ -89,7 +89,7 @@
     Millis warmupLeft = 0;    // X-Warmup-Remaining, where the answer carried one
 };
 
-struct ClientGone {
+struct ClientDisconnected {
     RequestId id = 0;
 };
 
@@ -185,7 +185,7 @@
 
 struct Tick {};
 
-using Event = std::variant<RequestArrived, AttemptHead, AttemptFirstByte, AttemptEnded, ClientGone, Hosts,
+using Event = std::variant<RequestArrived, AttemptHead, AttemptFirstByte, AttemptEnded, ClientDisconnected, Hosts,
                            Services, Evacuated, Fleet, WarmupSeen, ProbeEnded, PeerLoad, Closing, Tick>;
 
 // ---- actions
@@ -251,7 +251,7 @@
 };
 
 // What this gateway has waiting at hosts where that has changed; for the other gateways.
-struct ShareLoad {
+struct ReportLoad {
     std::vector<HostLoad> hosts;
     std::vector<HostSpeed> speeds;  // measured since the last time
 };
@@ -261,7 +261,7 @@
     std::string text;
 };
 
-using Action = std::variant<Send, Cancel, Relay, Refuse, Fail, BreakOff, Probe, SetTimer, ShareLoad, Log>;
+using Action = std::variant<Send, Cancel, Relay, Refuse, Fail, BreakOff, Probe, SetTimer, ReportLoad, Log>;
 
 // An answer of a repeatable request that is no stream is relayed once it is whole, if its length is at most this.
 inline constexpr std::uint64_t kHeldBytes = 65536;
--- a/src/dispatch/request.hpp
+++ b/src/dispatch/request.hpp
@@ -46,7 +46,7 @@
     const Attempt& attempt(int number) const { return attempts[static_cast<std::size_t>(number)]; }
     bool streaming() const { return asked.type == RequestType::streaming; }
     bool resumable() const { return streaming() && asked.resumable; }
-    bool repeatable() const { return asked.type == RequestType::idempotent || resumable(); }
+    bool idempotent() const { return asked.type == RequestType::idempotent || resumable(); }
     int outCount() const {
         return static_cast<int>(
             std::count_if(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; }));
--- a/src/dispatch/selection.cpp
+++ b/src/dispatch/selection.cpp
@@ -103,7 +103,7 @@
     const bool full = now < slot.fullUntil && settings_.mechanisms.on(Mechanism::fullPause);
     if (full || request.outAt(slot.host.instanceId)) return false;
     if (!service.coldBounded() || !slot.cold(now, service.warmup())) return true;
-    return slot.sends.allows(now, service.coldShare);
+    return slot.sends.allows(now, service.slowStartShare);
 }
 
 std::vector<policy::Scored> Selection::ranked(const Request& request, const RouteRecord& route,
--- a/src/dispatch/service_state.hpp
+++ b/src/dispatch/service_state.hpp
@@ -14,10 +14,10 @@
 
     Service service;
     RetryBudget budget;
-    ColdShare coldShare;
+    SlowStartShare slowStartShare;
     ServiceLoad load;
     bool configured = false;      // in the configuration in force
-    bool coldShareBlind = false;  // made while an earlier process may still count
+    bool slowStartShareBlind = false;  // made while an earlier process may still count
     Millis usedAt = 0;
 
     bool coldBounded() const { return service.warmupPerS > 0; }
--- a/src/dispatch/service_table.cpp
+++ b/src/dispatch/service_table.cpp
@@ -27,7 +27,7 @@
 
 ServiceState& ServiceTable::use(const std::string& name, Millis now) {
     ServiceState& state = at(name, now);
-    if (state.coldShareBlind && !blind(now)) applyFleet(state, now);
+    if (state.slowStartShareBlind && !blind(now)) applyFleet(state, now);
     state.usedAt = now;
     return state;
 }
@@ -35,9 +35,9 @@
 // While blind, an earlier process of this gateway may have sent as well.
 void ServiceTable::applyFleet(ServiceState& state, Millis now) {
     const double bound = state.service.warmupPerS * settings_.warmupOvershoot + settings_.warmupSlack;
-    state.coldShareBlind = blind(now);
-    state.coldShare =
-        ColdShare(bound, fleet_.liveGateways, fleet_.known && !state.coldShareBlind, fleet_.rank);
+    state.slowStartShareBlind = blind(now);
+    state.slowStartShare =
+        SlowStartShare(bound, fleet_.liveGateways, fleet_.known && !state.slowStartShareBlind, fleet_.rank);
     state.budget.fleet(fleet_.liveGateways, fleet_.known);
     state.load.gateways = std::max(1, fleet_.liveGateways);
 }
--- a/src/dispatch/service_table.hpp
+++ b/src/dispatch/service_table.hpp
@@ -32,7 +32,7 @@
     void prune(Millis oldest);
 
 private:
-    bool blind(Millis now) const { return now < startedAt_ + ColdShare::kSpan; }
+    bool blind(Millis now) const { return now < startedAt_ + SlowStartShare::kSpan; }
     void applyFleet(ServiceState& state, Millis now);
 
     const Settings& settings_;
--- a/src/dispatch/slow_start_budget.cpp
+++ b/src/dispatch/slow_start_budget.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-ColdShare::ColdShare(double bound, int gateways, bool known, int rank) {
+SlowStartShare::SlowStartShare(double bound, int gateways, bool known, int rank) {
     if (!known || bound < 1) return;
     const double all = std::ceil(kUnknownPart * std::max(1, gateways));
     perSpan_ = static_cast<int>(std::min<double>(std::floor(bound / all), kMostPerSpan));
@@ -21,7 +21,7 @@
 }
 
 void ColdLog::drop(Millis now) {
-    while (!sends_.empty() && sends_.front() <= now - ColdShare::kSpan) sends_.pop_front();
+    while (!sends_.empty() && sends_.front() <= now - SlowStartShare::kSpan) sends_.pop_front();
 }
 
 void ColdLog::sent(Millis now) {
@@ -30,16 +30,16 @@
     sends_.push_back(now);
 }
 
-bool ColdLog::allows(Millis now, const ColdShare& share) {
+bool ColdLog::allows(Millis now, const SlowStartShare& share) {
     drop(now);
     return sends_.size() < static_cast<std::size_t>(share.perSpan());
 }
 
-Millis ColdLog::freeAt(Millis now, const ColdShare& share) {
+Millis ColdLog::freeAt(Millis now, const SlowStartShare& share) {
     if (allows(now, share)) return now;
     const auto limit = static_cast<std::size_t>(share.perSpan());
-    if (limit == 0) return now + ColdShare::kSpan;
-    return sends_[sends_.size() - limit] + ColdShare::kSpan;
+    if (limit == 0) return now + SlowStartShare::kSpan;
+    return sends_[sends_.size() - limit] + SlowStartShare::kSpan;
 }
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/slow_start_budget.hpp
+++ b/src/dispatch/slow_start_budget.hpp
@@ -16,12 +16,12 @@
 namespace beechpoint::dispatch {
 
 // What all cold hosts of a service may get from this gateway.
-class ColdShare {
+class SlowStartShare {
 public:
     static constexpr Millis kSpan = 1300;
 
-    ColdShare() = default;
-    ColdShare(double bound, int gateways, bool known, int rank);
+    SlowStartShare() = default;
+    SlowStartShare(double bound, int gateways, bool known, int rank);
     int perSpan() const { return perSpan_; }
 
 private:
@@ -32,9 +32,9 @@
 class ColdLog {
 public:
     void sent(Millis now);
-    bool allows(Millis now, const ColdShare& share);
+    bool allows(Millis now, const SlowStartShare& share);
     // When the next send may go, if none goes before; `now` if at once.
-    Millis freeAt(Millis now, const ColdShare& share);
+    Millis freeAt(Millis now, const SlowStartShare& share);
 
 private:
     void drop(Millis now);
--- a/src/emulator/group_director.cpp
+++ b/src/emulator/group_director.cpp
@@ -29,7 +29,7 @@
         call(now);
     }
     std::erase_if(watched_, [&](const Watch& w) {
-        const int by = stage_.holds(w.duty);
+        const int by = stage_.holds(w.singletonRole);
         if (now > w.since + kForgotten) return true;
         if (by < 0 || by == w.old) return false;
         (times_.*w.kind).push_back(now - w.since);
@@ -41,12 +41,12 @@
 // Where nobody leads or holds anything at that moment, it is whoever is drawn.
 int GroupDirector::pick(const std::string& whom) {
     const int any = static_cast<int>(unit() * scenario_.members),
-              duty = static_cast<int>(unit() * scenario_.duties);
+              singletonRole = static_cast<int>(unit() * scenario_.singletonRoles);
     if (whom[0] == 'g') return std::stoi(whom.substr(1));
     int found = -1;
     if (whom == "leader") found = stage_.leads();
-    for (int d = 0; whom == "holder" && found < 0 && d < scenario_.duties; ++d)
-        found = stage_.holds((duty + d) % scenario_.duties);
+    for (int d = 0; whom == "holder" && found < 0 && d < scenario_.singletonRoles; ++d)
+        found = stage_.holds((singletonRole + d) % scenario_.singletonRoles);
     return found >= 0 ? found : any;
 }
 bool GroupDirector::mayForget(int member) const {
@@ -61,14 +61,14 @@
     if (trace) trace(now, fmt::format("{}: g{}", what, member));
     if (member < 0) return;
     if (const std::string role = stage_.roleOf(member); !role.empty()) ++times_.met[what + " at a " + role];
-    for (int d = 0; d < scenario_.duties; ++d)
+    for (int d = 0; d < scenario_.singletonRoles; ++d)
         if (stage_.holds(d) == member) {
             ++times_.met[what + " at a holder"];
             break;
         }
 }
 void GroupDirector::watch(Millis now, int member, std::vector<Millis> GroupTimes::*kind) {
-    for (int d = 0; d < scenario_.duties; ++d)
+    for (int d = 0; d < scenario_.singletonRoles; ++d)
         if (stage_.holds(d) == member) watched_.push_back({d, member, now, kind});
 }
 void GroupDirector::cutOff(int member, bool hears, bool heard, bool on) {
@@ -165,12 +165,12 @@
 }
 void GroupDirector::operate(Millis now) {
     if (healed_) return;
-    const int duty = static_cast<int>(unit() * scenario_.duties), by = stage_.holds(duty);
+    const int singletonRole = static_cast<int>(unit() * scenario_.singletonRoles), by = stage_.holds(singletonRole);
     const int other = static_cast<int>(unit() * scenario_.members);
     if (by >= 0 && unit() < 0.6)
-        stage_.giveDuty(by, duty, unit() < 0.5 && other != by ? other : -1);
+        stage_.giveDuty(by, singletonRole, unit() < 0.5 && other != by ? other : -1);
     else if (stage_.runs(other))
-        stage_.takeDuty(other, duty);
+        stage_.takeDuty(other, singletonRole);
     at(now + scenario_.operationsEvery * (0.5 + unit()), [this](Millis t) { operate(t); });
 }
 // All that still lasts ends now; what is due later finds nothing to do.
--- a/src/emulator/group_director.hpp
+++ b/src/emulator/group_director.hpp
@@ -36,11 +36,11 @@
     virtual bool runs(int member) const = 0;
     virtual bool whole(int member) const = 0;  // a voter with its memory, or no voter
     virtual int leads() const = 0;             // -1: nobody that is known
-    virtual int holds(int duty) const = 0;     // who may act on it now; -1: nobody
+    virtual int holds(int singletonRole) const = 0;     // who may act on it now; -1: nobody
     virtual std::string roleOf(int member) const = 0;
     // An operation of an operator at a member: takes the duty, or gives it up (to: -1: to whoever is next).
-    virtual void takeDuty(int member, int duty) = 0;
-    virtual void giveDuty(int member, int duty, int to) = 0;
+    virtual void takeDuty(int member, int singletonRole) = 0;
+    virtual void giveDuty(int member, int singletonRole, int to) = 0;
 };
 
 struct GroupTimes {
@@ -65,7 +65,7 @@
         bool operator>(const Due& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
     };
     struct Watch {
-        int duty = 0, old = 0;
+        int singletonRole = 0, old = 0;
         Millis since = 0;
         std::vector<Millis> GroupTimes::*kind = nullptr;
     };
--- a/src/emulator/group_real.cpp
+++ b/src/emulator/group_real.cpp
@@ -148,14 +148,14 @@
     p->port = m.next;
     m.next = m.next == 7102 ? 7103 : 7102;
     std::filesystem::create_directories(base(i) + "/kept");
-    Json all, voters = Json::array(), duties = Json::array();
+    Json all, voters = Json::array(), singletonRoles = Json::array();
     for (int j = 0; j < scenario_.members; ++j) all[nameOf(j)] = j == i ? host(i) + ":7101" : relay_.at(i, j);
     for (int j = 0; j < scenario_.voters; ++j) voters.push_back(nameOf(j));
-    for (int d = 0; d < scenario_.duties; ++d) duties.push_back(GroupWorld::dutyName(d));
+    for (int d = 0; d < scenario_.singletonRoles; ++d) singletonRoles.push_back(GroupWorld::singletonRoleName(d));
     Json group = {{"listen", host(i) + ":7101"},
                   {"members", all},
                   {"voters", voters},
-                  {"duties", duties},
+                  {"duties", singletonRoles},
                   {"holds", i < scenario_.willing}};
     if (scenario_.folder) group["folder"] = base(i) + "/kept";
     const Json config = {
@@ -232,8 +232,8 @@
         if (fresh(i) && roleOf(i) == "leader") return i;
     return -1;
 }
-int GroupReal::holds(int duty) const {
-    const std::string name = GroupWorld::dutyName(duty);
+int GroupReal::holds(int singletonRole) const {
+    const std::string name = GroupWorld::singletonRoleName(singletonRole);
     for (int i = 0; i < scenario_.members; ++i)
         for (const auto& p : members_[static_cast<std::size_t>(i)]->processes)
             if (fresh(*p) && p->mayAct(name)) return i;
@@ -281,51 +281,51 @@
         if (!json.is_object()) return;
         p->shown = json;
         p->shownAt = now();
-        for (const auto& [duty, fence] : json["mayAct"].items())
-            acted(i, duty, fence.get<std::uint64_t>(), at);
+        for (const auto& [singletonRole, fencingToken] : json["mayAct"].items())
+            acted(i, singletonRole, fencingToken.get<std::uint64_t>(), at);
     });
 }
-void GroupReal::acted(int i, const std::string& duty, std::uint64_t fence, double asked) {
+void GroupReal::acted(int i, const std::string& singletonRole, std::uint64_t fencingToken, double asked) {
     ++report_.acts;
-    Act& last = acts_[duty];
+    Act& last = acts_[singletonRole];
     // Another's act under a higher number was heard of before this one was even asked about.
-    if (fence < last.fence && asked > last.heard)
-        violate("two holders", fmt::format("{}: g{} may act under {} after {}", duty, i, fence, last.fence));
-    if (fence == last.fence && last.by != i)
-        violate("one number, two holders", fmt::format("{}: g{} and g{}", duty, last.by, i));
-    if (fence == last.fence) last.last = now();
-    if (fence <= last.fence) return;
+    if (fencingToken < last.fencingToken && asked > last.heard)
+        violate("two holders", fmt::format("{}: g{} may act under {} after {}", singletonRole, i, fencingToken, last.fencingToken));
+    if (fencingToken == last.fencingToken && last.by != i)
+        violate("one number, two holders", fmt::format("{}: g{} and g{}", singletonRole, last.by, i));
+    if (fencingToken == last.fencingToken) last.last = now();
+    if (fencingToken <= last.fencingToken) return;
     if (last.by >= 0) ++report_.handOvers, report_.gaps.push_back(now() - last.last);
-    last = {fence, i, now(), now()};
+    last = {fencingToken, i, now(), now()};
 }
-void GroupReal::operate(int i, const std::string& duty, DutyOp op, const std::string& path) {
+void GroupReal::operate(int i, const std::string& singletonRole, DutyOp op, const std::string& path) {
     op.member = nameOf(i);
     op.from = now();
     ++calls_;
-    call(i, newest(i)->port, "PUT", path, [this, duty, op](int status, const std::string& body) mutable {
+    call(i, newest(i)->port, "PUT", path, [this, singletonRole, op](int status, const std::string& body) mutable {
         --calls_;
         op.to = now();
         op.known = status == 200 || status == 409;
         op.yes = status == 200;
         if (const Json json = Json::parse(body, nullptr, false); op.yes && json.is_object())
-            op.fence = json.value("fence", op.fence);
+            op.fencingToken = json.value("fence", op.fencingToken);
         ++report_.outcomes[!op.known ? "not known" : op.yes ? "yes" : "no"];
-        history_[duty].push_back(op);
+        history_[singletonRole].push_back(op);
     });
 }
-void GroupReal::takeDuty(int i, int duty) {
-    const std::string name = GroupWorld::dutyName(duty);
+void GroupReal::takeDuty(int i, int singletonRole) {
+    const std::string name = GroupWorld::singletonRoleName(singletonRole);
     DutyOp op;
     op.kind = DutyOp::Kind::take;
     if (calls_ < 8 && runs(i) && !members_[static_cast<std::size_t>(i)]->stopped)
         operate(i, name, op, "/ops/group/take/" + name);
 }
-void GroupReal::giveDuty(int i, int duty, int to) {
-    const std::string name = GroupWorld::dutyName(duty);
+void GroupReal::giveDuty(int i, int singletonRole, int to) {
+    const std::string name = GroupWorld::singletonRoleName(singletonRole);
     if (calls_ >= 8 || !fresh(i) || !newest(i)->mayAct(name)) return;
     DutyOp op;
     op.kind = DutyOp::Kind::giveUp;
-    op.fence = newest(i)->shown["mayAct"][name].get<std::uint64_t>();
+    op.fencingToken = newest(i)->shown["mayAct"][name].get<std::uint64_t>();
     operate(i, name, op, "/ops/group/give/" + name + (to >= 0 ? "/" + nameOf(to) : ""));
 }
 
@@ -348,8 +348,8 @@
             return fmt::format("g{} has another copy", i);
         if (s["conflicts"] != 0) return fmt::format("g{} had conflicts", i);
     }
-    for (int d = 0; d < scenario_.duties; ++d)
-        if (holds(d) < 0) return fmt::format("nobody acts on {}", GroupWorld::dutyName(d));
+    for (int d = 0; d < scenario_.singletonRoles; ++d)
+        if (holds(d) < 0) return fmt::format("nobody acts on {}", GroupWorld::singletonRoleName(d));
     return {};
 }
 GroupReport GroupReal::run() {
@@ -395,9 +395,9 @@
     if (report_.longest > 256) violate("datagram too long", fmt::format("{} bytes", report_.longest));
     report_.faults = director_->times().faults;
     report_.met = director_->times().met;
-    for (const auto& [duty, ops] : history_)
+    for (const auto& [singletonRole, ops] : history_)
         if (!linearizable(ops))
-            violate("not linearizable", fmt::format("{}: {} operations\n{}", duty, ops.size(), textOf(ops)));
+            violate("not linearizable", fmt::format("{}: {} operations\n{}", singletonRole, ops.size(), textOf(ops)));
     return report_;
 }
 
--- a/src/emulator/group_real.hpp
+++ b/src/emulator/group_real.hpp
@@ -83,10 +83,10 @@
     bool runs(int member) const override;
     bool whole(int member) const override;
     int leads() const override;
-    int holds(int duty) const override;
+    int holds(int singletonRole) const override;
     std::string roleOf(int member) const override;
-    void takeDuty(int member, int duty) override;
-    void giveDuty(int member, int duty, int to) override;
+    void takeDuty(int member, int singletonRole) override;
+    void giveDuty(int member, int singletonRole, int to) override;
 
 private:
     using Json = nlohmann::json;
@@ -96,8 +96,8 @@
         bool asking = false;
         double askedAt = 0, shownAt = -1e9;
         Json shown;
-        bool mayAct(const std::string& duty) const {
-            return shown.is_object() && shown["mayAct"].contains(duty);
+        bool mayAct(const std::string& singletonRole) const {
+            return shown.is_object() && shown["mayAct"].contains(singletonRole);
         }
     };
     struct Member {
@@ -106,7 +106,7 @@
         int next = 7102;
     };
     struct Act {
-        std::uint64_t fence = 0;
+        std::uint64_t fencingToken = 0;
         int by = -1;
         double heard = 0, last = 0;
     };
@@ -119,12 +119,12 @@
     const Process* newest(int member) const;  // null: none runs
     void ask(int member, const std::shared_ptr<Process>& process);
     void launch(int member);
-    void acted(int member, const std::string& duty, std::uint64_t fence, double asked);
+    void acted(int member, const std::string& singletonRole, std::uint64_t fencingToken, double asked);
     void call(int member, int port, const std::string& method, const std::string& path,
               std::function<void(int status, const std::string& body)> then);
     void violate(const std::string& kind, const std::string& text);
     std::string restless() const;
-    void operate(int member, const std::string& duty, DutyOp op, const std::string& path);
+    void operate(int member, const std::string& singletonRole, DutyOp op, const std::string& path);
 
     GroupScenario scenario_;
     std::string program_, folder_;
--- a/src/emulator/group_run.cpp
+++ b/src/emulator/group_run.cpp
@@ -35,17 +35,17 @@
     void replayOld() override { world_.replayOld(); }
     bool runs(int m) const override { return world_.alive(m); }
     bool whole(int m) const override {
-        const auto role = world_.alive(m) ? world_.core(m).ledger().role() : raft::Role::empty;
+        const auto role = world_.alive(m) ? world_.core(m).raft().role() : raft::Role::empty;
         return role == raft::Role::learner || role >= raft::Role::follower;
     }
     int leads() const override { return world_.leader(); }
-    int holds(int duty) const override { return world_.holder(GroupWorld::dutyName(duty)); }
+    int holds(int singletonRole) const override { return world_.holder(GroupWorld::singletonRoleName(singletonRole)); }
     std::string roleOf(int m) const override {
-        return world_.alive(m) ? nameOf(world_.core(m).ledger().role()) : "";
+        return world_.alive(m) ? nameOf(world_.core(m).raft().role()) : "";
     }
-    void takeDuty(int m, int duty) override { world_.take(m, GroupWorld::dutyName(duty)); }
-    void giveDuty(int m, int duty, int to) override {
-        world_.giveUp(m, GroupWorld::dutyName(duty), to >= 0 ? GroupWorld::name(to) : "");
+    void takeDuty(int m, int singletonRole) override { world_.take(m, GroupWorld::singletonRoleName(singletonRole)); }
+    void giveDuty(int m, int singletonRole, int to) override {
+        world_.giveUp(m, GroupWorld::singletonRoleName(singletonRole), to >= 0 ? GroupWorld::name(to) : "");
     }
 
 private:
@@ -69,7 +69,7 @@
 
 GroupPlan planOf(const GroupScenario& s) {
     GroupPlan plan;
-    plan.members = s.members, plan.voters = s.voters, plan.willing = s.willing, plan.duties = s.duties;
+    plan.members = s.members, plan.voters = s.voters, plan.willing = s.willing, plan.singletonRoles = s.singletonRoles;
     plan.length = s.length, plan.quiet = s.quiet;
     plan.faultEvery = 0;
     plan.lasting = s.folder;
@@ -155,7 +155,7 @@
         "  from SIGTERM to the next act: {}\n"
         "  from an upgrade's start to the next act: {}\n"
         "datagrams {}, {:.0f} bytes a second and member, longest {}\n",
-        s.name, seed, s.members, s.voters, s.duties, s.length / 1000, s.folder ? "kept" : "none",
+        s.name, seed, s.members, s.voters, s.singletonRoles, s.length / 1000, s.folder ? "kept" : "none",
         counts(r.faults), counts(r.met), counts(r.outcomes), r.acts, r.handOvers, times(r.gaps),
         times(results.times.afterKill), times(results.times.afterEnd), times(results.times.afterUpgrade),
         r.datagrams, static_cast<double>(r.bytes) / (s.length / 1000) / s.members, r.longest);
--- a/src/emulator/group_scenario.cpp
+++ b/src/emulator/group_scenario.cpp
@@ -43,7 +43,7 @@
         s.members = j.value("members", s.members);
         s.voters = j.value("voters", std::min(s.members, 5));
         s.willing = j.value("willing", s.members);
-        s.duties = j.value("duties", s.duties);
+        s.singletonRoles = j.value("duties", s.singletonRoles);
         s.folder = j.value("folder", s.folder);
         s.length = j.value("seconds", 30.0) * 1000;
         s.quiet = j.value("quietSeconds", 10.0) * 1000;
@@ -74,7 +74,7 @@
     }
     need(s.members >= 1 && s.members <= 300, "members: 1 to 300");
     need(s.voters >= 1 && s.voters <= 7 && s.voters <= s.members, "voters: 1 to 7, and no more than members");
-    need(s.duties >= 1 && s.duties <= 50, "duties: 1 to 50");
+    need(s.singletonRoles >= 1 && s.singletonRoles <= 50, "duties: 1 to 50");
     need(s.quiet >= 8000 && s.length > s.quiet, "quietSeconds: 8 at least, and less than seconds");
     need(s.delayMs[0] >= 0 && s.delayMs[0] <= s.delayMs[1] && s.delayMs[1] <= 1000,
          "network: delayMs from 0 to 1000, in order");
--- a/src/emulator/group_scenario.hpp
+++ b/src/emulator/group_scenario.hpp
@@ -36,7 +36,7 @@
 
 struct GroupScenario {
     std::string name, about;
-    int members = 5, voters = 5, willing = 1000, duties = 3;
+    int members = 5, voters = 5, willing = 1000, singletonRoles = 3;
     bool folder = false;
     Millis length = 30'000, quiet = 10'000;
     std::uint64_t seed = 1;
--- a/src/emulator/group_world.cpp
+++ b/src/emulator/group_world.cpp
@@ -17,7 +17,7 @@
 
 std::string GroupWorld::name(int member) { return fmt::format("g{}", member); }
 
-std::string GroupWorld::dutyName(int duty) { return fmt::format("duty-{}", duty); }
+std::string GroupWorld::singletonRoleName(int singletonRole) { return fmt::format("duty-{}", singletonRole); }
 
 GroupWorld::GroupWorld(GroupPlan plan, std::uint64_t seed) : plan_(plan), random_(seed) {
     std::vector<std::string> names, voters;
@@ -29,8 +29,8 @@
         m->options.members = names;
         m->options.voters = voters;
         m->options.willing = i < plan_.willing;
-        m->options.ledger.safeguards = plan_.safeguards;
-        m->options.ledger.mostEntries = 40;  // cut often
+        m->options.raft.safeguards = plan_.safeguards;
+        m->options.raft.mostEntries = 40;  // cut often
         m->options.times = plan_.times;
         m->rate = 1 + plan_.drift * (2 * unit() - 1);
         if (!plan_.rates.empty()) m->rate = plan_.rates[static_cast<std::size_t>(i)];
@@ -95,7 +95,7 @@
                     step(e.member, [](cluster::Core& c, Millis at, cluster::Step& out) { c.advance(at, out); });
                 break;
             case Event::Kind::act: {
-                if (e.epoch != m.life) break;
+                if (e.epoch != m.processIncarnation) break;
                 act(e.member);
                 Event next = e;
                 next.at = now_ + kActEvery / m.rate;
--- a/src/emulator/group_world.hpp
+++ b/src/emulator/group_world.hpp
@@ -26,7 +26,7 @@
     int members = 5;
     int voters = 5;
     int willing = 1000;  // members from the first on that hold duties
-    int duties = 3;
+    int singletonRoles = 3;
     Millis length = 40'000;   // faults come in its first part
     Millis quiet = 12'000;    // and none in this last one, in which all must come to rest
     Millis faultEvery = 900;  // on average; 0: none
@@ -91,16 +91,16 @@
     bool stopped(int member) const;
     void quietBegins();
     int leader() const;                         // -1: none that is ready
-    int holder(const std::string& duty) const;  // who acts on it now; -1: nobody
+    int holder(const std::string& singletonRole) const;  // who acts on it now; -1: nobody
     cluster::Core& core(int member);
     const cluster::Core& core(int member) const;
     bool alive(int member) const;
     static std::string name(int member);
-    static std::string dutyName(int duty);
+    static std::string singletonRoleName(int singletonRole);
     GroupReport& report() { return report_; }
     // Calls the operation at a member; it is in the history that is checked at the end.
-    void take(int member, const std::string& duty);
-    void giveUp(int member, const std::string& duty, const std::string& to = "");
+    void take(int member, const std::string& singletonRole);
+    void giveUp(int member, const std::string& singletonRole, const std::string& to = "");
     void finish();
 
 private:
@@ -124,7 +124,7 @@
     void schedule(int member);
     void transit(int from, int to, const std::string& bytes);
     void act(int member);
-    void land(int member, const std::string& duty, std::uint64_t fence, bool late);
+    void land(int member, const std::string& singletonRole, std::uint64_t fencingToken, bool late);
     void look(int member);
     void violate(const std::string& kind, const std::string& text);
     void fault();
@@ -159,7 +159,7 @@
     // votes of a term long gone need not hold what later ones settled.
     std::map<std::pair<std::uint64_t, raft::Term>, raft::Index> most_;
     struct Resource {
-        std::uint64_t fence = 0;
+        std::uint64_t fencingToken = 0;
         int holder = -1;
         Millis last = -1;
         Millis freed = -1;
--- a/src/emulator/group_world_checks.cpp
+++ b/src/emulator/group_world_checks.cpp
@@ -17,23 +17,23 @@
 int GroupWorld::leader() const {
     int best = -1;
     for (int i = 0; i < plan_.members; ++i)
-        if (alive(i) && core(i).ledger().ready() &&
-            (best < 0 || core(i).ledger().term() > core(best).ledger().term()))
+        if (alive(i) && core(i).raft().ready() &&
+            (best < 0 || core(i).raft().term() > core(best).raft().term()))
             best = i;
     return best;
 }
 
-int GroupWorld::holder(const std::string& duty) const {
+int GroupWorld::holder(const std::string& singletonRole) const {
     for (int i = 0; i < plan_.members; ++i) {
         const Member& m = *members_[static_cast<std::size_t>(i)];
-        if (m.core && !m.stopped && m.core->holder().mayAct(m.local(now_), duty)) return i;
+        if (m.core && !m.stopped && m.core->holder().mayAct(m.local(now_), singletonRole)) return i;
     }
     return -1;
 }
 
 void GroupWorld::look(int member) {
     Member& m = *members_[static_cast<std::size_t>(member)];
-    const raft::Ledger& l = m.core->ledger();
+    const raft::RaftConsensus& l = m.core->raft();
     collect(member);
     if (l.leads()) {
         const auto [it, fresh] = leaders_.try_emplace({l.number(), l.term()}, member);
@@ -57,8 +57,8 @@
     }
     if (trace) {
         std::string may;
-        for (const auto& [duty, fence] : m.core->holder().held())
-            may += fmt::format(" {}/{}", duty, fence & 0xffffffff);
+        for (const auto& [singletonRole, fencingToken] : m.core->holder().held())
+            may += fmt::format(" {}/{}", singletonRole, fencingToken & 0xffffffff);
         if (may != m.told)
             trace(fmt::format("{:9.1f} g{} holds{} session until {:.0f}", now_, member, may,
                               m.world(m.core->holder().sessionUntil())));
@@ -76,46 +76,46 @@
     // As the driver does (group/group.cpp): what there is to be and is not is asked for, and again if the asking came to nothing.
     if (!m.core->holder().inSession(m.local(now_)) || m.local(now_) < m.wantAt) return;
     m.wantAt = m.local(now_) + cluster::kWantAgain;
-    for (int d = 0; d < plan_.duties; ++d)
-        if (m.core->table().duty(dutyName(d)) == nullptr) m.core->holder().want(dutyName(d));
+    for (int d = 0; d < plan_.singletonRoles; ++d)
+        if (m.core->table().singletonRole(singletonRoleName(d)) == nullptr) m.core->holder().want(singletonRoleName(d));
 }
 
 void GroupWorld::act(int member) {
     Member& m = *members_[static_cast<std::size_t>(member)];
     if (!m.core || m.stopped) return;
-    for (const auto& [duty, fence] : m.core->holder().held()) {
-        if (!m.core->holder().mayAct(m.local(now_), duty)) continue;
+    for (const auto& [singletonRole, fencingToken] : m.core->holder().held()) {
+        if (!m.core->holder().mayAct(m.local(now_), singletonRole)) continue;
         for (int i = 0; i < plan_.members; ++i) {
             const Member& o = *members_[static_cast<std::size_t>(i)];
             if (i == member || !o.core || o.stopped) continue;
-            if (o.core->holder().mayAct(o.local(now_), duty))
-                violate("two holders", fmt::format("{}: g{} and g{}", duty, member, i));
+            if (o.core->holder().mayAct(o.local(now_), singletonRole))
+                violate("two holders", fmt::format("{}: g{} and g{}", singletonRole, member, i));
         }
-        land(member, duty, fence, false);
+        land(member, singletonRole, fencingToken, false);
     }
 }
 
-void GroupWorld::land(int member, const std::string& duty, std::uint64_t fence, bool late) {
-    Resource& r = resources_[duty];
-    if (fence < r.fence) {
+void GroupWorld::land(int member, const std::string& singletonRole, std::uint64_t fencingToken, bool late) {
+    Resource& r = resources_[singletonRole];
+    if (fencingToken < r.fencingToken) {
         if (!late)
             violate("two holders",
-                    fmt::format("{}: g{} acts under {} after {}", duty, member, fence, r.fence));
+                    fmt::format("{}: g{} acts under {} after {}", singletonRole, member, fencingToken, r.fencingToken));
         ++report_.lateActs;
         if (plan_.fencesChecked) return;  // turned away
-        violate("fence went back", fmt::format("{}: g{} under {} after {}", duty, member, fence, r.fence));
+        violate("fence went back", fmt::format("{}: g{} under {} after {}", singletonRole, member, fencingToken, r.fencingToken));
     }
     ++report_.acts;
-    if (fence > r.fence) {
+    if (fencingToken > r.fencingToken) {
         if (r.holder >= 0) {
             ++report_.handOvers;
             report_.gaps.push_back(now_ - r.last);
         }
-    } else if (r.holder >= 0 && r.holder != member && fence == r.fence) {
+    } else if (r.holder >= 0 && r.holder != member && fencingToken == r.fencingToken) {
         violate("one number, two holders",
-                fmt::format("{}: g{} and g{} under {}", duty, r.holder, member, fence));
+                fmt::format("{}: g{} and g{} under {}", singletonRole, r.holder, member, fencingToken));
     }
-    r.fence = std::max(r.fence, fence);
+    r.fencingToken = std::max(r.fencingToken, fencingToken);
     r.holder = member;
     r.last = now_;
 }
@@ -124,22 +124,22 @@
     const int lead = leader();
     const auto why = [&](std::string text) { report_.restless = std::move(text); };
     if (lead < 0) return why("nobody leads");
-    const raft::Index settled = core(lead).ledger().commit();
+    const raft::Index settled = core(lead).raft().commit();
     for (int i = 0; i < plan_.members; ++i) {
-        const raft::Ledger& l = core(i).ledger();
-        const bool voter = core(lead).ledger().isVoter(name(i));
+        const raft::RaftConsensus& l = core(i).raft();
+        const bool voter = core(lead).raft().isVoter(name(i));
         if (voter && l.role() < raft::Role::follower)
             return why(fmt::format("g{} is {}", i, nameOf(l.role())));
         if (l.commit() + (voter ? 8 : 64) < settled)
             return why(fmt::format("g{} has {} of {} entries", i, l.commit(), settled));
     }
-    for (int d = 0; d < plan_.duties; ++d)
-        if (holder(dutyName(d)) < 0) {
-            const lease_sessions::Duty* duty = core(lead).table().duty(dutyName(d));
-            return why(fmt::format("nobody acts on {}; the leader g{} has: {}", dutyName(d), lead,
-                                   duty == nullptr        ? "no such duty"
-                                   : duty->holder.empty() ? "free"
-                                                          : "held by " + duty->holder));
+    for (int d = 0; d < plan_.singletonRoles; ++d)
+        if (holder(singletonRoleName(d)) < 0) {
+            const lease_sessions::SingletonRole* singletonRole = core(lead).table().singletonRole(singletonRoleName(d));
+            return why(fmt::format("nobody acts on {}; the leader g{} has: {}", singletonRoleName(d), lead,
+                                   singletonRole == nullptr        ? "no such duty"
+                                   : singletonRole->holder.empty() ? "free"
+                                                          : "held by " + singletonRole->holder));
         }
     report_.rested = true;
 }
@@ -155,7 +155,7 @@
             history_[call.first].push_back(call.second);
         }
         for (const auto& [reason, count] : m.core->traffic().refused) report_.refused += count;
-        report_.snapshots += m.core->ledger().counters().snapshots;
+        report_.snapshots += m.core->raft().counters().snapshots;
         report_.mostBytesPerS =
             std::max(report_.mostBytesPerS, static_cast<double>(m.sentBytes) / std::max(now_ / 1000, 0.001));
     }
@@ -166,9 +166,9 @@
             report_.restMean += rate / plan_.members;
             report_.restMost = std::max(report_.restMost, rate);
         }
-    for (const auto& [duty, ops] : history_)
+    for (const auto& [singletonRole, ops] : history_)
         if (!linearizable(ops))
-            violate("not linearizable", fmt::format("{}: {} operations\n{}", duty, ops.size(), textOf(ops)));
+            violate("not linearizable", fmt::format("{}: {} operations\n{}", singletonRole, ops.size(), textOf(ops)));
 }
 
 }  // namespace beechpoint::emulator
--- a/src/emulator/group_world_faults.cpp
+++ b/src/emulator/group_world_faults.cpp
@@ -13,12 +13,12 @@
     if (plan_.lasting) return true;
     const int lead = leader();
     if (lead < 0) return false;
-    const auto& voters = core(lead).ledger().voters();
+    const auto& voters = core(lead).raft().voters();
     std::size_t whole = 0;
     for (const std::string& v : voters) {
         const int i = std::stoi(v.substr(1));
         if (i == member || !alive(i)) continue;
-        whole += core(i).ledger().role() >= raft::Role::follower ? 1 : 0;
+        whole += core(i).raft().role() >= raft::Role::follower ? 1 : 0;
     }
     return whole > voters.size() / 2;
 }
@@ -27,7 +27,7 @@
     ++report_.faults[kind];
     if (trace) trace(fmt::format("{:9.1f} g{} fault: {}", now_, member, kind));
     if (!alive(member)) return;
-    const auto& l = core(member).ledger();
+    const auto& l = core(member).raft();
     ++report_.met[kind + " at a " + nameOf(l.role())];
     if (!core(member).holder().held().empty()) ++report_.met[kind + " at a holder"];
     if (core(member).holder().pending() > 0) ++report_.met[kind + " during a request"];
@@ -117,17 +117,17 @@
 }
 
 void GroupWorld::operate(int member) {
-    const std::string duty = dutyName(static_cast<int>(unit() * plan_.duties));
-    const int by = holder(duty);
+    const std::string singletonRole = singletonRoleName(static_cast<int>(unit() * plan_.singletonRoles));
+    const int by = holder(singletonRole);
     if (by >= 0 && unit() < 0.6)
-        giveUp(by, duty, unit() < 0.5 ? name(member) : "");
+        giveUp(by, singletonRole, unit() < 0.5 ? name(member) : "");
     else if (alive(member))
-        take(member, duty);
+        take(member, singletonRole);
 }
 
 void GroupWorld::changeOneVoter(int member) {
     const int lead = leader();
-    std::vector<std::string> voters = core(lead).ledger().voters();
+    std::vector<std::string> voters = core(lead).raft().voters();
     const auto it = std::find(voters.begin(), voters.end(), name(member));
     if (it != voters.end() && voters.size() > 3)
         voters.erase(it);
--- a/src/emulator/group_world_member.hpp
+++ b/src/emulator/group_world_member.hpp
@@ -31,7 +31,7 @@
     std::map<std::uint64_t, std::pair<std::string, DutyOp>> calls;
     std::vector<std::pair<std::string, std::uint64_t>> begun;  // acts checked, not yet carried out
     std::uint64_t sentBytes = 0, beforeQuiet = 0, refused = 0, snapshots = 0, tooLong = 0;
-    raft::Life life = 0;
+    raft::ProcessIncarnation processIncarnation = 0;
     Millis wantAt = -1e300;
     std::string told;  // for the trace
     Millis local(Millis t) const { return offset + t * rate; }
--- a/src/emulator/group_world_members.cpp
+++ b/src/emulator/group_world_members.cpp
@@ -35,16 +35,16 @@
 // False: the machine stopped in the middle, or its disk failed, and nothing of that step ever left it.
 bool GroupWorld::keep(int member) {
     Member& m = *members_[static_cast<std::size_t>(member)];
-    const raft::Write write = m.journal->changes(m.core->ledger(), 4096);
+    const raft::Write write = m.journal->changes(m.core->raft(), 4096);
     bool kept = false;
     try {
         kept = m.folder->keep(write);
     } catch (const Crash&) {
-        ++report_.met["crash in a write at a " + std::string(nameOf(m.core->ledger().role()))];
+        ++report_.met["crash in a write at a " + std::string(nameOf(m.core->raft().role()))];
         m.files.crash();
     }
     if (kept) {
-        if (m.first.empty() && m.core->ledger().number() != 0) m.first = m.files.all();
+        if (m.first.empty() && m.core->raft().number() != 0) m.first = m.files.all();
         return true;
     }
     at(now_, [this, member] { kill(member); });
@@ -85,10 +85,10 @@
 void GroupWorld::restart(int member) {
     Member& m = *members_[static_cast<std::size_t>(member)];
     if (m.core) return;
-    m.life = random_() | 1;
+    m.processIncarnation = random_() | 1;
     m.seen = 0;
     m.wantAt = -1e300;
-    std::optional<raft::Kept> kept;
+    std::optional<raft::PersistentState> kept;
     if (plan_.lasting) {
         m.files.crashAt(0), m.files.failing(0);
         if (plan_.forgetsState && !m.first.empty()) {
@@ -97,19 +97,19 @@
         }
         std::string note;
         m.folder.emplace(m.files, "folder", m.options.group, m.options.self);
-        m.journal.emplace(m.options.group, m.options.self, m.life);
+        m.journal.emplace(m.options.group, m.options.self, m.processIncarnation);
         raft::Read read = m.folder->load(note);
         ++report_.folders[nameOf(read.how)];
         kept = std::move(read.kept);
         if (trace && !note.empty()) trace(fmt::format("{:9.1f} g{} {}", now_, member, note));
     }
-    m.core = std::make_unique<cluster::Core>(m.options, m.life, random_(), m.local(now_), kept);
+    m.core = std::make_unique<cluster::Core>(m.options, m.processIncarnation, random_(), m.local(now_), kept);
     if (trace) trace(fmt::format("{:9.1f} g{} starts", now_, member));
     schedule(member);
     Event e;
     e.at = now_ + between(0, kActEvery);
     e.order = ++order_, e.kind = Event::Kind::act, e.member = member;
-    e.epoch = m.life;
+    e.epoch = m.processIncarnation;
     events_.push(std::move(e));
 }
 
@@ -117,8 +117,8 @@
     Member& m = *members_[static_cast<std::size_t>(member)];
     if (!m.core || m.stopped) return;
     // At the worst moment: between the check and the act.
-    for (const auto& [duty, fence] : m.core->holder().held())
-        if (m.core->holder().mayAct(m.local(now_), duty)) m.begun.emplace_back(duty, fence);
+    for (const auto& [singletonRole, fencingToken] : m.core->holder().held())
+        if (m.core->holder().mayAct(m.local(now_), singletonRole)) m.begun.emplace_back(singletonRole, fencingToken);
     m.stopped = true;
 }
 
@@ -126,7 +126,7 @@
     Member& m = *members_[static_cast<std::size_t>(member)];
     if (!m.core || !m.stopped) return;
     m.stopped = false;
-    for (const auto& [duty, fence] : std::exchange(m.begun, {})) land(member, duty, fence, true);
+    for (const auto& [singletonRole, fencingToken] : std::exchange(m.begun, {})) land(member, singletonRole, fencingToken, true);
     act(member);  // its first thought after waking, before it has read anything
     for (const std::string& bytes : std::exchange(m.buffer, {}))
         step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) { c.receive(t, bytes, out); });
@@ -145,22 +145,22 @@
     step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) { c.found(t, number, out); });
 }
 
-void GroupWorld::take(int member, const std::string& duty) {
+void GroupWorld::take(int member, const std::string& singletonRole) {
     step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) {
         DutyOp op;
         op.kind = DutyOp::Kind::take, op.member = name(member), op.from = now_;
-        members_[static_cast<std::size_t>(member)]->calls[c.holder().take(duty)] = {duty, op};
+        members_[static_cast<std::size_t>(member)]->calls[c.holder().take(singletonRole)] = {singletonRole, op};
         c.advance(t, out);
     });
 }
 
-void GroupWorld::giveUp(int member, const std::string& duty, const std::string& to) {
+void GroupWorld::giveUp(int member, const std::string& singletonRole, const std::string& to) {
     step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) {
-        const auto held = c.holder().held().find(duty);
+        const auto held = c.holder().held().find(singletonRole);
         if (held == c.holder().held().end()) return;
         DutyOp op;
-        op.kind = DutyOp::Kind::giveUp, op.member = name(member), op.from = now_, op.fence = held->second;
-        members_[static_cast<std::size_t>(member)]->calls[c.holder().giveUp(duty, to)] = {duty, op};
+        op.kind = DutyOp::Kind::giveUp, op.member = name(member), op.from = now_, op.fencingToken = held->second;
+        members_[static_cast<std::size_t>(member)]->calls[c.holder().giveUp(singletonRole, to)] = {singletonRole, op};
         c.advance(t, out);
     });
 }
@@ -170,15 +170,15 @@
     for (const lease_sessions::Outcome& o : m.core->holder().takeOutcomes()) {
         const auto call = m.calls.find(o.request);
         if (call == m.calls.end()) continue;
-        auto [duty, op] = call->second;
+        auto [singletonRole, op] = call->second;
         m.calls.erase(call);
         op.to = now_;
         op.known = o.known;
         // Handed to one that was not in session: it is free, which is a yes to giving up.
         op.yes = o.known && (o.result.verdict == lease_sessions::Verdict::yes ||
                              (op.kind == DutyOp::Kind::giveUp && o.result.verdict == lease_sessions::Verdict::wait));
-        if (op.kind == DutyOp::Kind::take) op.fence = o.result.fence;
-        history_[duty].push_back(op);
+        if (op.kind == DutyOp::Kind::take) op.fencingToken = o.result.fencingToken;
+        history_[singletonRole].push_back(op);
         ++report_.outcomes[!o.known ? "not known" : op.yes ? "yes" : "no"];
     }
 }
--- a/src/emulator/linear.cpp
+++ b/src/emulator/linear.cpp
@@ -13,7 +13,7 @@
 
 struct State {
     std::string holder;  // empty: free, or whoever: `any`
-    std::uint64_t fence = 0;
+    std::uint64_t fencingToken = 0;
     auto operator<=>(const State&) const = default;
 };
 
@@ -21,13 +21,13 @@
 bool apply(const State& s, const DutyOp& op, State& after) {
     if (op.kind == DutyOp::Kind::take) {
         if (!op.yes) return after = s, true;  // somebody held it: it may have been granted by itself
-        if (op.fence <= s.fence) return false;
-        return after = {op.member, op.fence}, true;
+        if (op.fencingToken <= s.fencingToken) return false;
+        return after = {op.member, op.fencingToken}, true;
     }
-    const bool held = s.fence == op.fence ? s.holder == op.member : s.fence < op.fence;
+    const bool held = s.fencingToken == op.fencingToken ? s.holder == op.member : s.fencingToken < op.fencingToken;
     if (op.yes) {
         if (!held) return false;
-        return after = {"", op.fence}, true;
+        return after = {"", op.fencingToken}, true;
     }
     return after = s, true;  // its session may have ended before
 }
@@ -59,7 +59,7 @@
             DutyOp op = ops_[i];
             if (!op.known) {
                 op.yes = true;
-                if (op.kind == DutyOp::Kind::take) op.fence = s.fence + 1;
+                if (op.kind == DutyOp::Kind::take) op.fencingToken = s.fencingToken + 1;
             }
             if (!apply(s, op, after)) continue;
             done_[i] = true;
@@ -90,7 +90,7 @@
                            !op.known ? "not known"
                            : op.yes  ? "yes"
                                      : "no",
-                           op.fence);
+                           op.fencingToken);
     return out;
 }
 
--- a/src/emulator/linear.hpp
+++ b/src/emulator/linear.hpp
@@ -16,7 +16,7 @@
     std::string member;
     double from = 0, to = 0;  // called, answered; not known: to is ignored
     bool known = true, yes = false;
-    std::uint64_t fence = 0;  // take: of the answer, where yes; giveUp: of the call
+    std::uint64_t fencingToken = 0;  // take: of the answer, where yes; giveUp: of the call
 };
 
 // At most some hundreds of operations that overlap little; `tries` bounds the search (a history that exhausts it is
--- a/src/emulator/try_out.cpp
+++ b/src/emulator/try_out.cpp
@@ -148,7 +148,7 @@
     int unused = 0;
     const std::unique_ptr<int, decltype(ending)> atEnd(&unused, ending);
 
-    Json members, duties = {"looker-on", "planner"};
+    Json members, singletonRoles = {"looker-on", "planner"};
     for (int g = 0; g < kTryGatherers; ++g)
         members[fmt::format("g{}", g)] = fmt::format("127.0.0.1:{}", freeUdpPort(calls));
     Reserved reserved(calls);
@@ -177,7 +177,7 @@
                                  {{"listen", members[name]},
                                   {"members", members},
                                   {"voters", {"g0", "g1", "g2"}},
-                                  {"duties", duties}}}};
+                                  {"duties", singletonRoles}}}};
         std::ofstream(base + "/config.json") << config.dump(1);
         std::ofstream(base + "/operator.json") << operators.dump(1);
         gatherers.push_back(std::make_unique<RealProcess>());
@@ -201,7 +201,7 @@
         const auto body = shown.find("\r\n\r\n");
         const Json j =
             body == std::string::npos ? Json() : Json::parse(shown.substr(body + 4), nullptr, false);
-        if (!j.is_object() || !j.contains("duties") || j["duties"].size() != duties.size()) return false;
+        if (!j.is_object() || !j.contains("duties") || j["duties"].size() != singletonRoles.size()) return false;
         for (const Json& d : j["duties"])
             if (d["holder"] == "") return false;
         return true;
--- a/src/gateway/client_request.cpp
+++ b/src/gateway/client_request.cpp
@@ -85,7 +85,7 @@
     event.attemptId = request.attemptId;
     event.route = route.name;
     double below = 0;
-    for (const routing::BackendShare& share : entry.shares) {
+    for (const routing::BackendWeight& share : entry.shares) {
         event.services.push_back({share.service, share.upTo - below});
         below = share.upTo;
     }
--- a/src/gateway/load_sharing.cpp
+++ b/src/gateway/load_sharing.cpp
@@ -33,7 +33,7 @@
     timer_.cancel();
 }
 
-void LoadSharing::ownLoad(const dispatch::ShareLoad& changed) {
+void LoadSharing::ownLoad(const dispatch::ReportLoad& changed) {
     if (socket_.is_open()) send(state_.ownLoad(changed));
 }
 
--- a/src/gateway/load_sharing.hpp
+++ b/src/gateway/load_sharing.hpp
@@ -27,7 +27,7 @@
     void start(const std::string& ip, std::uint16_t port);
     void stop();
     void gateways(const std::vector<leases::Gateway>& all) { state_.gateways(all); }
-    void ownLoad(const dispatch::ShareLoad& changed);
+    void ownLoad(const dispatch::ReportLoad& changed);
 
 private:
     static constexpr std::size_t kLargest = 1500;
--- a/src/gateway/load_sharing_state.cpp
+++ b/src/gateway/load_sharing_state.cpp
@@ -44,7 +44,7 @@
     }
 }
 
-std::vector<LoadSharingState::Outgoing> LoadSharingState::ownLoad(const dispatch::ShareLoad& changed) {
+std::vector<LoadSharingState::Outgoing> LoadSharingState::ownLoad(const dispatch::ReportLoad& changed) {
     for (const dispatch::HostLoad& load : changed.hosts) replace(own_, load);
     keepSpeeds(changed.speeds);
     return toZone({LoadKind::gateway, place_.session, ++sequence_, false, changed.hosts, changed.speeds});
--- a/src/gateway/load_sharing_state.hpp
+++ b/src/gateway/load_sharing_state.hpp
@@ -51,7 +51,7 @@
 
     // The gateways that control told last.
     void gateways(const std::vector<leases::Gateway>& all);
-    std::vector<Outgoing> ownLoad(const dispatch::ShareLoad& changed);
+    std::vector<Outgoing> ownLoad(const dispatch::ReportLoad& changed);
     Learnt received(Millis now, std::string_view bytes);
     std::vector<Outgoing> onTimer(Millis now);
 
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -160,7 +160,7 @@
     LiveRequest* const request = find(id);
     if (!request || request->done) return;
     request->done = true;
-    tell(dispatch::ClientGone{id});
+    tell(dispatch::ClientDisconnected{id});
     forget(id);
 }
 
--- a/src/gateway/request_exchange.hpp
+++ b/src/gateway/request_exchange.hpp
@@ -38,7 +38,7 @@
     // How many gateways share the connections to each host, this one included.
     void sharedBy(std::uint32_t gateways) { gateways_ = std::max<std::uint32_t>(gateways, 1); }
     // What this gateway has waiting at hosts, wherever that has changed.
-    using LoadTold = std::function<void(const dispatch::ShareLoad&)>;
+    using LoadTold = std::function<void(const dispatch::ReportLoad&)>;
     void onLoad(LoadTold told) { loadTold_ = std::move(told); }
     // Only requests for which this holds are taken from now on, asked with the time that each may last; others are refused.
     using MayTake = std::function<bool(Millis mayLast)>;
@@ -85,7 +85,7 @@
     void act(const dispatch::BreakOff& breakOff);
     void act(const dispatch::Probe& probe);
     void act(const dispatch::SetTimer& timer);
-    void act(const dispatch::ShareLoad& load) { loadTold_(load); }
+    void act(const dispatch::ReportLoad& load) { loadTold_(load); }
     void act(const dispatch::Log& line);
 
     upstream::Request hostRequest(const LiveRequest& request, const dispatch::Send& send) const;
--- a/src/gatherer.cpp
+++ b/src/gatherer.cpp
@@ -247,10 +247,10 @@
         .dump();
 }
 
-void Gatherer::duty(bool take, const std::string& name, const std::string& to,
+void Gatherer::singletonRole(bool take, const std::string& name, const std::string& to,
                     std::function<void(Settled)> later) {
     const auto then = [later = std::move(later)](cluster::Group::Settled end) {
-        later({end.known, end.yes, end.fence});
+        later({end.known, end.yes, end.fencingToken});
     };
     if (!group_) return then({true, false, 0});
     take ? group_->take(name, then) : group_->give(name, to, then);
--- a/src/gatherer.hpp
+++ b/src/gatherer.hpp
@@ -47,7 +47,7 @@
     void trackHost(const std::string& id, bool out, Later later) override;
     std::string group() const override { return group_ ? group_->show() : std::string(); }
     bool foundGroup(std::uint64_t number) override { return group_ && group_->found(number); }
-    void duty(bool take, const std::string& name, const std::string& to,
+    void singletonRole(bool take, const std::string& name, const std::string& to,
               std::function<void(Settled)> later) override;
     bool away(const std::string& server) override { return group_->away(server); }
     void saw(const std::string& server, bool there) override { group_->saw(server, there); }
--- a/src/gossip/datagram.cpp
+++ b/src/gossip/datagram.cpp
@@ -13,9 +13,9 @@
 struct Names {
     std::uint32_t group = 0;
     std::string sender;
-    std::uint64_t life = 0, number = 0;
+    std::uint64_t processIncarnation = 0, number = 0;
 };
-auto fields(Names& n) { return std::tie(n.group, n.sender, n.life, n.number); }
+auto fields(Names& n) { return std::tie(n.group, n.sender, n.processIncarnation, n.number); }
 
 std::uint32_t hashOf(std::string_view text, std::uint64_t seed = 0) {
     return static_cast<std::uint32_t>(XXH3_64bits_withSeed(text.data(), text.size(), seed));
@@ -24,7 +24,7 @@
 }  // namespace
 
 std::string seal(const std::string& group, const Header& header, std::string_view body) {
-    Names names{hashOf(group), header.sender, header.life, header.number};
+    Names names{hashOf(group), header.sender, header.processIncarnation, header.number};
     msgpack::sbuffer packed;
     msgpack::packer<msgpack::sbuffer> packer(packed);
     packField(packer, names);
@@ -73,7 +73,7 @@
     const std::string_view rest = bytes.substr(kHead);
     const auto room = static_cast<std::uint8_t>(bytes[3]);
     if (sum != hashOf(rest, room)) return no(Refusal::checksum);
-    if (room < static_cast<std::uint8_t>(Room::membership) || room > static_cast<std::uint8_t>(Room::hostProber))
+    if (room < static_cast<std::uint8_t>(Channel::membership) || room > static_cast<std::uint8_t>(Channel::hostProber))
         return no(Refusal::header);
     try {
         std::size_t offset = 0;
@@ -81,9 +81,9 @@
         const msgpack::object_handle handle = msgpack::unpack(rest.data(), rest.size(), offset);
         readField(handle.get(), names);
         if (names.group != hashOf(group)) return no(Refusal::group);
-        if (names.sender.empty() || names.life == 0) return no(Refusal::header);
+        if (names.sender.empty() || names.processIncarnation == 0) return no(Refusal::header);
         why = Refusal::none;
-        return Opened{{static_cast<Room>(room), names.sender, names.life, names.number},
+        return Opened{{static_cast<Channel>(room), names.sender, names.processIncarnation, names.number},
                       std::string(rest.substr(offset))};
     } catch (const std::exception&) {
         return no(Refusal::header);
--- a/src/gossip/datagram.hpp
+++ b/src/gossip/datagram.hpp
@@ -18,12 +18,12 @@
 inline constexpr std::size_t kMostBytes = 256;  // of a datagram: the platform's limit
 inline constexpr std::uint8_t kVersion = 1;
 
-enum class Room : std::uint8_t { membership = 1, ledger = 2, duties = 3, hostProber = 4 };
+enum class Channel : std::uint8_t { membership = 1, raft = 2, singletonRoles = 3, hostProber = 4 };
 
 struct Header {
-    Room room = Room::ledger;
+    Channel room = Channel::raft;
     std::string sender;
-    std::uint64_t life = 0;    // one start of its process
+    std::uint64_t processIncarnation = 0;    // one start of its process
     std::uint64_t number = 0;  // of its group; 0: not founded
 };
 
--- a/src/host_discovery/host_list.hpp
+++ b/src/host_discovery/host_list.hpp
@@ -44,7 +44,7 @@
 // Names one state of the list. `fence` is the epoch of the view under which the reader held the duty (0: a gateway that
 // read by itself), `number` counts the states seen, `reader` tells two readers under one fence apart.
 struct HostListVersion {
-    std::uint64_t fence = 0;
+    std::uint64_t fencingToken = 0;
     std::uint64_t number = 0;
     std::uint64_t reader = 0;
     auto operator<=>(const HostListVersion&) const = default;
@@ -61,7 +61,7 @@
 bool sameHosts(const HostList& one, const HostList& other, Millis tolerance);
 
 // Holds the newest list known to a process and decides what replaces it.
-class HostListHolder {
+class HostListConsumer {
 public:
     static constexpr Millis kStale = 3000;  // a list unconfirmed for so long gives way to any that is younger
 
--- a/src/host_discovery/list_reader.cpp
+++ b/src/host_discovery/list_reader.cpp
@@ -31,10 +31,10 @@
 ListReader::ListReader(Settings settings, std::uint64_t seed, std::uint64_t readerId)
     : settings_(settings), random_(seed), readerId_(readerId) {}
 
-void ListReader::start(Millis now, std::uint64_t fence, std::uint64_t lastNumber,
+void ListReader::start(Millis now, std::uint64_t fencingToken, std::uint64_t lastNumber,
                        std::shared_ptr<const HostList> held) {
     state_ = State::waiting;
-    fence_ = fence;
+    fencingToken_ = fencingToken;
     number_ = lastNumber;
     nextAt_ = now;
     failures_ = 0;
@@ -167,7 +167,7 @@
     HostList read{{}, beganAt_, takeHosts()};
     if (list_ && sameHosts(*list_, read, settings_.timeTolerance)) return Outcome::confirmed;
     number_++;
-    read.version = {fence_, number_, readerId_};
+    read.version = {fencingToken_, number_, readerId_};
     list_ = std::make_shared<const HostList>(std::move(read));
     return Outcome::changed;
 }
--- a/src/host_discovery/list_reader.hpp
+++ b/src/host_discovery/list_reader.hpp
@@ -45,11 +45,11 @@
 
     // Begins to read under that fence, numbering on from `lastNumber`; a list that is held already, of any
     // reader, is where it starts from and keeps its version as long as the readings say the same.
-    void start(Millis now, std::uint64_t fence, std::uint64_t lastNumber,
+    void start(Millis now, std::uint64_t fencingToken, std::uint64_t lastNumber,
                std::shared_ptr<const HostList> held);
     void stop();
     bool running() const { return state_ != State::idle; }
-    std::uint64_t fence() const { return fence_; }
+    std::uint64_t fencingToken() const { return fencingToken_; }
     // Numbers given from now on are above this one.
     void raiseNumber(std::uint64_t number);
 
@@ -77,7 +77,7 @@
     SplitMix random_;
     std::uint64_t readerId_;
     State state_ = State::idle;
-    std::uint64_t fence_ = 0, number_ = 0;
+    std::uint64_t fencingToken_ = 0, number_ = 0;
     Millis nextAt_ = 0;
     Millis beganAt_ = 0;  // of the reading under way
     std::map<std::string, Host> hosts_;
--- a/src/host_discovery/poller.cpp
+++ b/src/host_discovery/poller.cpp
@@ -24,10 +24,10 @@
           timer_(io),
           onReading_(std::move(onReading)) {}
 
-    void start(std::uint64_t fence, std::uint64_t lastNumber, std::shared_ptr<const HostList> held) {
-        if (reader_.running() && reader_.fence() == fence) return;
+    void start(std::uint64_t fencingToken, std::uint64_t lastNumber, std::shared_ptr<const HostList> held) {
+        if (reader_.running() && reader_.fencingToken() == fencingToken) return;
         stop();
-        reader_.start(clock_.now(), fence, lastNumber, std::move(held));
+        reader_.start(clock_.now(), fencingToken, lastNumber, std::move(held));
         arm();
     }
 
@@ -96,8 +96,8 @@
 
 Poller::~Poller() { impl_->stop(); }
 
-void Poller::start(std::uint64_t fence, std::uint64_t lastNumber, std::shared_ptr<const HostList> held) {
-    impl_->start(fence, lastNumber, std::move(held));
+void Poller::start(std::uint64_t fencingToken, std::uint64_t lastNumber, std::shared_ptr<const HostList> held) {
+    impl_->start(fencingToken, lastNumber, std::move(held));
 }
 void Poller::stop() { impl_->stop(); }
 bool Poller::running() const { return impl_->reader().running(); }
--- a/src/host_discovery/poller.hpp
+++ b/src/host_discovery/poller.hpp
@@ -33,7 +33,7 @@
     Poller& operator=(const Poller&) = delete;
 
     // See ListReader. Starting anew while it runs under the same fence changes nothing.
-    void start(std::uint64_t fence, std::uint64_t lastNumber, std::shared_ptr<const HostList> held);
+    void start(std::uint64_t fencingToken, std::uint64_t lastNumber, std::shared_ptr<const HostList> held);
     void stop();
     bool running() const;
     void raiseNumber(std::uint64_t number);
--- a/src/lease_sessions/lease_client.cpp
+++ b/src/lease_sessions/lease_client.cpp
@@ -12,57 +12,57 @@
 constexpr std::size_t kRenewalsOut = 8;
 }  // namespace
 
-Holder::Holder(Times times, std::string self, Life life, std::vector<std::string> members, std::uint64_t seed,
+LeaseClient::LeaseClient(Times times, std::string self, ProcessIncarnation processIncarnation, std::vector<std::string> members, std::uint64_t seed,
                Millis now, bool willing)
     : times_(times),
       self_(std::move(self)),
-      life_(life),
+      processIncarnation_(processIncarnation),
       members_(std::move(members)),
       draw_(seed),
       renewAt_(now),
       willing_(willing) {
     turn_ = draw_.below(members_.size());
 }
-const std::string& Holder::target() {
+const std::string& LeaseClient::target() {
     if (leader_.empty() && !members_.empty()) leader_ = members_[turn_++ % members_.size()];
     return leader_;
 }
-void Holder::noLeader(const std::string& told) { leader_ = told == leader_ ? std::string() : told; }
+void LeaseClient::noLeader(const std::string& told) { leader_ = told == leader_ ? std::string() : told; }
 
-std::optional<std::uint64_t> Holder::mayAct(Millis now, const std::string& duty) const {
-    const auto found = held_.find(duty);
+std::optional<std::uint64_t> LeaseClient::mayAct(Millis now, const std::string& singletonRole) const {
+    const auto found = held_.find(singletonRole);
     if (found == held_.end() || !inSession(now) || closing_) return std::nullopt;
     return found->second;
 }
 
-std::uint64_t Holder::ask(Command c) {
-    c.member = self_, c.life = life_;
+std::uint64_t LeaseClient::ask(Command c) {
+    c.member = self_, c.processIncarnation = processIncarnation_;
     requests_.push_back({++handle_, c, -1, -1e300, false});
     return handle_;
 }
-std::uint64_t Holder::want(const std::string& duty) {
+std::uint64_t LeaseClient::want(const std::string& singletonRole) {
     Command c;
-    c.op = Op::want, c.duty = duty;
+    c.op = Op::want, c.singletonRole = singletonRole;
     return ask(c);
 }
-std::uint64_t Holder::take(const std::string& duty) {
+std::uint64_t LeaseClient::take(const std::string& singletonRole) {
     Command c;
-    c.op = Op::grant, c.duty = duty;
+    c.op = Op::grant, c.singletonRole = singletonRole;
     return ask(c);
 }
-std::uint64_t Holder::giveUp(const std::string& duty, const std::string& to) {
+std::uint64_t LeaseClient::giveUp(const std::string& singletonRole, const std::string& to) {
     Command c;
-    c.op = to.empty() ? Op::giveUp : Op::hand, c.duty = duty, c.to = to;
-    if (const auto h = held_.find(duty); h != held_.end()) {
-        c.fence = h->second;
-        done_[duty] = h->second;  // from here on it does not act on it, whatever a late word says
+    c.op = to.empty() ? Op::giveUp : Op::hand, c.singletonRole = singletonRole, c.to = to;
+    if (const auto h = held_.find(singletonRole); h != held_.end()) {
+        c.fencingToken = h->second;
+        done_[singletonRole] = h->second;  // from here on it does not act on it, whatever a late word says
         held_.erase(h);
     }
     return ask(c);
 }
 // All that was held is void: another may hold it by now. What was given up stays given up: its request may still be on its
 // way, and the session may be opened anew under the same number while the ledger has not heard of either.
-void Holder::drop(Millis) {
+void LeaseClient::drop(Millis) {
     session_ = 0;
     closing_ = false;
     until_ = -1e300;
@@ -72,23 +72,23 @@
 
 // A word of a grant, however it came. What was given up under that number or a later one stays given up: the word may have
 // been on its way for long, and another may hold the duty by now.
-void Holder::hold(const std::string& duty, std::uint64_t fence) {
-    if (const auto done = done_.find(duty); done != done_.end() && fence <= done->second) {
+void LeaseClient::hold(const std::string& singletonRole, std::uint64_t fencingToken) {
+    if (const auto done = done_.find(singletonRole); done != done_.end() && fencingToken <= done->second) {
         // The ledger has not heard of it, and nobody else can have the duty: where the request came to nothing, it is made anew.
         if (std::none_of(requests_.begin(), requests_.end(), [&](const Request& r) {
-                return r.command.duty == duty && (r.command.op == Op::giveUp || r.command.op == Op::hand);
+                return r.command.singletonRole == singletonRole && (r.command.op == Op::giveUp || r.command.op == Op::hand);
             })) {
             Command c;
-            c.op = Op::giveUp, c.duty = duty, c.fence = fence;
+            c.op = Op::giveUp, c.singletonRole = singletonRole, c.fencingToken = fencingToken;
             ask(c);
         }
         return;
     }
-    std::uint64_t& held = held_[duty];
-    held = std::max(held, fence);
+    std::uint64_t& held = held_[singletonRole];
+    held = std::max(held, fencingToken);
 }
 
-void Holder::sendFront(Millis now, std::vector<Message>& out) {
+void LeaseClient::sendFront(Millis now, std::vector<Message>& out) {
     if (requests_.empty()) return;
     Request& r = requests_.front();
     if (now < r.sentAt + kAgain) return;
@@ -105,19 +105,19 @@
         leader_.clear();  // not a word from whom it was sent to: another is asked
     }
     r.sentAt = now + draw_() * kAgain / 3;
-    out.push_back({self_, target(), life_, Ask{r.command}});
+    out.push_back({self_, target(), processIncarnation_, Ask{r.command}});
 }
-void Holder::renew(Millis now, std::vector<Message>& out) {
+void LeaseClient::renew(Millis now, std::vector<Message>& out) {
     if (now < renewAt_ || session_ == 0) return;
     renewAt_ = now + times_.ttl / 4 * (0.9 + 0.2 * draw_());
     if (missed_ >= 2) leader_.clear(), missed_ = 0;  // two in a row that it did not answer: ask another
     ++missed_;
     sent_[++renewals_] = now;
     while (sent_.size() > kRenewalsOut) sent_.erase(sent_.begin());
-    out.push_back({self_, target(), life_, Renew{session_, renewals_}});
+    out.push_back({self_, target(), processIncarnation_, Renew{session_, renewals_}});
 }
 
-void Holder::advance(Millis now, std::vector<Message>& out) {
+void LeaseClient::advance(Millis now, std::vector<Message>& out) {
     if (session_ != 0 && now >= until_) {
         drop(now);
         if (!leaving_) leader_.clear();
@@ -136,14 +136,14 @@
     sendFront(now, out);
     if (!closing_) renew(now, out);
 }
-Millis Holder::next() const {
+Millis LeaseClient::next() const {
     Millis at = 1e300;
     if (session_ != 0) at = std::min(until_, closing_ ? until_ : renewAt_);
     if (session_ == 0 && willing_ && !leaving_) at = std::min(at, silentUntil_);
     if (!requests_.empty()) at = std::min(at, requests_.front().sentAt + kAgain);
     return at;
 }
-void Holder::leave(Millis now, std::vector<Message>& out) {
+void LeaseClient::leave(Millis now, std::vector<Message>& out) {
     if (leaving_) return;
     leaving_ = true;
     held_.clear();
@@ -158,12 +158,12 @@
     sendFront(now, out);
 }
 
-void Holder::receive(Millis now, const Message& m, std::vector<Message>& out) {
+void LeaseClient::receive(Millis now, const Message& m, std::vector<Message>& out) {
     // Not to this life: said before it began.
     const bool mine = std::visit(
         [&](const auto& body) {
             if constexpr (requires { body.to; })
-                return body.to == life_;
+                return body.to == processIncarnation_;
             else
                 return false;
         },
@@ -187,11 +187,11 @@
         leader_ = m.from;
         sent_.erase(sent_.begin(), std::next(sent));
         if (closing_ || now >= until_) return;
-        for (const auto& [duty, fence] : renewed->held) hold(duty, fence);
+        for (const auto& [singletonRole, fencingToken] : renewed->held) hold(singletonRole, fencingToken);
         return;
     }
     if (const auto* granted = std::get_if<Granted>(&m.body)) {
-        if (granted->session == session_ && inSession(now) && !closing_) hold(granted->duty, granted->fence);
+        if (granted->session == session_ && inSession(now) && !closing_) hold(granted->singletonRole, granted->fencingToken);
         return;
     }
     const auto* answer = std::get_if<Answer>(&m.body);
@@ -221,7 +221,7 @@
         if (c.op == Op::close) drop(now);
         if (c.op == Op::grant && answer->result.verdict == Verdict::yes &&
             answer->result.session == session_ && inSession(now) && !closing_)
-            hold(c.duty, answer->result.fence);
+            hold(c.singletonRole, answer->result.fencingToken);
         if (answer->result.verdict == Verdict::gone && c.session == session_ && session_ != 0) drop(now);
     }
     advance(now, out);
--- a/src/lease_sessions/lease_client.hpp
+++ b/src/lease_sessions/lease_client.hpp
@@ -25,11 +25,11 @@
     bool known = true;  // false: it may or may not have had its effect
 };
 
-class Holder {
+class LeaseClient {
 public:
     // `members`: whom to ask for the leader.
     // `willing`: to hold duties; who is not opens no session, and costs nobody anything.
-    Holder(Times times, std::string self, Life life, std::vector<std::string> members, std::uint64_t seed,
+    LeaseClient(Times times, std::string self, ProcessIncarnation processIncarnation, std::vector<std::string> members, std::uint64_t seed,
            Millis now, bool willing = true);
 
     void receive(Millis now, const Message& message, std::vector<Message>& out);
@@ -42,16 +42,16 @@
 
     // The duty's fencing number if this member may act on it now. Ask right before each act, with the clock read
     // right before; carry the number with the act.
-    std::optional<std::uint64_t> mayAct(Millis now, const std::string& duty) const;
+    std::optional<std::uint64_t> mayAct(Millis now, const std::string& singletonRole) const;
     bool inSession(Millis now) const { return session_ != 0 && now < until_; }
     Millis sessionUntil() const { return session_ != 0 ? until_ : -1e300; }
     const std::map<std::string, std::uint64_t>& held() const { return held_; }
 
     // Requests, one after another. Their ends come by takeOutcomes().
-    std::uint64_t want(const std::string& duty);
-    std::uint64_t take(const std::string& duty);
+    std::uint64_t want(const std::string& singletonRole);
+    std::uint64_t take(const std::string& singletonRole);
     // Stops acting on it at once, then gives it up, or hands it on to a member by name.
-    std::uint64_t giveUp(const std::string& duty, const std::string& to = "");
+    std::uint64_t giveUp(const std::string& singletonRole, const std::string& to = "");
     // Stops acting on all at once and ends the session: SIGTERM, drain.
     void leave(Millis now, std::vector<Message>& out);
     // Takes part again, once the session that was left has ended: what it held it may not act on any more.
@@ -71,13 +71,13 @@
     void sendFront(Millis now, std::vector<Message>& out);
     void renew(Millis now, std::vector<Message>& out);
     void drop(Millis now);
-    void hold(const std::string& duty, std::uint64_t fence);
+    void hold(const std::string& singletonRole, std::uint64_t fencingToken);
     const std::string& target();
     void noLeader(const std::string& told);
 
     Times times_;
     std::string self_;
-    Life life_;
+    ProcessIncarnation processIncarnation_;
     std::vector<std::string> members_;
     SplitMix draw_;
     std::string leader_;
