--- a/src/lease_sessions/lease_manager.cpp
+++ b/src/lease_sessions/lease_manager.cpp
@@ -14,73 +14,73 @@
 constexpr std::size_t kGranting = 32;  // grants on their way at once: a thousand free duties make no burst
 }  // namespace
 
-Keeper::Keeper(Times times, std::string self, Life life, raft::Ledger& ledger, const Table& table)
-    : times_(times), self_(std::move(self)), life_(life), ledger_(ledger), table_(table) {}
+LeaseManager::LeaseManager(Times times, std::string self, ProcessIncarnation processIncarnation, raft::RaftConsensus& raft, const Table& table)
+    : times_(times), self_(std::move(self)), processIncarnation_(processIncarnation), raft_(raft), table_(table) {}
 
-void Keeper::receive(Millis now, const Message& m, raft::Actions& ledgerOut, std::vector<Message>& out) {
+void LeaseManager::receive(Millis now, const Message& m, raft::Actions& raftActions, std::vector<Message>& out) {
     look(now);
     if (const auto* ask = std::get_if<Ask>(&m.body)) {
         const Command& c = ask->command;
-        if (c.member != m.from || c.life != m.life || c.number == 0 || c.duty.size() > kMostDutyName ||
-            c.to.size() > raft::kMostName)
+        if (c.member != m.from || c.processIncarnation != m.processIncarnation || c.number == 0 || c.singletonRole.size() > kMaxRoleNameBytes ||
+            c.to.size() > raft::kMaxMemberNameBytes)
             return;
-        if (const auto known = table_.answer(c.member, c.life, c.number); known && ledger_.ready())
-            return out.push_back({self_, m.from, life_, Answer{c.life, c.number, *known, self_}});
-        if (!ledger_.ready() || waiting_.size() >= kMostWaiting)
+        if (const auto known = table_.answer(c.member, c.processIncarnation, c.number); known && raft_.ready())
+            return out.push_back({self_, m.from, processIncarnation_, Answer{c.processIncarnation, c.number, *known, self_}});
+        if (!raft_.ready() || waiting_.size() >= kMostWaiting)
             return out.push_back(
-                {self_, m.from, life_,
-                 Answer{c.life, c.number, {Verdict::wait, 0, 0}, ledger_.leads() ? "" : ledger_.leader()}});
+                {self_, m.from, processIncarnation_,
+                 Answer{c.processIncarnation, c.number, {Verdict::wait, 0, 0}, raft_.leads() ? "" : raft_.leader()}});
         for (const Waiting& w : waiting_)
-            if (w.member == c.member && w.life == c.life && w.number == c.number) return;  // on its way
+            if (w.member == c.member && w.processIncarnation == c.processIncarnation && w.number == c.number) return;  // on its way
         // Who opens the session it has anew counts from now: so does its end here.
         const Session* own = table_.session(c.member);
         if (const auto kept = sessions_.find(c.member);
-            c.op == Op::open && kept != sessions_.end() && own != nullptr && own->life == c.life)
+            c.op == Op::open && kept != sessions_.end() && own != nullptr && own->processIncarnation == c.processIncarnation)
             kept->second.until = std::max(kept->second.until, now + runs());
-        if (ledger_.propose(now, write(c), ledgerOut)) waiting_.push_back({c.member, c.life, c.number, now});
+        if (raft_.propose(now, write(c), raftActions)) waiting_.push_back({c.member, c.processIncarnation, c.number, now});
         answerSettled(now, out);
     } else if (const auto* renew = std::get_if<Renew>(&m.body)) {
-        if (!ledger_.ready() || renewals_.size() >= kMostWaiting)
-            return out.push_back({self_, m.from, life_,
-                                  Renewed{m.life,
+        if (!raft_.ready() || renewals_.size() >= kMostWaiting)
+            return out.push_back({self_, m.from, processIncarnation_,
+                                  Renewed{m.processIncarnation,
                                           renew->number,
                                           Verdict::no,
                                           renew->session,
-                                          ledger_.leads() ? "" : ledger_.leader(),
+                                          raft_.leads() ? "" : raft_.leader(),
                                           {}}});
         const Session* s = table_.session(m.from);
         const auto kept = sessions_.find(m.from);
-        if (s == nullptr || s->number != renew->session || s->life != m.life || kept == sessions_.end() ||
+        if (s == nullptr || s->number != renew->session || s->processIncarnation != m.processIncarnation || kept == sessions_.end() ||
             kept->second.ending)
-            return out.push_back({self_, m.from, life_,
-                                  Renewed{m.life, renew->number, Verdict::gone, renew->session, self_, {}}});
+            return out.push_back({self_, m.from, processIncarnation_,
+                                  Renewed{m.processIncarnation, renew->number, Verdict::gone, renew->session, self_, {}}});
         // Counted at once, though the asker may never hear of it: that only makes its end later here.
         kept->second.until = std::max(kept->second.until, now + runs());
-        renewals_[++token_] = {m.from, m.life, renew->number, renew->session, now};
-        ledger_.confirm(now, token_, ledgerOut);
+        renewals_[++token_] = {m.from, m.processIncarnation, renew->number, renew->session, now};
+        raft_.confirm(now, token_, raftActions);
     }
 }
 
-void Keeper::confirmed(Millis, std::uint64_t token, std::vector<Message>& out) {
+void LeaseManager::confirmed(Millis, std::uint64_t token, std::vector<Message>& out) {
     const auto found = renewals_.find(token);
     if (found == renewals_.end()) return;
     const Renewal r = found->second;
     renewals_.erase(found);
     const auto kept = sessions_.find(r.member);
     if (kept == sessions_.end() || kept->second.number != r.session || kept->second.ending) return;
-    Renewed reply{r.life, r.number, Verdict::yes, r.session, self_, {}};
+    Renewed reply{r.processIncarnation, r.number, Verdict::yes, r.session, self_, {}};
     const std::set<std::string>& held = table_.heldBy(r.member);
     const std::vector<std::string> names(held.begin(), held.end());
     for (std::size_t i = 0; i < std::min(kGrantsTold, names.size()); ++i) {
         const std::string& name = names[kept->second.told++ % names.size()];
-        reply.held.emplace_back(name, table_.duty(name)->fence);
+        reply.held.emplace_back(name, table_.singletonRole(name)->fencingToken);
     }
-    out.push_back({self_, r.member, life_, std::move(reply)});
+    out.push_back({self_, r.member, processIncarnation_, std::move(reply)});
 }
 
 // What the table says, taken over: who is in session, and since when here.
-void Keeper::look(Millis now) {
-    if (!ledger_.ready()) {
+void LeaseManager::look(Millis now) {
+    if (!raft_.ready()) {
         if (led_)
             sessions_.clear(), renewals_.clear(), waiting_.clear(), granting_.clear(), freeSince_.clear(),
                 granted_.clear();
@@ -107,23 +107,23 @@
     });
     // What was given up in order is granted at once; what was lost, or is new, waits for things to settle.
     for (const std::string& name : table_.free()) {
-        const Duty& d = *table_.duty(name);
+        const SingletonRole& d = *table_.singletonRole(name);
         freeSince_.try_emplace(name, !d.last.empty() && !d.lost ? now - times_.settle : now);
     }
 }
-void Keeper::expire(Millis now, raft::Actions& ledgerOut) {
+void LeaseManager::expire(Millis now, raft::Actions& raftActions) {
     for (auto& [member, s] : sessions_) {
         if (s.ending || now < s.until) continue;
         Command c;
         c.op = Op::close, c.member = member, c.session = s.number;
-        if (!ledger_.propose(now, write(c), ledgerOut)) return;
+        if (!raft_.propose(now, write(c), raftActions)) return;
         s.ending = true;  // from here on no renewal is confirmed
         ++expired_;
     }
 }
-void Keeper::grant(Millis now, raft::Actions& ledgerOut) {
+void LeaseManager::grant(Millis now, raft::Actions& raftActions) {
     // One that was settled and is free all the same was turned down: it is tried again.
-    std::erase_if(granting_, [&](const auto& g) { return g.second <= ledger_.commit(); });
+    std::erase_if(granting_, [&](const auto& g) { return g.second <= raft_.commit(); });
     if (freeSince_.size() <= granting_.size()) return;
     std::map<std::string, std::size_t> load;
     for (const auto& [member, s] : sessions_)
@@ -132,7 +132,7 @@
     for (const auto& [name, since] : freeSince_) {
         if (granting_.size() >= kGranting) break;
         if (now < since + times_.settle || granting_.contains(name)) continue;
-        const Duty& d = *table_.duty(name);
+        const SingletonRole& d = *table_.singletonRole(name);
         const std::string* best = nullptr;
         std::tuple<bool, std::size_t, std::uint64_t> least;
         for (const auto& [member, count] : load) {
@@ -141,30 +141,30 @@
             if (best == nullptr || rank < least) best = &member, least = rank;
         }
         Command c;
-        c.op = Op::grant, c.member = *best, c.session = sessions_[*best].number, c.duty = name;
-        const auto index = ledger_.propose(now, write(c), ledgerOut);
+        c.op = Op::grant, c.member = *best, c.session = sessions_[*best].number, c.singletonRole = name;
+        const auto index = raft_.propose(now, write(c), raftActions);
         if (!index) return;
         granting_[name] = *index;
         ++load[*best];
     }
 }
-void Keeper::answerSettled(Millis now, std::vector<Message>& out) {
+void LeaseManager::answerSettled(Millis now, std::vector<Message>& out) {
     std::erase_if(waiting_, [&](const Waiting& w) {
-        const auto result = table_.answer(w.member, w.life, w.number);
-        if (result) out.push_back({self_, w.member, life_, Answer{w.life, w.number, *result, self_}});
+        const auto result = table_.answer(w.member, w.processIncarnation, w.number);
+        if (result) out.push_back({self_, w.member, processIncarnation_, Answer{w.processIncarnation, w.number, *result, self_}});
         return result || now > w.since + kStale;
     });
 }
-void Keeper::advance(Millis now, raft::Actions& ledgerOut, std::vector<Message>& out) {
+void LeaseManager::advance(Millis now, raft::Actions& raftActions, std::vector<Message>& out) {
     look(now);
     nextAt_ = 1e300;
     if (!led_) return;
-    expire(now, ledgerOut);
-    grant(now, ledgerOut);
+    expire(now, raftActions);
+    grant(now, raftActions);
     for (const std::string& name : std::exchange(granted_, {}))
-        if (const Duty* d = table_.duty(name); d != nullptr && !d->holder.empty())
-            out.push_back({self_, d->holder, life_,
-                           Granted{table_.session(d->holder)->life, d->session, name, d->fence}});
+        if (const SingletonRole* d = table_.singletonRole(name); d != nullptr && !d->holder.empty())
+            out.push_back({self_, d->holder, processIncarnation_,
+                           Granted{table_.session(d->holder)->processIncarnation, d->session, name, d->fencingToken}});
     answerSettled(now, out);
     for (const auto& [member, s] : sessions_) {
         if (!s.ending) nextAt_ = std::min(nextAt_, s.until);
--- a/src/lease_sessions/lease_manager.hpp
+++ b/src/lease_sessions/lease_manager.hpp
@@ -31,14 +31,14 @@
     bool prolong = true;  // a new leader lets all leases run anew; off only in tests
 };
 
-class Keeper {
+class LeaseManager {
 public:
-    Keeper(Times times, std::string self, Life life, raft::Ledger& ledger, const Table& table);
+    LeaseManager(Times times, std::string self, ProcessIncarnation processIncarnation, raft::RaftConsensus& raft, const Table& table);
 
-    void receive(Millis now, const Message& message, raft::Actions& ledgerOut, std::vector<Message>& out);
+    void receive(Millis now, const Message& message, raft::Actions& raftActions, std::vector<Message>& out);
     void confirmed(Millis now, std::uint64_t token, std::vector<Message>& out);
     // Called after every step of the ledger and when next() has come.
-    void advance(Millis now, raft::Actions& ledgerOut, std::vector<Message>& out);
+    void advance(Millis now, raft::Actions& raftActions, std::vector<Message>& out);
     Millis next() const { return nextAt_; }
 
     std::uint64_t expired() const { return expired_; }
@@ -46,7 +46,7 @@
 private:
     struct Waiting {  // a request on its way through the ledger
         std::string member;
-        Life life = 0;
+        ProcessIncarnation processIncarnation = 0;
         std::uint64_t number = 0;
         Millis since = 0;
     };
@@ -59,21 +59,21 @@
     };
     struct Renewal {
         std::string member;
-        Life life = 0;
+        ProcessIncarnation processIncarnation = 0;
         std::uint64_t number = 0;
         Index session = 0;
         Millis came = 0;
     };
     Millis runs() const { return times_.ttl * (1 + times_.drift) + times_.margin; }
     void look(Millis now);
-    void expire(Millis now, raft::Actions& ledgerOut);
-    void grant(Millis now, raft::Actions& ledgerOut);
+    void expire(Millis now, raft::Actions& raftActions);
+    void grant(Millis now, raft::Actions& raftActions);
     void answerSettled(Millis now, std::vector<Message>& out);
 
     Times times_;
     std::string self_;
-    Life life_;
-    raft::Ledger& ledger_;
+    ProcessIncarnation processIncarnation_;
+    raft::RaftConsensus& raft_;
     const Table& table_;
     bool led_ = false;
     std::uint64_t seen_ = 0;  // the table's revision
--- a/src/lease_sessions/messages.hpp
+++ b/src/lease_sessions/messages.hpp
@@ -10,7 +10,7 @@
 
 namespace beechpoint::lease_sessions {
 
-inline constexpr std::size_t kMostDutyName = 23;  // bytes of a duty's name
+inline constexpr std::size_t kMaxRoleNameBytes = 23;  // bytes of a duty's name
 inline constexpr std::size_t kGrantsTold =
     2;  // in one answer to a renewal, in turn: each grant is told by itself as well
 
@@ -20,7 +20,7 @@
     Command command;  // session, duty, fence and to as the operation needs
 };
 struct Answer {
-    Life to = 0;
+    ProcessIncarnation to = 0;
     std::uint64_t number = 0;
     Result result;
     std::string leader;  // where it was no leader's: whom it takes for one, or empty
@@ -30,7 +30,7 @@
     std::uint64_t number = 0;
 };
 struct Renewed {
-    Life to = 0;
+    ProcessIncarnation to = 0;
     std::uint64_t number = 0;
     Verdict verdict = Verdict::no;  // yes; gone: no such session; no: ask the leader named
     Index session = 0;
@@ -41,16 +41,16 @@
 // A grant as soon as it is settled; lost, it comes with the next renewal. Settled for that session, it holds while the
 // holder's own clock says that the session does.
 struct Granted {
-    Life to = 0;
+    ProcessIncarnation to = 0;
     Index session = 0;
-    std::string duty;
-    std::uint64_t fence = 0;
+    std::string singletonRole;
+    std::uint64_t fencingToken = 0;
 };
 
 using Body = std::variant<Ask, Answer, Renew, Renewed, Granted>;
 struct Message {
     std::string from, to;
-    Life life = 0;  // of the sender
+    ProcessIncarnation processIncarnation = 0;  // of the sender
     Body body;
 };
 
--- a/src/lease_sessions/session_table.cpp
+++ b/src/lease_sessions/session_table.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-using Wire = std::tuple<std::uint8_t, std::string, Life, std::uint64_t, Index, std::string, std::uint64_t,
+using Wire = std::tuple<std::uint8_t, std::string, ProcessIncarnation, std::uint64_t, Index, std::string, std::uint64_t,
                         std::string>;
 
 }  // namespace
 
 std::string write(const Command& c) {
     msgpack::sbuffer out;
-    msgpack::pack(out, Wire{static_cast<std::uint8_t>(c.op), c.member, c.life, c.number, c.session, c.duty,
-                            c.fence, c.to});
+    msgpack::pack(out, Wire{static_cast<std::uint8_t>(c.op), c.member, c.processIncarnation, c.number, c.session, c.singletonRole,
+                            c.fencingToken, c.to});
     return {out.data(), out.size()};
 }
 std::optional<Command> readCommand(const std::string& data) {
@@ -36,16 +36,16 @@
     }
 }
 
-const Duty* Table::duty(const std::string& name) const {
-    const auto found = duties_.find(name);
-    return found == duties_.end() ? nullptr : &found->second;
+const SingletonRole* Table::singletonRole(const std::string& name) const {
+    const auto found = singletonRoles_.find(name);
+    return found == singletonRoles_.end() ? nullptr : &found->second;
 }
 const Session* Table::session(const std::string& member) const {
     const auto found = sessions_.find(member);
     return found == sessions_.end() ? nullptr : &found->second;
 }
-std::optional<Result> Table::answer(const std::string& member, Life life, std::uint64_t number) const {
-    const auto found = answers_.find({member, life});
+std::optional<Result> Table::answer(const std::string& member, ProcessIncarnation processIncarnation, std::uint64_t number) const {
+    const auto found = answers_.find({member, processIncarnation});
     if (found == answers_.end() || found->second.number != number) return std::nullopt;
     return found->second.result;
 }
@@ -55,12 +55,12 @@
     return found == held_.end() ? none : found->second;
 }
 // `member` empty: it becomes free. Both lists of duties by holder follow.
-void Table::hold(const std::string& name, Duty& duty, const std::string& member, Index session) {
-    if (const auto before = held_.find(duty.holder); before != held_.end()) {
+void Table::hold(const std::string& name, SingletonRole& singletonRole, const std::string& member, Index session) {
+    if (const auto before = held_.find(singletonRole.holder); before != held_.end()) {
         before->second.erase(name);
         if (before->second.empty()) held_.erase(before);
     }
-    duty.holder = member, duty.session = session;
+    singletonRole.holder = member, singletonRole.session = session;
     member.empty() ? (void)free_.insert(name) : (void)free_.erase(name);
     if (!member.empty()) held_[member].insert(name);
 }
@@ -76,7 +76,7 @@
         carryOut(index, *c);
         return;
     }
-    Answered& kept = answers_[{c->member, c->life}];
+    Answered& kept = answers_[{c->member, c->processIncarnation}];
     if (kept.number >= c->number) return;  // had its effect
     const Result result = carryOut(index, *c);
     kept = {c->number, result, index};
@@ -86,7 +86,7 @@
     ++evicted_;
 }
 
-std::uint64_t Table::raise(Duty& d) const { return d.fence = std::max(d.fence, base_) + 1; }
+std::uint64_t Table::raise(SingletonRole& d) const { return d.fencingToken = std::max(d.fencingToken, base_) + 1; }
 
 Result Table::carryOut(Index index, const Command& c) {
     const auto s = sessions_.find(c.member);
@@ -94,50 +94,50 @@
     switch (c.op) {
         case Op::open: {
             if (s != sessions_.end())  // an earlier life's may still be acted on: it has to run out first
-                return s->second.life == c.life ? Result{Verdict::yes, 0, s->second.number}
+                return s->second.processIncarnation == c.processIncarnation ? Result{Verdict::yes, 0, s->second.number}
                                                 : Result{Verdict::wait, 0, 0};
             if (sessions_.size() >= kMostSessions) return {Verdict::no, 0, 0};
-            sessions_[c.member] = {index, c.life};
+            sessions_[c.member] = {index, c.processIncarnation};
             return {Verdict::yes, 0, index};
         }
         case Op::close:
             if (!known) return {Verdict::gone, 0, 0};
             for (const std::string& name : std::set<std::string>(heldBy(c.member)))
-                release(name, duties_.at(name), c.number == 0);
+                release(name, singletonRoles_.at(name), c.number == 0);
             sessions_.erase(s);
             return {Verdict::yes, 0, c.session};
         case Op::want: {
-            if (duties_.contains(c.duty)) return {Verdict::yes, 0, 0};
-            if (duties_.size() >= kMostDuties || c.duty.empty()) return {Verdict::no, 0, 0};
-            hold(c.duty, duties_[c.duty], "", 0);
+            if (singletonRoles_.contains(c.singletonRole)) return {Verdict::yes, 0, 0};
+            if (singletonRoles_.size() >= kMaxRoles || c.singletonRole.empty()) return {Verdict::no, 0, 0};
+            hold(c.singletonRole, singletonRoles_[c.singletonRole], "", 0);
             return {Verdict::yes, 0, 0};
         }
         case Op::grant: {
-            const auto d = duties_.find(c.duty);
+            const auto d = singletonRoles_.find(c.singletonRole);
             if (!known) return {Verdict::gone, 0, 0};
-            if (d == duties_.end() || !d->second.holder.empty())
-                return {Verdict::no, d == duties_.end() ? 0 : d->second.fence, c.session};
-            hold(c.duty, d->second, c.member, c.session);
+            if (d == singletonRoles_.end() || !d->second.holder.empty())
+                return {Verdict::no, d == singletonRoles_.end() ? 0 : d->second.fencingToken, c.session};
+            hold(c.singletonRole, d->second, c.member, c.session);
             return {Verdict::yes, raise(d->second), c.session};
         }
         case Op::giveUp:
         case Op::hand: {
-            const auto d = duties_.find(c.duty);
+            const auto d = singletonRoles_.find(c.singletonRole);
             if (!known) return {Verdict::gone, 0, 0};
-            if (d == duties_.end() || d->second.holder != c.member || d->second.session != c.session ||
-                d->second.fence != c.fence)
-                return {Verdict::no, d == duties_.end() ? 0 : d->second.fence, c.session};
-            release(c.duty, d->second, false);
-            if (c.op == Op::giveUp) return {Verdict::yes, c.fence, c.session};
+            if (d == singletonRoles_.end() || d->second.holder != c.member || d->second.session != c.session ||
+                d->second.fencingToken != c.fencingToken)
+                return {Verdict::no, d == singletonRoles_.end() ? 0 : d->second.fencingToken, c.session};
+            release(c.singletonRole, d->second, false);
+            if (c.op == Op::giveUp) return {Verdict::yes, c.fencingToken, c.session};
             const auto next = sessions_.find(c.to);  // not in session: it is free
-            if (next == sessions_.end()) return {Verdict::wait, c.fence, c.session};
-            hold(c.duty, d->second, c.to, next->second.number);
+            if (next == sessions_.end()) return {Verdict::wait, c.fencingToken, c.session};
+            hold(c.singletonRole, d->second, c.to, next->second.number);
             return {Verdict::yes, raise(d->second), c.session};
         }
     }
     return {};
 }
-void Table::release(const std::string& name, Duty& d, bool lost) {
+void Table::release(const std::string& name, SingletonRole& d, bool lost) {
     d.last = d.holder;
     d.lost = lost;
     hold(name, d, "", 0);
@@ -146,20 +146,20 @@
 // ---- as a snapshot
 
 namespace {
-using SavedDuty = std::tuple<std::string, std::string, Index, std::uint64_t, std::string, bool>;
-using SavedSession = std::tuple<std::string, Index, Life>;
-using SavedAnswer = std::tuple<std::string, Life, std::uint64_t, std::uint8_t, std::uint64_t, Index, Index>;
-using Saved = std::tuple<std::vector<SavedDuty>, std::vector<SavedSession>, std::vector<SavedAnswer>>;
+using SavedRole = std::tuple<std::string, std::string, Index, std::uint64_t, std::string, bool>;
+using SavedSession = std::tuple<std::string, Index, ProcessIncarnation>;
+using SavedAnswer = std::tuple<std::string, ProcessIncarnation, std::uint64_t, std::uint8_t, std::uint64_t, Index, Index>;
+using Saved = std::tuple<std::vector<SavedRole>, std::vector<SavedSession>, std::vector<SavedAnswer>>;
 }  // namespace
 
 std::string Table::save() const {
     Saved s;
-    for (const auto& [name, d] : duties_)
-        std::get<0>(s).emplace_back(name, d.holder, d.session, d.fence, d.last, d.lost);
-    for (const auto& [name, x] : sessions_) std::get<1>(s).emplace_back(name, x.number, x.life);
+    for (const auto& [name, d] : singletonRoles_)
+        std::get<0>(s).emplace_back(name, d.holder, d.session, d.fencingToken, d.last, d.lost);
+    for (const auto& [name, x] : sessions_) std::get<1>(s).emplace_back(name, x.number, x.processIncarnation);
     for (const auto& [who, a] : answers_)
         std::get<2>(s).emplace_back(who.first, who.second, a.number,
-                                    static_cast<std::uint8_t>(a.result.verdict), a.result.fence,
+                                    static_cast<std::uint8_t>(a.result.verdict), a.result.fencingToken,
                                     a.result.session, a.at);
     msgpack::sbuffer out;
     msgpack::pack(out, s);
@@ -172,16 +172,16 @@
     } catch (const std::exception&) {
         return false;
     }
-    duties_.clear(), sessions_.clear(), answers_.clear(), held_.clear(), free_.clear();
+    singletonRoles_.clear(), sessions_.clear(), answers_.clear(), held_.clear(), free_.clear();
     ++revision_;
-    for (const auto& [name, holder, session, fence, last, lost] : std::get<0>(s)) {
-        Duty& d = duties_[name];
-        d.fence = fence, d.last = last, d.lost = lost;
+    for (const auto& [name, holder, session, fencingToken, last, lost] : std::get<0>(s)) {
+        SingletonRole& d = singletonRoles_[name];
+        d.fencingToken = fencingToken, d.last = last, d.lost = lost;
         hold(name, d, holder, session);
     }
-    for (const auto& [name, number, life] : std::get<1>(s)) sessions_[name] = {number, life};
-    for (const auto& [name, life, number, verdict, fence, session, at] : std::get<2>(s))
-        answers_[{name, life}] = {number, {static_cast<Verdict>(verdict), fence, session}, at};
+    for (const auto& [name, number, processIncarnation] : std::get<1>(s)) sessions_[name] = {number, processIncarnation};
+    for (const auto& [name, processIncarnation, number, verdict, fencingToken, session, at] : std::get<2>(s))
+        answers_[{name, processIncarnation}] = {number, {static_cast<Verdict>(verdict), fencingToken, session}, at};
     return true;
 }
 
--- a/src/lease_sessions/session_table.hpp
+++ b/src/lease_sessions/session_table.hpp
@@ -21,9 +21,9 @@
 namespace beechpoint::lease_sessions {
 
 using raft::Index;
-using raft::Life;
+using raft::ProcessIncarnation;
 
-inline constexpr std::size_t kMostDuties = 1000;
+inline constexpr std::size_t kMaxRoles = 1000;
 inline constexpr std::size_t kMostSessions = 512;  // open at once
 inline constexpr int kFenceBits = 32;              // above these stands the group's number
 inline constexpr std::size_t kMostAnswers = 1024;  // answers to requests kept, the oldest goes first
@@ -34,11 +34,11 @@
 struct Command {
     Op op = Op::open;
     std::string member;  // who asks; for close and grant by the leader: whose session it is
-    Life life = 0;
+    ProcessIncarnation processIncarnation = 0;
     std::uint64_t number = 0;  // of the request, rising within a life; 0: the leader's own, never repeated
     Index session = 0;
-    std::string duty;
-    std::uint64_t fence = 0;
+    std::string singletonRole;
+    std::uint64_t fencingToken = 0;
     std::string to;  // hand: the next holder
 };
 std::string write(const Command& command);
@@ -48,21 +48,21 @@
 
 struct Result {
     Verdict verdict = Verdict::no;
-    std::uint64_t fence = 0;
+    std::uint64_t fencingToken = 0;
     Index session = 0;
     bool operator==(const Result&) const = default;
 };
 
-struct Duty {
+struct SingletonRole {
     std::string holder;  // empty: free
     Index session = 0;
-    std::uint64_t fence = 0;
+    std::uint64_t fencingToken = 0;
     std::string last;   // who held it last: it gets it anew only if nobody else is in session
     bool lost = false;  // and lost it: its session ran out. Otherwise it was given up in order
 };
 struct Session {
     Index number = 0;
-    Life life = 0;
+    ProcessIncarnation processIncarnation = 0;
 };
 
 class Table : public raft::Machine {
@@ -72,12 +72,12 @@
     std::string save() const override;
     bool load(const std::string& saved) override;
 
-    const std::map<std::string, Duty>& duties() const { return duties_; }
+    const std::map<std::string, SingletonRole>& singletonRoles() const { return singletonRoles_; }
     const std::map<std::string, Session>& sessions() const { return sessions_; }
-    const Duty* duty(const std::string& name) const;
+    const SingletonRole* singletonRole(const std::string& name) const;
     const Session* session(const std::string& member) const;
     // The answer to a request that was settled; nothing: not here (yet).
-    std::optional<Result> answer(const std::string& member, Life life, std::uint64_t number) const;
+    std::optional<Result> answer(const std::string& member, ProcessIncarnation processIncarnation, std::uint64_t number) const;
     const std::set<std::string>& heldBy(const std::string& member) const;
     const std::set<std::string>& free() const { return free_; }  // duties that nobody holds
     // Rises with each change, so that who looks at the whole table need not do so again for nothing.
@@ -87,22 +87,22 @@
 
 private:
     Result carryOut(Index index, const Command& c);
-    std::uint64_t raise(Duty& duty) const;
-    void release(const std::string& name, Duty& duty, bool lost);
-    void hold(const std::string& name, Duty& duty, const std::string& member, Index session);
+    std::uint64_t raise(SingletonRole& singletonRole) const;
+    void release(const std::string& name, SingletonRole& singletonRole, bool lost);
+    void hold(const std::string& name, SingletonRole& singletonRole, const std::string& member, Index session);
     struct Answered {
         std::uint64_t number = 0;
         Result result;
         Index at = 0;
     };
-    std::map<std::string, Duty> duties_;
+    std::map<std::string, SingletonRole> singletonRoles_;
     std::map<std::string, Session> sessions_;
     // The duties again, by holder.
     std::map<std::string, std::set<std::string>> held_;
     std::set<std::string> free_;
     std::uint64_t revision_ = 0;
     // The newest of each life: a late request of an earlier one must not make a later one's be done twice.
-    std::map<std::pair<std::string, Life>, Answered> answers_;
+    std::map<std::pair<std::string, ProcessIncarnation>, Answered> answers_;
     std::uint64_t base_ = 0;  // of fencing numbers: a group founded anew fences off the one before
     std::uint64_t evicted_ = 0, unknown_ = 0;
 };
--- a/src/leases/lease_table.cpp
+++ b/src/leases/lease_table.cpp
@@ -35,9 +35,9 @@
     return taken;
 }
 
-void LeaseTable::merge(Millis now, const std::vector<SharedLease>& leases) {
+void LeaseTable::merge(Millis now, const std::vector<ReportedLease>& leases) {
     look(now);
-    for (const SharedLease& shared : leases) {
+    for (const ReportedLease& shared : leases) {
         const Millis age = std::max(0.0, shared.age);
         if (age < settings_.leaseMs) put(now, shared.gateway, now - age, false);
     }
@@ -96,8 +96,8 @@
     return granted;
 }
 
-std::vector<SharedLease> LeaseTable::granted(Millis now) const {
-    std::vector<SharedLease> granted;
+std::vector<ReportedLease> LeaseTable::granted(Millis now) const {
+    std::vector<ReportedLease> granted;
     for (const auto& [name, lease] : leases_)
         if (lease.grantedHere && runs(lease, now)) granted.push_back({lease.gateway, now - lease.grantedAt});
     return granted;
@@ -131,8 +131,8 @@
     return static_cast<std::uint32_t>(std::count_if(leases_.begin(), leases_.end(), isRunning));
 }
 
-std::vector<SharedLease> LeaseTable::liveLeases(Millis now) const {
-    std::vector<SharedLease> live;
+std::vector<ReportedLease> LeaseTable::liveLeases(Millis now) const {
+    std::vector<ReportedLease> live;
     for (const auto& [name, lease] : leases_)
         if (runs(lease, now)) live.push_back({lease.gateway, now - lease.grantedAt});
     return live;
--- a/src/leases/lease_table.hpp
+++ b/src/leases/lease_table.hpp
@@ -40,7 +40,7 @@
 };
 
 // A lease as one member tells it to another.
-struct SharedLease {
+struct ReportedLease {
     Gateway gateway;
     Millis age = 0;  // since it was granted
 };
@@ -69,9 +69,9 @@
     // A gateway asked this member. False where the table is full.
     bool renew(Millis now, Gateway gateway);
     // What another member granted. A grant older than the one known, of any session, changes nothing.
-    void merge(Millis now, const std::vector<SharedLease>& leases);
+    void merge(Millis now, const std::vector<ReportedLease>& leases);
     // The live leases granted here, by name: what the other members are told again and again, so that no loss matters.
-    std::vector<SharedLease> granted(Millis now) const;
+    std::vector<ReportedLease> granted(Millis now) const;
     // Those of them that were granted at or after `since`, and their ids.
     struct Granted {
         const Gateway* gateway;
@@ -85,7 +85,7 @@
     void look(Millis now);
 
     std::vector<Gateway> live(Millis now) const;            // by name
-    std::vector<SharedLease> liveLeases(Millis now) const;  // the same, with their ages
+    std::vector<ReportedLease> liveLeases(Millis now) const;  // the same, with their ages
     bool isLive(const std::string& name, Millis now) const { return find(name, now) != nullptr; }
     // What a gateway said last, while its lease runs; else nullptr. Holds until the next call that is not const.
     const Gateway* find(const std::string& name, Millis now) const;
--- a/src/leases/role_assignment.cpp
+++ b/src/leases/role_assignment.cpp
@@ -8,15 +8,15 @@
 
 namespace beechpoint::leases {
 
-std::uint64_t rendezvousWeight(std::string_view duty, std::string_view member) {
-    const std::uint64_t seed = XXH64(duty.data(), duty.size(), 0);
+std::uint64_t rendezvousWeight(std::string_view role, std::string_view member) {
+    const std::uint64_t seed = XXH64(role.data(), role.size(), 0);
     return XXH64(member.data(), member.size(), seed);
 }
 
-std::vector<std::string> rendezvousOrder(std::string_view duty, std::vector<std::string> members) {
-    const auto before = [duty](const std::string& one, const std::string& other) {
-        const std::uint64_t weightOfOne = rendezvousWeight(duty, one);
-        const std::uint64_t weightOfOther = rendezvousWeight(duty, other);
+std::vector<std::string> rendezvousOrder(std::string_view role, std::vector<std::string> members) {
+    const auto before = [role](const std::string& one, const std::string& other) {
+        const std::uint64_t weightOfOne = rendezvousWeight(role, one);
+        const std::uint64_t weightOfOther = rendezvousWeight(role, other);
         if (weightOfOne != weightOfOther) return weightOfOne > weightOfOther;
         return one < other;
     };
@@ -24,9 +24,9 @@
     return members;
 }
 
-std::size_t rendezvousRank(std::string_view duty, const std::vector<std::string>& members,
+std::size_t rendezvousRank(std::string_view role, const std::vector<std::string>& members,
                            std::string_view member) {
-    const std::vector<std::string> order = rendezvousOrder(duty, members);
+    const std::vector<std::string> order = rendezvousOrder(role, members);
     const auto place = std::find(order.begin(), order.end(), member);
     return static_cast<std::size_t>(place - order.begin());
 }
--- a/src/leases/role_assignment.hpp
+++ b/src/leases/role_assignment.hpp
@@ -10,13 +10,13 @@
 namespace beechpoint::leases {
 
 // Weight of a member for a duty; the same on every machine and build.
-std::uint64_t rendezvousWeight(std::string_view duty, std::string_view member);
+std::uint64_t rendezvousWeight(std::string_view role, std::string_view member);
 
 // The members in the order in which they are to hold the duty: the first does, the next when that one fails.
-std::vector<std::string> rendezvousOrder(std::string_view duty, std::vector<std::string> members);
+std::vector<std::string> rendezvousOrder(std::string_view role, std::vector<std::string> members);
 
 // Place of `member` in that order; members.size() where it is not among them.
-std::size_t rendezvousRank(std::string_view duty, const std::vector<std::string>& members,
+std::size_t rendezvousRank(std::string_view role, const std::vector<std::string>& members,
                            std::string_view member);
 
 }  // namespace beechpoint::leases
--- a/src/raft/leader_election.cpp
+++ b/src/raft/leader_election.cpp
@@ -8,13 +8,13 @@
 
 namespace beechpoint::raft {
 
-bool Ledger::votes() const { return role_ >= Role::follower && isVoter(self_); }
+bool RaftConsensus::votes() const { return role_ >= Role::follower && isVoter(self_); }
 
-void Ledger::armElection(Millis now) {
+void RaftConsensus::armElection(Millis now) {
     electionAt_ = now + options_.electionFrom + draw_() * (options_.electionTo - options_.electionFrom);
 }
 
-void Ledger::newTerm(Term term, Actions& out) {
+void RaftConsensus::newTerm(Term term, Actions& out) {
     if (term <= term_) return;
     term_ = term;
     promised_ = std::max(promised_, term);
@@ -24,7 +24,7 @@
     out.keep = true;
 }
 
-void Ledger::follow(Millis now, const char* why, Actions& out) {
+void RaftConsensus::follow(Millis now, const char* why, Actions& out) {
     if (role_ == Role::leader) {
         ++counters_.stepsDown;
         out.notes.push_back(fmt::format("ledger: no longer leader of term {}: {}", term_, why));
@@ -37,7 +37,7 @@
     armElection(now);
 }
 
-void Ledger::startPreVote(Millis now, Actions& out) {
+void RaftConsensus::startPreVote(Millis now, Actions& out) {
     if (!options_.safeguards.preVote) return startElection(now, out);
     role_ = Role::preCandidate;
     leader_.clear();
@@ -50,7 +50,7 @@
     sendVoters(PreVote{asked_, last(), termAt(last())}, out);
 }
 
-void Ledger::startElection(Millis now, Actions& out) {
+void RaftConsensus::startElection(Millis now, Actions& out) {
     ++counters_.elections;
     newTerm(options_.safeguards.preVote ? asked_ : term_ + 1, out);
     role_ = Role::candidate;
@@ -58,10 +58,10 @@
     yes_ = {self_};
     armElection(now);
     if (yes_.size() >= majority()) return lead(now, out);
-    sendVoters(VoteAsk{term_, last(), termAt(last())}, out);
+    sendVoters(VoteRequest{term_, last(), termAt(last())}, out);
 }
 
-void Ledger::lead(Millis now, Actions& out) {
+void RaftConsensus::lead(Millis now, Actions& out) {
     ++counters_.led;
     role_ = Role::leader;
     leader_ = self_;
@@ -81,7 +81,7 @@
     settle(now, out);
 }
 
-void Ledger::on(Millis now, const Message& message, const PreVote& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message& message, const PreVote& body, Actions& out) {
     if (!votes()) return;
     const bool hears = role_ == Role::leader || now - heard_ < options_.electionFrom;
     const bool yes = !hears && body.term > term_ && upToDate(body.last, body.lastTerm);
@@ -89,14 +89,14 @@
     send(message.from, PreVoteReply{body.term, yes, std::max(term_, promised_)}, out);
 }
 
-void Ledger::on(Millis now, const Message& message, const PreVoteReply& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message& message, const PreVoteReply& body, Actions& out) {
     if (!body.yes) seen_ = std::max(seen_, body.known);
     if (role_ != Role::preCandidate || body.term != asked_ || !body.yes || !isVoter(message.from)) return;
     yes_.insert(message.from);
     if (yes_.size() >= majority()) startElection(now, out);
 }
 
-void Ledger::on(Millis now, const Message& message, const VoteAsk& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message& message, const VoteRequest& body, Actions& out) {
     if (!votes()) return;
     // Who hears a leader is not drawn into an election by one that doesn't, or that was taken out.
     if (options_.safeguards.preVote && (role_ == Role::leader || now - heard_ < options_.electionFrom))
@@ -115,7 +115,7 @@
     send(message.from, VoteReply{term_, yes}, out);
 }
 
-void Ledger::on(Millis now, const Message& message, const VoteReply& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message& message, const VoteReply& body, Actions& out) {
     if (!votes()) return;
     if (body.term > term_) {
         newTerm(body.term, out);
--- a/src/raft/log.cpp
+++ b/src/raft/log.cpp
@@ -9,35 +9,35 @@
 
 namespace beechpoint::raft {
 
-Term Ledger::termAt(Index index) const {
+Term RaftConsensus::termAt(Index index) const {
     if (index == base_) return baseTerm_;
     return index < base_ || index > last() ? 0 : at(index).term;
 }
 
-Digest Ledger::digestAt(Index index) const {
+Digest RaftConsensus::digestAt(Index index) const {
     if (index == base_) return baseDigest_;
     return index < base_ || index > last() ? 0 : log_[index - base_ - 1].digest;
 }
 
-void Ledger::append(Entry entry) {
+void RaftConsensus::append(Entry entry) {
     const Digest digest = chainDigest(digestAt(last()), entry);
     if (entry.kind == Kind::voters) voters_ = splitNames(entry.data);
     log_.push_back({std::move(entry), digest});
 }
 
-void Ledger::cutFrom(Index index) {
+void RaftConsensus::cutFrom(Index index) {
     while (last() >= index && !log_.empty()) log_.pop_back();
     early_.clear();
     matched_ = std::min(matched_, last());  // what is gone here is settled here no more, whatever was equal
     setVoters();
 }
 
-bool Ledger::upToDate(Index last, Term lastTerm) const {
+bool RaftConsensus::upToDate(Index last, Term lastTerm) const {
     const Term own = termAt(this->last());
     return lastTerm > own || (lastTerm == own && last >= this->last());
 }
 
-bool Ledger::take(Index prev, Digest prevDigest, bool holds, const Entry& entry, Actions& out) {
+bool RaftConsensus::take(Index prev, Digest prevDigest, bool holds, const Entry& entry, Actions& out) {
     if (prev < base_) return holds ? prev + 1 <= base_ : true;  // settled here long ago
     if (prev > last() || digestAt(prev) != prevDigest) {
         // What is settled can't differ while the rules hold: a damaged copy, or an old folder put back.
@@ -62,7 +62,7 @@
     return true;
 }
 
-void Ledger::applySettled(Actions& out) {
+void RaftConsensus::applySettled(Actions& out) {
     while (applied_ < commit_) {
         const Entry& e = at(++applied_);
         if (e.kind == Kind::command) machine_.apply(applied_, e.term, e.data);
--- a/src/raft/log_catch_up.cpp
+++ b/src/raft/log_catch_up.cpp
@@ -15,7 +15,7 @@
 
 // Two steps, so that those a little behind still find their entries here: a point is marked, and the cut comes to
 // it once as many again are settled.
-void Ledger::cut() {
+void RaftConsensus::cut() {
     if (log_.size() <= options_.mostEntries) return;
     if (point_.index > base_) {
         baseTerm_ = termAt(point_.index), baseDigest_ = digestAt(point_.index);
@@ -33,22 +33,22 @@
     point_ = {applied_, joinNames(then) + "\n" + machine_.save()};
 }
 
-void Ledger::sendPiece(const std::string& to, std::uint32_t offset, Actions& out) {
+void RaftConsensus::sendSnapshotChunk(const std::string& to, std::uint32_t offset, Actions& out) {
     if (offset > saved_.size()) return;
-    Piece p{term_,
+    SnapshotChunk p{term_,
             base_,
             baseTerm_,
             baseDigest_,
             XXH3_64bits(saved_.data(), saved_.size()),
             offset,
             static_cast<std::uint32_t>(saved_.size()),
-            saved_.substr(offset, kPiece)};
+            saved_.substr(offset, kSnapshotChunkBytes)};
     send(to, std::move(p), out);
 }
 
-void Ledger::on(Millis now, const Message& message, const Piece& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message& message, const SnapshotChunk& body, Actions& out) {
     if (number_ == 0 || role_ == Role::leader || body.total > (1U << 24) || body.offset > body.total) return;
-    if (body.index <= commit_) return send(message.from, PieceReply{term_, body.index, body.total}, out);
+    if (body.index <= commit_) return send(message.from, SnapshotChunkReply{term_, body.index, body.total}, out);
     if (incoming_.index != body.index || incoming_.digest != body.digest || incoming_.sum != body.sum)
         incoming_ = {body.index, body.digest, body.sum, ""};
     if (body.offset == incoming_.bytes.size() && body.offset + body.bytes.size() <= body.total)
@@ -57,14 +57,14 @@
         if (XXH3_64bits(incoming_.bytes.data(), incoming_.bytes.size()) == body.sum) install(now, body, out);
         const bool done = commit_ >= body.index;
         incoming_ = {};
-        return send(message.from, PieceReply{term_, body.index, done ? body.total : 0}, out);
+        return send(message.from, SnapshotChunkReply{term_, body.index, done ? body.total : 0}, out);
     }
-    send(message.from, PieceReply{term_, body.index, static_cast<std::uint32_t>(incoming_.bytes.size())},
+    send(message.from, SnapshotChunkReply{term_, body.index, static_cast<std::uint32_t>(incoming_.bytes.size())},
          out);
 }
 
 // The first line of what is saved names the voters at that point; the rest is the machine's.
-void Ledger::install(Millis now, const Piece& body, Actions& out) {
+void RaftConsensus::install(Millis now, const SnapshotChunk& body, Actions& out) {
     // A snapshot that comes late may stand for less than this log holds. What follows in the log was acknowledged and may
     // be settled by that: it stays. That the entries up to the snapshot's are settled is all that is new.
     if (body.index <= last() && digestAt(body.index) == body.digest) {
@@ -94,7 +94,7 @@
     roleByVoters(now, out);
 }
 
-void Ledger::on(Millis now, const Message& message, const PieceReply& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message& message, const SnapshotChunkReply& body, Actions& out) {
     const auto f = followers_.find(message.from);
     if (leads() && f != followers_.end()) {
         if (body.index != base_) {
@@ -110,12 +110,12 @@
             return sendTo(now, message.from, out, true);
         }
     }
-    if (body.index == base_ && body.offset < saved_.size()) sendPiece(message.from, body.offset, out);
+    if (body.index == base_ && body.offset < saved_.size()) sendSnapshotChunk(message.from, body.offset, out);
 }
 
-void Ledger::on(Millis, const Message& message, const Pull& body, Actions& out) {
+void RaftConsensus::on(Millis, const Message& message, const Pull& body, Actions& out) {
     if (!votes() || (message.number != 0 && message.number != number_)) return;
-    if (body.last < base_) return sendPiece(message.from, 0, out);
+    if (body.last < base_) return sendSnapshotChunk(message.from, 0, out);
     Index from = std::min(body.last, commit_);
     Tail t{from, digestAt(from), commit_, false, {}};
     if (from >= commit_) return send(message.from, t, out);
@@ -125,7 +125,7 @@
     }
 }
 
-void Ledger::on(Millis now, const Message&, const Tail& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message&, const Tail& body, Actions& out) {
     if (role_ != Role::learner) return;
     leader_.clear();
     // Entries of a time as a voter that were never settled are replaced where they differ, and stay where they don't.
--- a/src/raft/log_file.cpp
+++ b/src/raft/log_file.cpp
@@ -81,8 +81,8 @@
     return "?";
 }
 
-std::string Journal::whole(const Ledger& l) {
-    const Kept k = l.kept();
+std::string Journal::whole(const RaftConsensus& l) {
+    const PersistentState k = l.kept();
     SavedEntries entries;
     for (const Entry& e : k.entries) entries.push_back(saved(e));
     const std::string body =
@@ -93,7 +93,7 @@
     return out + body;
 }
 
-Write Journal::changes(const Ledger& l, std::size_t mostLog) {
+Write Journal::changes(const RaftConsensus& l, std::size_t mostLog) {
     const bool moved = l.base() != base_ || l.digestAt(l.base()) != baseDigest_;
     Write w;
     if (!any_ || moved || l.number() != groupNumber_ || logged_ > mostLog) {
@@ -157,7 +157,7 @@
         return r;
     }
     if (std::get<0>(*w) != group || std::get<1>(*w) != self) return r.how = Reading::foreign, r;
-    Kept k;
+    PersistentState k;
     r.generation = std::get<2>(*w);
     k.number = std::get<3>(*w), k.term = std::get<4>(*w), k.promised = std::get<5>(*w),
     k.vote = std::get<6>(*w);
--- a/src/raft/log_file.hpp
+++ b/src/raft/log_file.hpp
@@ -31,14 +31,14 @@
 public:
     // Generations come from the member's life, which never comes twice: so no log that an earlier life left lying about is
     // ever taken for one of this life's.
-    Journal(std::string group, std::string self, Life life)
-        : group_(std::move(group)), self_(std::move(self)), generation_(life) {}
+    Journal(std::string group, std::string self, ProcessIncarnation processIncarnation)
+        : group_(std::move(group)), self_(std::move(self)), generation_(processIncarnation) {}
 
     // What changed since the call before; the first one gives the whole. Above `mostLog` bytes of log: the whole anew.
-    Write changes(const Ledger& ledger, std::size_t mostLog = 128 * 1024);
+    Write changes(const RaftConsensus& raft, std::size_t mostLog = 128 * 1024);
 
 private:
-    std::string whole(const Ledger& ledger);
+    std::string whole(const RaftConsensus& raft);
 
     std::string group_, self_;
     std::uint64_t generation_;
@@ -60,7 +60,7 @@
 struct Read {
     Reading how = Reading::none;
     std::uint64_t generation = 0;
-    std::optional<Kept> kept;  // where sound or cut short
+    std::optional<PersistentState> kept;  // where sound or cut short
 };
 // The whole's generation alone, to find its log by; 0: it can't be read.
 std::uint64_t generationOf(std::string_view whole);
--- a/src/raft/log_replication.cpp
+++ b/src/raft/log_replication.cpp
@@ -13,8 +13,8 @@
 constexpr std::uint64_t kSilent = 3;  // rounds without an answer: from then on one message a round
 }  // namespace
 
-std::optional<Index> Ledger::propose(Millis now, const std::string& data, Actions& out) {
-    if (!leads() || data.size() > kMostData) return std::nullopt;
+std::optional<Index> RaftConsensus::propose(Millis now, const std::string& data, Actions& out) {
+    if (!leads() || data.size() > kMaxEntryBytes) return std::nullopt;
     append({term_, Kind::command, data});
     out.keep = true;
     const Index index = last();
@@ -25,16 +25,16 @@
 }
 
 // With the next signs, a heartbeat off at the most: one round proves it for all who ask meanwhile, however many they are.
-void Ledger::confirm(Millis, std::uint64_t token, Actions&) {
+void RaftConsensus::confirm(Millis, std::uint64_t token, Actions&) {
     if (leads()) waiting_[round_ + 1].push_back(token);
 }
 
-void Ledger::sendTo(Millis, const std::string& name, Actions& out, bool sign) {
+void RaftConsensus::sendTo(Millis, const std::string& name, Actions& out, bool sign) {
     Follower& f = followers_[name];
     if (f.next <= base_) {
         if (sign) {
             send(name, Append{term_, 0, 0, 0, round_, false, {}}, out);
-            sendPiece(name, f.offset, out);
+            sendSnapshotChunk(name, f.offset, out);
         }
         return;
     }
@@ -48,7 +48,7 @@
     while (!f.probing && f.next <= last() && f.next <= f.has + options_.window) one();
 }
 
-void Ledger::signs(Millis now, Actions& out) {
+void RaftConsensus::signs(Millis now, Actions& out) {
     ++round_;
     signsAt_ = now + options_.heartbeat;
     for (auto it = followers_.begin(); it != followers_.end();) {
@@ -68,7 +68,7 @@
     checkConfirmed(out);
 }
 
-void Ledger::checkConfirmed(Actions& out) {
+void RaftConsensus::checkConfirmed(Actions& out) {
     while (!waiting_.empty()) {
         const std::uint64_t round = waiting_.begin()->first;
         std::size_t count = 0;
@@ -80,7 +80,7 @@
     }
 }
 
-void Ledger::settle(Millis now, Actions& out) {
+void RaftConsensus::settle(Millis now, Actions& out) {
     for (Index n = last(); n > commit_; --n) {
         if (options_.safeguards.ownTermCommit && termAt(n) != term_) break;
         std::size_t count = 0;
@@ -94,7 +94,7 @@
     }
 }
 
-void Ledger::on(Millis now, const Message& message, const Append& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message& message, const Append& body, Actions& out) {
     if (number_ == 0) return;  // which group it is is told by answers to own questions alone
     AppendReply reply{term_, false, last(), body.round, votes()};
     if (body.term < term_) return send(message.from, reply, out);
@@ -133,7 +133,7 @@
     send(message.from, reply, out);
 }
 
-void Ledger::on(Millis now, const Message& message, const AppendReply& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message& message, const AppendReply& body, Actions& out) {
     if (body.term > term_ && role_ >= Role::follower && isVoter(message.from)) {
         newTerm(body.term, out);
         return follow(now, "a newer term", out);
--- a/src/raft/messages.hpp
+++ b/src/raft/messages.hpp
@@ -11,12 +11,12 @@
 using Index = std::uint64_t;   // of an entry, from 1; 0: before the first
 using Term = std::uint64_t;    // a leader's time in office, from 1
 using Digest = std::uint64_t;  // over all entries up to one, in order
-using Life = std::uint64_t;    // one start of a process; never used twice
+using ProcessIncarnation = std::uint64_t;    // one start of a process; never used twice
 
-inline constexpr std::size_t kMostData = 140;  // bytes of an entry: with all that goes with it, one datagram
-inline constexpr std::size_t kMostVoters = 7;
-inline constexpr std::size_t kMostName = 19;  // bytes of a member's name
-inline constexpr std::size_t kPiece = 130;    // bytes of a snapshot in one message
+inline constexpr std::size_t kMaxEntryBytes = 140;  // bytes of an entry: with all that goes with it, one datagram
+inline constexpr std::size_t kMaxVoters = 7;
+inline constexpr std::size_t kMaxMemberNameBytes = 19;  // bytes of a member's name
+inline constexpr std::size_t kSnapshotChunkBytes = 130;    // bytes of a snapshot in one message
 
 enum class Kind : std::uint8_t {
     begin,    // a leader's first; means nothing
@@ -43,7 +43,7 @@
     bool yes = false;
     Term known = 0;  // the newest that the answerer knows
 };
-struct VoteAsk {
+struct VoteRequest {
     Term term = 0;
     Index last = 0;
     Term lastTerm = 0;
@@ -69,7 +69,7 @@
     bool counts = false;  // it is a voter with its memory whole
 };
 // A voter that lost its memory asks how things stand; the nonce makes old answers worthless.
-struct StateAsk {
+struct StateRequest {
     std::uint64_t nonce = 0;
 };
 enum class Standing : std::uint8_t { empty, recovering, normal };
@@ -86,9 +86,9 @@
 // The group begins, by an operator's word: only at that very life of an empty member.
 struct Found {
     std::uint64_t number = 0;
-    Life life = 0;
+    ProcessIncarnation processIncarnation = 0;
 };
-struct Piece {  // of a snapshot
+struct SnapshotChunk {  // of a snapshot
     Term term = 0;
     Index index = 0;  // that it stands for
     Term indexTerm = 0;
@@ -97,7 +97,7 @@
     std::uint32_t offset = 0, total = 0;
     std::string bytes;
 };
-struct PieceReply {
+struct SnapshotChunkReply {
     Term term = 0;
     Index index = 0;
     std::uint32_t offset = 0;  // wanted next
@@ -114,12 +114,12 @@
     Entry entry;
 };
 
-using Body = std::variant<PreVote, PreVoteReply, VoteAsk, VoteReply, Append, AppendReply, StateAsk,
-                          StateReply, Found, Piece, PieceReply, Pull, Tail>;
+using Body = std::variant<PreVote, PreVoteReply, VoteRequest, VoteReply, Append, AppendReply, StateRequest,
+                          StateReply, Found, SnapshotChunk, SnapshotChunkReply, Pull, Tail>;
 
 struct Message {
     std::string from, to;
-    Life life = 0;             // of the sender
+    ProcessIncarnation processIncarnation = 0;             // of the sender
     std::uint64_t number = 0;  // of the sender's group; 0: not founded
     Body body;
 };
--- a/src/raft/raft_consensus.cpp
+++ b/src/raft/raft_consensus.cpp
@@ -31,18 +31,18 @@
     return "?";
 }
 
-Ledger::Ledger(Options options, std::string self, Life life, std::vector<std::string> voters,
-               std::uint64_t seed, Millis now, Machine& machine, const std::optional<Kept>& kept)
+RaftConsensus::RaftConsensus(Options options, std::string self, ProcessIncarnation processIncarnation, std::vector<std::string> voters,
+               std::uint64_t seed, Millis now, Machine& machine, const std::optional<PersistentState>& kept)
     : options_(options),
       self_(std::move(self)),
-      life_(life),
+      processIncarnation_(processIncarnation),
       firstVoters_(std::move(voters)),
       draw_(seed),
       machine_(machine),
       baseVoters_(firstVoters_),
       voters_(firstVoters_),
       askAt_(now),
-      nonce_(life) {
+      nonce_(processIncarnation) {
     if (kept && kept->number != 0) {
         joins(kept->number);
         term_ = kept->term;
@@ -64,17 +64,17 @@
     armElection(now);
 }
 
-bool Ledger::readable(const Kept& kept, Machine& machine) {
+bool RaftConsensus::readable(const PersistentState& kept, Machine& machine) {
     return kept.base == 0 || machine.load(kept.saved.substr(kept.saved.find('\n') + 1));
 }
 
-Kept Ledger::kept() const {
-    Kept k{number_, term_, promised_, vote_, base_, baseTerm_, baseDigest_, saved_, baseVoters_, {}};
+PersistentState RaftConsensus::kept() const {
+    PersistentState k{number_, term_, promised_, vote_, base_, baseTerm_, baseDigest_, saved_, baseVoters_, {}};
     for (const Held& h : log_) k.entries.push_back(h.entry);
     return k;
 }
 
-Millis Ledger::next() const {
+Millis RaftConsensus::next() const {
     switch (role_) {
         case Role::leader:
             return std::min(signsAt_, electionAt_);
@@ -87,7 +87,7 @@
     }
 }
 
-void Ledger::advance(Millis now, Actions& out) {
+void RaftConsensus::advance(Millis now, Actions& out) {
     if (role_ == Role::leader) {
         if (now >= electionAt_) {  // who can't be heard by a majority leads nobody
             armElection(now);
@@ -101,7 +101,7 @@
         if (now < askAt_) return;
         askAt_ = now + options_.pull * (0.8 + 0.4 * draw_());
         if (voters_.empty()) return;
-        if (number_ == 0) return sendVoters(StateAsk{nonce_}, out);
+        if (number_ == 0) return sendVoters(StateRequest{nonce_}, out);
         const std::string& to = voters_[draw_.below(voters_.size())];
         send(to, Pull{commit_, digestAt(commit_)}, out);
     } else if (role_ == Role::empty || role_ == Role::recovering) {
@@ -113,10 +113,10 @@
 
 // A sender's new life holds nothing of what the one before had said it holds. Lives have no order: a datagram from an
 // earlier one that comes late only makes this ask anew. That such a message does no harm is shown in docs/group.md.
-void Ledger::noteLife(const Message& message) {
-    Life& known = lives_[message.from];
-    if (std::exchange(known, message.life) == message.life) return;
-    ++counters_.lives;
+void RaftConsensus::recordIncarnation(const Message& message) {
+    ProcessIncarnation& known = processIncarnations_[message.from];
+    if (std::exchange(known, message.processIncarnation) == message.processIncarnation) return;
+    ++counters_.processIncarnations;
     const auto f = followers_.find(message.from);
     if (f == followers_.end()) return;
     const std::uint64_t round = f->second.round;
@@ -127,13 +127,13 @@
     f->second.heard = heard;
 }
 
-void Ledger::receive(Millis now, const Message& message, Actions& out) {
+void RaftConsensus::receive(Millis now, const Message& message, Actions& out) {
     const bool opening =
-        std::holds_alternative<StateAsk>(message.body) || std::holds_alternative<StateReply>(message.body) ||
+        std::holds_alternative<StateRequest>(message.body) || std::holds_alternative<StateReply>(message.body) ||
         std::holds_alternative<Found>(message.body) || std::holds_alternative<Pull>(message.body);
     if (message.from == self_) return;
     if (!opening && number_ != 0 && message.number != number_) return;
-    noteLife(message);
+    recordIncarnation(message);
     std::visit([&](const auto& body) { on(now, message, body, out); }, message.body);
 }
 
--- a/src/raft/raft_consensus.hpp
+++ b/src/raft/raft_consensus.hpp
@@ -57,7 +57,7 @@
 };
 
 // What must not be forgotten over a restart, where a folder lasts. Kept before any message of that step leaves.
-struct Kept {
+struct PersistentState {
     std::uint64_t number = 0;
     Term term = 0, promised = 0;
     std::string vote;
@@ -96,14 +96,14 @@
 };
 
 struct Counters {
-    std::uint64_t elections = 0, led = 0, stepsDown = 0, conflicts = 0, lives = 0, snapshots = 0;
+    std::uint64_t elections = 0, led = 0, stepsDown = 0, conflicts = 0, processIncarnations = 0, snapshots = 0;
 };
 
-class Ledger {
+class RaftConsensus {
 public:
     // `voters`: the set that a new group begins with, the same at all members. `kept`: from a folder that lasts.
-    Ledger(Options options, std::string self, Life life, std::vector<std::string> voters, std::uint64_t seed,
-           Millis now, Machine& machine, const std::optional<Kept>& kept = std::nullopt);
+    RaftConsensus(Options options, std::string self, ProcessIncarnation processIncarnation, std::vector<std::string> voters, std::uint64_t seed,
+           Millis now, Machine& machine, const std::optional<PersistentState>& kept = std::nullopt);
 
     void receive(Millis now, const Message& message, Actions& out);
     void advance(Millis now, Actions& out);
@@ -138,9 +138,9 @@
     bool isVoter(const std::string& name) const;
     std::size_t entries() const { return log_.size(); }  // kept
     const Counters& counters() const { return counters_; }
-    Kept kept() const;
+    PersistentState kept() const;
     // Whether the state kept is one that the machine can read; `machine` is left as it was, or with that state.
-    static bool readable(const Kept& kept, Machine& machine);
+    static bool readable(const PersistentState& kept, Machine& machine);
     // What kept() holds, piece by piece.
     Term promised() const { return promised_; }
     const std::string& vote() const { return vote_; }
@@ -190,31 +190,31 @@
     void checkConfirmed(Actions& out);
     void askState(Millis now, Actions& out);
     void tryRecover(Millis now, Actions& out);
-    void noteLife(const Message& message);
+    void recordIncarnation(const Message& message);
     // Takes what follows `prev`; false: this log does not hold prev, or holds another.
     bool take(Index prev, Digest prevDigest, bool holds, const Entry& entry, Actions& out);
     void setVoters();
     void roleByVoters(Millis now, Actions& out);
-    void sendPiece(const std::string& to, std::uint32_t offset, Actions& out);
-    void install(Millis now, const Piece& body, Actions& out);
+    void sendSnapshotChunk(const std::string& to, std::uint32_t offset, Actions& out);
+    void install(Millis now, const SnapshotChunk& body, Actions& out);
 
     void on(Millis now, const Message& message, const PreVote& body, Actions& out);
     void on(Millis now, const Message& message, const PreVoteReply& body, Actions& out);
-    void on(Millis now, const Message& message, const VoteAsk& body, Actions& out);
+    void on(Millis now, const Message& message, const VoteRequest& body, Actions& out);
     void on(Millis now, const Message& message, const VoteReply& body, Actions& out);
     void on(Millis now, const Message& message, const Append& body, Actions& out);
     void on(Millis now, const Message& message, const AppendReply& body, Actions& out);
-    void on(Millis now, const Message& message, const StateAsk& body, Actions& out);
+    void on(Millis now, const Message& message, const StateRequest& body, Actions& out);
     void on(Millis now, const Message& message, const StateReply& body, Actions& out);
     void on(Millis now, const Message& message, const Found& body, Actions& out);
-    void on(Millis now, const Message& message, const Piece& body, Actions& out);
-    void on(Millis now, const Message& message, const PieceReply& body, Actions& out);
+    void on(Millis now, const Message& message, const SnapshotChunk& body, Actions& out);
+    void on(Millis now, const Message& message, const SnapshotChunkReply& body, Actions& out);
     void on(Millis now, const Message& message, const Pull& body, Actions& out);
     void on(Millis now, const Message& message, const Tail& body, Actions& out);
 
     Options options_;
     std::string self_;
-    Life life_;
+    ProcessIncarnation processIncarnation_;
     std::vector<std::string> firstVoters_;
     SplitMix draw_;
     Machine& machine_;
@@ -247,10 +247,10 @@
 
     std::uint64_t nonce_ = 0, founding_ = 0;
     Millis foundUntil_ = 0;
-    std::map<std::string, Life> foundedAt_;  // whom this member founded the group at
+    std::map<std::string, ProcessIncarnation> foundedAt_;  // whom this member founded the group at
     struct Answer {
         StateReply reply;
-        Life life = 0;
+        ProcessIncarnation processIncarnation = 0;
     };
     std::map<std::string, Answer> answers_;
 
@@ -260,7 +260,7 @@
         std::uint64_t sum = 0;
         std::string bytes;
     } incoming_;
-    std::map<std::string, Life> lives_;  // as last heard
+    std::map<std::string, ProcessIncarnation> processIncarnations_;  // as last heard
     Counters counters_;
 };
 
--- a/src/raft/raft_consensus_detail.hpp
+++ b/src/raft/raft_consensus_detail.hpp
@@ -39,12 +39,12 @@
 }
 
 template <class T>
-void Ledger::send(const std::string& to, T body, Actions& out) {
-    if (to != self_) out.send.push_back({self_, to, life_, number_, std::move(body)});
+void RaftConsensus::send(const std::string& to, T body, Actions& out) {
+    if (to != self_) out.send.push_back({self_, to, processIncarnation_, number_, std::move(body)});
 }
 
 template <class T>
-void Ledger::sendVoters(const T& body, Actions& out) {
+void RaftConsensus::sendVoters(const T& body, Actions& out) {
     for (const std::string& name : voters_) send(name, body, out);
 }
 
--- a/src/raft/state_recovery.cpp
+++ b/src/raft/state_recovery.cpp
@@ -15,12 +15,12 @@
 constexpr char kNoVote = '?';       // no vote in this term: what was done in it is forgotten
 }  // namespace
 
-void Ledger::joins(std::uint64_t number) {
+void RaftConsensus::joins(std::uint64_t number) {
     number_ = number;
     if (number != 0) machine_.begin(number);
 }
 
-void Ledger::askState(Millis now, Actions& out) {
+void RaftConsensus::askState(Millis now, Actions& out) {
     askAt_ = now + kAsk * (0.8 + 0.4 * draw_());
     if (!options_.safeguards.recovery && number_ != 0) {
         role_ = Role::follower;
@@ -29,11 +29,11 @@
     std::set<std::string> ask(voters_.begin(), voters_.end());
     ask.insert(firstVoters_.begin(), firstVoters_.end());
     if (founding_ != 0 && now > foundUntil_) founding_ = 0;
-    for (const std::string& name : ask) send(name, StateAsk{nonce_}, out);
+    for (const std::string& name : ask) send(name, StateRequest{nonce_}, out);
     if (role_ == Role::recovering) tryRecover(now, out);
 }
 
-void Ledger::on(Millis, const Message& message, const StateAsk& body, Actions& out) {
+void RaftConsensus::on(Millis, const Message& message, const StateRequest& body, Actions& out) {
     StateReply r;
     r.nonce = body.nonce;
     r.standing = role_ == Role::empty && founding_ == 0 ? Standing::empty
@@ -43,11 +43,11 @@
     r.leads = leads(), r.last = last(), r.number = number_, r.voter = isVoter(message.from);
     if (role_ == Role::learner && number_ == 0) r.standing = Standing::empty;
     send(message.from, r, out);
-    if (const auto f = foundedAt_.find(message.from); f != foundedAt_.end() && f->second == message.life)
-        send(message.from, Found{number_, message.life}, out);  // the first was lost
+    if (const auto f = foundedAt_.find(message.from); f != foundedAt_.end() && f->second == message.processIncarnation)
+        send(message.from, Found{number_, message.processIncarnation}, out);  // the first was lost
 }
 
-void Ledger::on(Millis now, const Message& message, const StateReply& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message& message, const StateReply& body, Actions& out) {
     if (body.nonce != nonce_) return;
     if (role_ == Role::learner && number_ == 0) {
         joins(body.number);
@@ -61,7 +61,7 @@
         out.notes.push_back("ledger: others have a state; this member asks for it before it votes");
     }
     if (body.number != number_) return;
-    answers_[message.from] = {body, message.life};
+    answers_[message.from] = {body, message.processIncarnation};
     if (role_ == Role::recovering && body.leads && !body.voter) {  // taken out while it was away
         role_ = Role::learner;
         askAt_ = now;
@@ -79,15 +79,15 @@
     out.keep = true;
     for (const std::string& name : firstVoters_)
         if (name != self_) {
-            foundedAt_[name] = answers_[name].life;
-            send(name, Found{number_, answers_[name].life}, out);
+            foundedAt_[name] = answers_[name].processIncarnation;
+            send(name, Found{number_, answers_[name].processIncarnation}, out);
         }
     answers_.clear();
     armElection(now);
     out.notes.push_back(fmt::format("ledger: group founded under number {}", number_));
 }
 
-bool Ledger::found(Millis now, std::uint64_t number, Actions& out) {
+bool RaftConsensus::found(Millis now, std::uint64_t number, Actions& out) {
     if (role_ != Role::empty || number == 0) return false;
     founding_ = number;
     foundUntil_ = now + kFounding;
@@ -102,8 +102,8 @@
     return true;
 }
 
-void Ledger::on(Millis now, const Message&, const Found& body, Actions& out) {
-    if (body.life != life_ || body.number == 0 || (role_ != Role::empty && role_ != Role::recovering)) return;
+void RaftConsensus::on(Millis now, const Message&, const Found& body, Actions& out) {
+    if (body.processIncarnation != processIncarnation_ || body.number == 0 || (role_ != Role::empty && role_ != Role::recovering)) return;
     if (number_ != 0 && number_ != body.number) return;
     if (last() > 0 && !isVoter(self_)) return;
     joins(body.number);
@@ -113,7 +113,7 @@
     out.notes.push_back(fmt::format("ledger: group founded under number {}", number_));
 }
 
-void Ledger::tryRecover(Millis now, Actions& out) {
+void RaftConsensus::tryRecover(Millis now, Actions& out) {
     if (!isVoter(self_)) return;
     std::size_t whole = 0;
     Term newest = 0, promised = 0;
--- a/src/raft/voter_changes.cpp
+++ b/src/raft/voter_changes.cpp
@@ -13,9 +13,9 @@
 constexpr double kOfLate = 2.5;  // heartbeats
 }  // namespace
 
-bool Ledger::isVoter(const std::string& name) const { return contains(voters_, name); }
+bool RaftConsensus::isVoter(const std::string& name) const { return contains(voters_, name); }
 
-void Ledger::setVoters() {
+void RaftConsensus::setVoters() {
     for (auto e = log_.rbegin(); e != log_.rend(); ++e)
         if (e->entry.kind == Kind::voters) {
             voters_ = splitNames(e->entry.data);
@@ -26,7 +26,7 @@
 
 // A change of voters may make a learner of a voter, and the other way round. Who comes in may have been a voter
 // before and have forgotten it, so it recovers first.
-void Ledger::roleByVoters(Millis now, Actions& out) {
+void RaftConsensus::roleByVoters(Millis now, Actions& out) {
     if (role_ == Role::learner && isVoter(self_)) {
         role_ = options_.safeguards.recovery ? Role::recovering : Role::follower;
         askAt_ = now;
@@ -38,8 +38,8 @@
     }
 }
 
-bool Ledger::changeVoters(Millis now, std::vector<std::string> voters, Actions& out) {
-    if (!ready() || voters.empty() || voters.size() > kMostVoters) return false;
+bool RaftConsensus::changeVoters(Millis now, std::vector<std::string> voters, Actions& out) {
+    if (!ready() || voters.empty() || voters.size() > kMaxVoters) return false;
     for (Index i = commit_ + 1; i <= last(); ++i)
         if (at(i).kind == Kind::voters) return false;
     std::sort(voters.begin(), voters.end());
@@ -48,7 +48,7 @@
     std::set_symmetric_difference(old.begin(), old.end(), voters.begin(), voters.end(),
                                   std::back_inserter(differ));
     const std::string names = joinNames(voters);
-    if (differ.size() != 1 || names.size() > kMostData) return false;
+    if (differ.size() != 1 || names.size() > kMaxEntryBytes) return false;
     // All of the new set but a newcomer: one that is away or has forgotten is replaced, not outvoted. Else the new set may have no
     // majority with its memory: it could settle nothing, not even that it is the new set, and nobody could recover by it.
     for (const std::string& name : voters) {
--- a/src/replica/chain.cpp
+++ b/src/replica/chain.cpp
@@ -18,7 +18,7 @@
 // ---- Starting state
 
 void Chain::enterView(Millis now) {
-    settled_ = false;
+    installed_ = false;
     openingSeen_ = false;
     chained_ = 0;
     enteredAt_ = itemSince_ = now;
@@ -91,7 +91,7 @@
     std::optional<TableUpdate> update;
     if (view.findDisk(message.from))
         update = startFor(request);
-    else if (membership_.active() && settled_)
+    else if (membership_.active() && installed_)
         update = request.whole ? table_.whole() : table_.updateSince(request.position);
     if (update) outbox_.send(message.from.internalAddress, SyncReply{request.position, std::move(*update)});
 }
@@ -170,12 +170,12 @@
 
 // Passes the opening on as soon as this member holds the starting state and was told of the opening.
 void Chain::open(Millis now) {
-    if (!membership_.active() || !synced() || settled_) return;
+    if (!membership_.active() || !synced() || installed_) return;
     if (!membership_.isHead() && !openingSeen_) return;
     if (chained_ == 0) itemSince_ = now;
     chained_ = std::max<std::uint64_t>(chained_, 1);
     if (membership_.isTail()) {
-        settle(now);
+        installView(now);
         sendUp(membership_.view.start);
         return;
     }
@@ -183,8 +183,8 @@
     sendDown(Propose{true, {}, Batch{membership_.view.start, {}}});
 }
 
-void Chain::settle(Millis now) {
-    settled_ = true;
+void Chain::installView(Millis now) {
+    installed_ = true;
     chained_ = std::max<std::uint64_t>(chained_, 1);
     const Position before = servedPosition_;
     const bool oneBatch = table_.position() == before;
@@ -213,12 +213,12 @@
 // ---- Batches
 
 bool Chain::writable() const {
-    return membership_.active() && membership_.isHead() && settled_ && !pending_ && !write_ &&
+    return membership_.active() && membership_.isHead() && installed_ && !pending_ && !write_ &&
            !membership_.diskFailing && membership_.settings.tolerance.covers(membership_.view);
 }
 
 bool Chain::busy() const {
-    return write_ || pending_ || startPersisting_ || (membership_.index && !settled_);
+    return write_ || pending_ || startPersisting_ || (membership_.index && !installed_);
 }
 
 void Chain::write(Millis now, const ClientWrite& write) {
@@ -254,7 +254,7 @@
 
 // The batch is stored here: on to the successor, or committed at the tail.
 void Chain::forward(Millis now) {
-    if (!membership_.active() || !settled_ || !pending_ || !pendingStored_) return;
+    if (!membership_.active() || !installed_ || !pending_ || !pendingStored_) return;
     if (pending_->position.epoch != membership_.view.epoch) return;
     const std::uint64_t item = 1 + pending_->position.sequence - membership_.view.start.sequence;
     chained_ = std::max(chained_, item);
@@ -274,7 +274,7 @@
     if (!sameProcess(*from, message.from)) return;
     if (propose.opening) {
         openingSeen_ = true;
-        if (settled_)
+        if (installed_)
             sendUp(servedPosition_);
         else
             open(now);
@@ -282,7 +282,7 @@
     }
     if (!synced() || membership_.diskFailing) return;
     // The head proposes only in a settled epoch, and only after the batch before is committed.
-    if (!settled_) settle(now);
+    if (!installed_) installView(now);
     if (pending_ && pendingStored_ && propose.previous == pending_->position) commitPending(now);
     if (propose.batch.position <= table_.position()) {
         sendUp(table_.position());
@@ -306,8 +306,8 @@
     const Member* from = successor();
     if (message.epoch != membership_.view.epoch || !membership_.active() || !from) return;
     if (!sameProcess(*from, message.from) || !synced()) return;
-    if (!settled_) {
-        settle(now);
+    if (!installed_) {
+        installView(now);
         sendUp(servedPosition_);
     }
     if (pending_ && pendingStored_ && pending_->position.epoch == membership_.view.epoch &&
@@ -316,9 +316,9 @@
 }
 
 void Chain::onStatus(Millis now, const Message& message, const Status& status) {
-    if (message.epoch != membership_.view.epoch || !membership_.active() || !synced() || !status.settled)
+    if (message.epoch != membership_.view.epoch || !membership_.active() || !synced() || !status.installed)
         return;
-    if (!settled_) settle(now);
+    if (!installed_) installView(now);
     if (pending_ && pendingStored_ && pending_->position.epoch == membership_.view.epoch &&
         status.committed >= pending_->position)
         commitPending(now);
@@ -361,7 +361,7 @@
     if (write_ && now >= write_->deadline) finishWrite(WriteOutcome::unavailable);
     resolveStart(now);
     if (!membership_.active() || !membership_.isHead() || now < resendAt_) return;
-    if (!settled_)
+    if (!installed_)
         open(now);
     else if (pending_ && pendingStored_)
         forward(now);
@@ -371,8 +371,8 @@
 
 std::string Chain::stalledAt(Millis now, const FailureDetector& detector) const {
     if (!membership_.active() || !membership_.isHead() || chained_ == 0) return {};
-    if (settled_ && !(pending_ && pendingStored_)) return {};
-    const Millis limit = settled_ ? kStallAfter : kOpeningStallAfter;
+    if (installed_ && !(pending_ && pendingStored_)) return {};
+    const Millis limit = installed_ ? kStallAfter : kOpeningStallAfter;
     if (now - itemSince_ < limit) return {};
     for (const Member& member : membership_.view.members) {
         if (sameProcess(member, membership_.self)) continue;
@@ -385,12 +385,12 @@
 }
 
 bool Chain::isNear(Position position) const {
-    const std::optional<std::size_t> bytes = settled_ ? table_.bytesSince(position) : std::nullopt;
+    const std::optional<std::size_t> bytes = installed_ ? table_.bytesSince(position) : std::nullopt;
     return bytes && *bytes <= kNearBytes;
 }
 
 std::optional<TableUpdate> Chain::updateSince(Position position) const {
-    if (!settled_ || position > servedPosition_) return std::nullopt;
+    if (!installed_ || position > servedPosition_) return std::nullopt;
     return table_.updateSince(position);
 }
 
--- a/src/replica/chain.hpp
+++ b/src/replica/chain.hpp
@@ -41,10 +41,10 @@
     // Another process's status tells of commits whose message was lost.
     void onStatus(Millis now, const Message& message, const Status& status);
 
-    bool settled() const { return settled_; }
+    bool installed() const { return installed_; }
     bool writable() const;
     // No batch has waited here for long that may be committed elsewhere already.
-    bool upToDate(Millis now) const { return settled_ && (!pending_ || now - pendingSince_ <= kFreshFor); }
+    bool upToDate(Millis now) const { return installed_ && (!pending_ || now - pendingSince_ <= kFreshFor); }
     bool busy() const;  // something is on its way that a timer must look after
     std::uint64_t syncedEpoch() const { return syncedEpoch_; }
     std::uint64_t chained() const { return chained_; }
@@ -82,7 +82,7 @@
 
     // Opening.
     void open(Millis now);
-    void settle(Millis now);
+    void installView(Millis now);
 
     // Batches.
     void storePending(Millis now);
@@ -114,7 +114,7 @@
     Millis startRetryAt_ = 0;
     std::uint64_t syncAttempts_ = 0;
 
-    bool settled_ = false;
+    bool installed_ = false;
     bool openingSeen_ = false;
     std::uint64_t chained_ = 0;
     Millis enteredAt_ = 0;
--- a/src/replica/messages.hpp
+++ b/src/replica/messages.hpp
@@ -22,7 +22,7 @@
 // What a process says of itself. Other processes are named by their internal addresses.
 struct Status {
     bool sealed = false;   // has promised for the next epoch
-    bool settled = false;  // knows that all members of the epoch hold its starting state
+    bool installed = false;  // knows that all members of the epoch hold its starting state
     bool diskFailing = false;
     std::uint64_t syncedEpoch = 0;
     std::uint64_t chained = 0;  // items of the chain (opening, batches) stored in this epoch
@@ -46,16 +46,16 @@
 
 // Agreement on the view base.epoch + 1 among the members of `base` (among `founders` where base.epoch is 0).
 struct Prepare {
-    Ballot ballot;
+    ProposalNumber proposal;
     View base;
     std::vector<std::string> founders;  // control addresses, sorted
     bool observed = false;              // the proposer saw the cause itself; else it has it from reports
 };
 
 struct Promise {
-    Ballot ballot;
+    ProposalNumber proposal;
     std::uint64_t target = 0;  // epoch that is agreed on
-    Ballot accepted;
+    ProposalNumber accepted;
     std::optional<View> value;
     std::uint64_t syncedEpoch = 0;
     Position position;  // with the pending batch
@@ -65,20 +65,20 @@
 
 // The receiver of Prepare or Accept has promised a higher ballot, or sees no cause (then `promised` is empty).
 struct Refuse {
-    Ballot ballot;  // refused
+    ProposalNumber proposal;  // refused
     std::uint64_t target = 0;
-    Ballot promised;
+    ProposalNumber promised;
 };
 
 struct Accept {
-    Ballot ballot;
+    ProposalNumber proposal;
     View base;
     std::vector<std::string> founders;
     View value;
 };
 
 struct Accepted {
-    Ballot ballot;
+    ProposalNumber proposal;
     std::uint64_t target = 0;
 };
 
--- a/src/replica/read_barriers.cpp
+++ b/src/replica/read_barriers.cpp
@@ -17,7 +17,7 @@
     if (reads_.empty()) return;
     if (!membership_.active() || !membership_.isTail()) return failAll();
     if (now >= nextRoundAt()) detector_.startRound(now);
-    while (!reads_.empty() && chain_.settled() && reads_.front().round <= detector_.lastSequence() &&
+    while (!reads_.empty() && chain_.installed() && reads_.front().round <= detector_.lastSequence() &&
            detector_.vouchedSinceRound(reads_.front().round))
         finish(true);
     while (!reads_.empty() && now >= reads_.front().deadline) finish(false);
--- a/src/replica/replica.cpp
+++ b/src/replica/replica.cpp
@@ -83,7 +83,7 @@
         return std::ranges::any_of(view.members, [&](const Member& member) {
             const Peer* peer = detector_.find(member.internalAddress);
             return peer && sameProcess(peer->member, member) && peer->epoch == view.epoch &&
-                   peer->status.settled;
+                   peer->status.installed;
         });
     }
 
@@ -172,7 +172,7 @@
     Status status(Millis now) const {
         Status status;
         status.sealed = membership_.sealed;
-        status.settled = chain_.settled();
+        status.installed = chain_.installed();
         status.diskFailing = membership_.diskFailing;
         status.syncedEpoch = chain_.syncedEpoch();
         status.chained = chain_.chained();
--- a/src/replica/view.hpp
+++ b/src/replica/view.hpp
@@ -102,18 +102,18 @@
 bool uncountedMayGo(const std::vector<Member>& members, const Tolerance& tolerance);
 
 // Number of a proposal; unique, as a session never uses a round twice.
-struct Ballot {
+struct ProposalNumber {
     std::uint64_t round = 0;  // 0: none
     std::string member;
     std::uint64_t session = 0;
-    auto operator<=>(const Ballot&) const = default;
+    auto operator<=>(const ProposalNumber&) const = default;
 };
 
 // What a member has promised and accepted in the agreement on the view `epoch`.
 struct Vote {
     std::uint64_t epoch = 0;
-    Ballot promised;
-    Ballot accepted;
+    ProposalNumber promised;
+    ProposalNumber accepted;
     std::optional<View> value;  // accepted under `accepted`
     bool operator==(const Vote&) const = default;
 };
--- a/src/replica/view_agreement.cpp
+++ b/src/replica/view_agreement.cpp
@@ -12,15 +12,15 @@
     return true;
 }
 
-bool Acceptor::promise(std::uint64_t target, const Ballot& ballot) {
-    if (ballot.round == 0 || !open(target) || ballot < vote_.promised) return false;
-    vote_.promised = ballot;
+bool Acceptor::promise(std::uint64_t target, const ProposalNumber& proposal) {
+    if (proposal.round == 0 || !open(target) || proposal < vote_.promised) return false;
+    vote_.promised = proposal;
     return true;
 }
 
-bool Acceptor::accept(std::uint64_t target, const Ballot& ballot, const View& value) {
-    if (value.epoch != target || !promise(target, ballot)) return false;
-    vote_.accepted = ballot;
+bool Acceptor::accept(std::uint64_t target, const ProposalNumber& proposal, const View& value) {
+    if (value.epoch != target || !promise(target, proposal)) return false;
+    vote_.accepted = proposal;
     vote_.value = value;
     return true;
 }
@@ -29,10 +29,10 @@
     if (vote_.epoch <= epoch) vote_ = Vote{};
 }
 
-void Proposer::begin(Millis now, std::uint64_t target, Ballot ballot, std::size_t majority) {
+void Proposer::begin(Millis now, std::uint64_t target, ProposalNumber proposal, std::size_t majority) {
     phase_ = Phase::preparing;
     target_ = target;
-    ballot_ = std::move(ballot);
+    proposal_ = std::move(proposal);
     majority_ = majority;
     since_ = now;
     promises_.clear();
@@ -41,13 +41,13 @@
 
 bool Proposer::onPromise(const std::string& acceptor, const Member& from, const Promise& promise,
                          bool votes) {
-    if (phase_ != Phase::preparing || promise.target != target_ || promise.ballot != ballot_) return false;
+    if (phase_ != Phase::preparing || promise.target != target_ || promise.proposal != proposal_) return false;
     promises_.insert_or_assign(acceptor, ReceivedPromise{from, promise, votes});
     return true;
 }
 
 bool Proposer::onAccepted(const std::string& acceptor, const Accepted& accepted, bool votes) {
-    if (phase_ != Phase::accepting || accepted.target != target_ || accepted.ballot != ballot_) return false;
+    if (phase_ != Phase::accepting || accepted.target != target_ || accepted.proposal != proposal_) return false;
     accepted_[acceptor] = votes;
     return true;
 }
--- a/src/replica/view_agreement.hpp
+++ b/src/replica/view_agreement.hpp
@@ -19,15 +19,15 @@
     explicit Acceptor(Vote vote) : vote_(std::move(vote)) {}
 
     // True if the vote now promises this ballot (also when it did so before).
-    bool promise(std::uint64_t target, const Ballot& ballot);
+    bool promise(std::uint64_t target, const ProposalNumber& proposal);
     // True if the vote now holds this value under this ballot.
-    bool accept(std::uint64_t target, const Ballot& ballot, const View& value);
+    bool accept(std::uint64_t target, const ProposalNumber& proposal, const View& value);
     // A view of this epoch is decided: votes up to it have no further use.
     void decided(std::uint64_t epoch);
 
     const Vote& vote() const { return vote_; }
-    Ballot promisedFor(std::uint64_t target) const {
-        return vote_.epoch == target ? vote_.promised : Ballot{};
+    ProposalNumber promisedFor(std::uint64_t target) const {
+        return vote_.epoch == target ? vote_.promised : ProposalNumber{};
     }
     bool sealed(std::uint64_t epoch) const { return vote_.epoch == epoch + 1 && vote_.promised.round > 0; }
 
@@ -48,7 +48,7 @@
 public:
     enum class Phase { idle, preparing, accepting };
 
-    void begin(Millis now, std::uint64_t target, Ballot ballot, std::size_t majority);
+    void begin(Millis now, std::uint64_t target, ProposalNumber proposal, std::size_t majority);
     void stop() { phase_ = Phase::idle; }
     // Acceptors are named by a key that stands for one disk; only those that vote count towards the majority. False: not of the
     // present ballot and phase.
@@ -61,7 +61,7 @@
 
     Phase phase() const { return phase_; }
     std::uint64_t target() const { return target_; }
-    const Ballot& ballot() const { return ballot_; }
+    const ProposalNumber& proposal() const { return proposal_; }
     const View& value() const { return value_; }
     Millis since() const { return since_; }
     bool hasMajority() const;
@@ -71,7 +71,7 @@
 private:
     Phase phase_ = Phase::idle;
     std::uint64_t target_ = 0;
-    Ballot ballot_;
+    ProposalNumber proposal_;
     std::size_t majority_ = 0;
     Millis since_ = 0;
     View value_;
--- a/src/replica/view_change.cpp
+++ b/src/replica/view_change.cpp
@@ -119,19 +119,19 @@
     if (!mayVote(now, message, prepare.base, prepare.founders)) return;
     const std::uint64_t target = prepare.base.epoch + 1;
     const std::string replyTo = message.from.internalAddress;
-    highestRound_ = std::max(highestRound_, prepare.ballot.round);
-    const Ballot promised = acceptor_.promisedFor(target);
+    highestRound_ = std::max(highestRound_, prepare.proposal.round);
+    const ProposalNumber promised = acceptor_.promisedFor(target);
     // A voter outside the chain does not judge its members.
     const bool judges = !founding() && membership_.inChain();
     const bool causeless =
         judges && !acceptor_.sealed(prepare.base.epoch) && !prepare.observed && !planner_.assess(now).any();
-    if (prepare.ballot < promised || causeless) {
-        outbox_.send(replyTo, Refuse{prepare.ballot, target, promised});
+    if (prepare.proposal < promised || causeless) {
+        outbox_.send(replyTo, Refuse{prepare.proposal, target, promised});
         return;
     }
-    const bool repeated = prepare.ballot == promised;
+    const bool repeated = prepare.proposal == promised;
     if (repeated && votesInFlight_ > 0) return;
-    if (!acceptor_.promise(target, prepare.ballot)) return;
+    if (!acceptor_.promise(target, prepare.proposal)) return;
     membership_.sealed = sealed();
     const Vote given = acceptor_.vote();
     const auto reply = [this, replyTo, target, given] {
@@ -149,17 +149,17 @@
     if (!mayVote(now, message, accept.base, accept.founders)) return;
     const std::uint64_t target = accept.base.epoch + 1;
     const std::string replyTo = message.from.internalAddress;
-    highestRound_ = std::max(highestRound_, accept.ballot.round);
+    highestRound_ = std::max(highestRound_, accept.proposal.round);
     const Vote before = acceptor_.vote();
-    if (!acceptor_.accept(target, accept.ballot, accept.value)) {
-        outbox_.send(replyTo, Refuse{accept.ballot, target, acceptor_.promisedFor(target)});
+    if (!acceptor_.accept(target, accept.proposal, accept.value)) {
+        outbox_.send(replyTo, Refuse{accept.proposal, target, acceptor_.promisedFor(target)});
         return;
     }
     membership_.sealed = sealed();
     const Vote given = acceptor_.vote();
     if (before == given && votesInFlight_ > 0) return;
-    const auto reply = [this, replyTo, target, ballot = accept.ballot] {
-        outbox_.send(replyTo, Accepted{ballot, target});
+    const auto reply = [this, replyTo, target, proposal = accept.proposal] {
+        outbox_.send(replyTo, Accepted{proposal, target});
     };
     if (durable_.vote == given)
         reply();
@@ -233,18 +233,18 @@
 void ViewChange::begin(Millis now, bool observed) {
     highestRound_ = std::max(highestRound_, acceptor_.vote().promised.round) + 1;
     observed_ = observed;
-    const Ballot ballot{highestRound_, membership_.self.name, membership_.self.session};
-    proposer_.begin(now, membership_.view.epoch + 1, ballot, majority());
-    outbox_.log(fmt::format("proposing the view of epoch {}, round {}", proposer_.target(), ballot.round));
+    const ProposalNumber proposal{highestRound_, membership_.self.name, membership_.self.session};
+    proposer_.begin(now, membership_.view.epoch + 1, proposal, majority());
+    outbox_.log(fmt::format("proposing the view of epoch {}, round {}", proposer_.target(), proposal.round));
     resend(now);
 }
 
 void ViewChange::sendRequest(const std::string& address) {
     if (proposer_.phase() == Proposer::Phase::preparing)
-        outbox_.send(address, Prepare{proposer_.ballot(), membership_.view, membership_.founders, observed_});
+        outbox_.send(address, Prepare{proposer_.proposal(), membership_.view, membership_.founders, observed_});
     else
         outbox_.send(address,
-                     Accept{proposer_.ballot(), membership_.view, membership_.founders, proposer_.value()});
+                     Accept{proposer_.proposal(), membership_.view, membership_.founders, proposer_.value()});
 }
 
 // Sends the present request to all acceptors. Those that have answered already may answer again: no harm.
@@ -263,9 +263,9 @@
 
 void ViewChange::onRefuse(Millis now, const Refuse& refuse) {
     highestRound_ = std::max(highestRound_, refuse.promised.round);
-    if (proposer_.phase() == Proposer::Phase::idle || refuse.ballot != proposer_.ballot()) return;
+    if (proposer_.phase() == Proposer::Phase::idle || refuse.proposal != proposer_.proposal()) return;
     if (refuse.target != proposer_.target()) return;
-    if (refuse.promised <= proposer_.ballot()) return;  // it saw no cause; others may
+    if (refuse.promised <= proposer_.proposal()) return;  // it saw no cause; others may
     proposer_.stop();
     backOff(now);
 }
--- a/src/replica/view_planner.cpp
+++ b/src/replica/view_planner.cpp
@@ -84,7 +84,7 @@
 void ViewPlanner::assessMembers(Millis now, Assessment& assessment) const {
     const View& view = membership_.view;
     if (membership_.sealed) assessment.unfinished = true;
-    if (!chain_.settled() && now - enteredAt_ > 2 * kOpeningStallAfter) assessment.unfinished = true;
+    if (!chain_.installed() && now - enteredAt_ > 2 * kOpeningStallAfter) assessment.unfinished = true;
     for (const Member& member : view.members) {
         if (sameDisk(member, membership_.self)) {
             const bool restarted = !sameProcess(member, membership_.self);
@@ -175,7 +175,7 @@
 
 // Uncounted members whose going could take the majority with them, since counted ones were lost.
 void ViewPlanner::assessUncounted(Assessment& assessment) const {
-    if (!chain_.settled()) return;
+    if (!chain_.installed()) return;
     std::vector<Member> kept = planned(assessment);
     const std::vector<Member> before = kept;
     dropUncounted(kept);
@@ -191,7 +191,7 @@
 // waits. Only from a settled view: all its members hold the state then, so the next one does not hang on a copy of a leaving
 // member, and one view change does not chase another.
 void ViewPlanner::assessLeavers(Millis now, Assessment& assessment) const {
-    if (!chain_.settled()) return;
+    if (!chain_.installed()) return;
     for (const Member& member : membership_.view.members | std::views::reverse) {
         const std::string& address = member.internalAddress;
         if (assessment.excluded.contains(address) || !leaves(member, now)) continue;
@@ -206,7 +206,7 @@
 
 // Only from a settled view, as with leavers: one view change does not chase another.
 void ViewPlanner::assessVoters(Millis now, Assessment& assessment) const {
-    if (!chain_.settled()) return;
+    if (!chain_.installed()) return;
     const std::vector<Member> next =
         nextVoters(presentVoters(now, assessment), planned(assessment), membership_.settings.tolerance);
     if (std::ranges::equal(next, membership_.view.electorate(), sameDisk)) return;
--- a/src/routing/routing_table.hpp
+++ b/src/routing/routing_table.hpp
@@ -29,7 +29,7 @@
 using StringMap = std::unordered_map<std::string, Value, StringHash, std::equal_to<>>;
 
 // A service that a route leads to, and the share of its requests up to and including this one.
-struct BackendShare {
+struct BackendWeight {
     std::string service;
     double upTo = 1;  // rises along the list; 1 for the last
 };
@@ -37,7 +37,7 @@
 struct RouteEntry {
     configuration::Route route;
     std::string host;                  // lower case, as compared with Host headers
-    std::vector<BackendShare> shares;  // without those of weight 0; never empty
+    std::vector<BackendWeight> shares;  // without those of weight 0; never empty
     Digest digest{};
 
     // The service for a draw in [0, 1).
--- a/src/routing/routing_table_builder.cpp
+++ b/src/routing/routing_table_builder.cpp
@@ -24,11 +24,11 @@
     return {hash.high64, hash.low64};
 }
 
-std::vector<BackendShare> sharesOf(const configuration::Route& route) {
+std::vector<BackendWeight> sharesOf(const configuration::Route& route) {
     if (route.trafficSplit.empty()) return {{route.backend, 1}};
     double sum = 0;
     for (const configuration::WeightedBackend& part : route.trafficSplit) sum += part.weight;
-    std::vector<BackendShare> shares;
+    std::vector<BackendWeight> shares;
     double upTo = 0;
     for (const configuration::WeightedBackend& part : route.trafficSplit) {
         if (part.weight <= 0) continue;
--- a/src/settings/described.hpp
+++ b/src/settings/described.hpp
@@ -67,8 +67,8 @@
 std::string wireName(std::string_view memberName);
 
 // Where a value stands; the text is built when there is a fault.
-struct Place {
-    const Place* parent = nullptr;
+struct FieldPath {
+    const FieldPath* parent = nullptr;
     std::string_view name;
     std::optional<std::size_t> index;
 
@@ -114,117 +114,117 @@
 
     // Reads the fields of a described struct from an object, or from a list where it is written as one.
     template <class Struct>
-    requires(boost::hana::Struct<Struct>::value) void read(const Source& source, const Place& place,
+    requires(boost::hana::Struct<Struct>::value) void read(const Source& source, const FieldPath& path,
                                                            const FieldRule&, Struct& out) {
-        if constexpr (kWrittenAsList<Struct>) return readFromList(source, place, out);
-        if (!source.isObject()) return wrongType(place, "an object of named values");
+        if constexpr (kWrittenAsList<Struct>) return readFromList(source, path, out);
+        if (!source.isObject()) return wrongType(path, "an object of named values");
         boost::hana::for_each(boost::hana::accessors<Struct>(), [&](const auto& field) {
             const auto& description =
                 describedField<Struct, std::decay_t<decltype(boost::hana::first(field))>>();
-            readField(source, place, description, boost::hana::second(field)(out));
+            readField(source, path, description, boost::hana::second(field)(out));
         });
     }
 
-    void read(const Source& source, const Place& place, const FieldRule& rule, std::string& out) {
+    void read(const Source& source, const FieldPath& path, const FieldRule& rule, std::string& out) {
         const std::optional<std::string_view> text = source.text();
-        if (!text) return tolerate(rule, place, "a text");
+        if (!text) return tolerate(rule, path, "a text");
         if (text->size() > rule.longest)
-            return fault(place, fmt::format("is a text of {} bytes", text->size()),
+            return fault(path, fmt::format("is a text of {} bytes", text->size()),
                          fmt::format("use at most {}", rule.longest));
-        if (!hasForm(*text, rule.form)) return badForm(place, *text, rule.form);
+        if (!hasForm(*text, rule.form)) return badForm(path, *text, rule.form);
         out = *text;
     }
 
-    void read(const Source& source, const Place& place, const FieldRule& rule, bool& out) {
+    void read(const Source& source, const FieldPath& path, const FieldRule& rule, bool& out) {
         const std::optional<bool> value = source.boolean();
-        if (!value) return tolerate(rule, place, "true or false");
+        if (!value) return tolerate(rule, path, "true or false");
         out = *value;
     }
 
     template <class Number>
     requires(std::is_arithmetic_v<Number> &&
-             !std::same_as<Number, bool>) void read(const Source& source, const Place& place,
+             !std::same_as<Number, bool>) void read(const Source& source, const FieldPath& path,
                                                     const FieldRule& rule, Number& out) {
         const std::optional<double> value = source.number();
-        if (!value || std::isnan(*value)) return tolerate(rule, place, "a number");
-        if (outside(*value, rule)) return outOfRange(place, *value, rule);
+        if (!value || std::isnan(*value)) return tolerate(rule, path, "a number");
+        if (outside(*value, rule)) return outOfRange(path, *value, rule);
         out = narrowed<Number>(*value);
     }
 
     // Types with named values: parseName(text, out) is found beside the type.
     template <class Enum>
-    requires(std::is_enum_v<Enum>) void read(const Source& source, const Place& place, const FieldRule& rule,
+    requires(std::is_enum_v<Enum>) void read(const Source& source, const FieldPath& path, const FieldRule& rule,
                                              Enum& out) {
         const std::optional<std::string_view> text = source.text();
-        if (!text) return tolerate(rule, place, "a text");
+        if (!text) return tolerate(rule, path, "a text");
         parseName(*text, out);
     }
 
     template <class Value>
-    void read(const Source& source, const Place& place, const FieldRule& rule, std::optional<Value>& out) {
-        read(source, place, rule, out.emplace());
+    void read(const Source& source, const FieldPath& path, const FieldRule& rule, std::optional<Value>& out) {
+        read(source, path, rule, out.emplace());
     }
 
     template <class Value>
-    void read(const Source& source, const Place& place, const FieldRule& rule, std::vector<Value>& out) {
-        if (!source.isList()) return tolerate(rule, place, "a list");
+    void read(const Source& source, const FieldPath& path, const FieldRule& rule, std::vector<Value>& out) {
+        if (!source.isList()) return tolerate(rule, path, "a list");
         out.clear();
         std::size_t index = 0;
         source.eachElement([&](const Source& element) {
-            read(element, Place{&place, {}, index++}, rule, out.emplace_back());
+            read(element, FieldPath{&path, {}, index++}, rule, out.emplace_back());
         });
     }
 
-    void read(const Source& source, const Place& place, const FieldRule& rule,
+    void read(const Source& source, const FieldPath& path, const FieldRule& rule,
               std::map<std::string, std::string>& out) {
-        if (!source.isObject()) return tolerate(rule, place, "a table of texts");
+        if (!source.isObject()) return tolerate(rule, path, "a table of texts");
         out.clear();
         source.eachMember([&](std::string_view name, const Source& member) {
-            read(member, Place{&place, name, {}}, rule, out[std::string{name}]);
+            read(member, FieldPath{&path, name, {}}, rule, out[std::string{name}]);
         });
     }
 
-    void fault(const Place& place, std::string message, std::string remedy) {
-        faults_.push_back({ErrorKind::invalid, place.text<Source>(), std::move(message), std::move(remedy)});
+    void fault(const FieldPath& path, std::string message, std::string remedy) {
+        faults_.push_back({ErrorKind::invalid, path.text<Source>(), std::move(message), std::move(remedy)});
     }
 
 private:
     template <class Struct>
-    void readFromList(const Source& source, const Place& place, Struct& out) {
+    void readFromList(const Source& source, const FieldPath& path, Struct& out) {
         constexpr std::size_t kFields = decltype(boost::hana::size(boost::hana::accessors<Struct>()))::value;
         std::vector<Source> elements;
         if (source.isList()) source.eachElement([&](const Source& element) { elements.push_back(element); });
-        if (elements.size() != kFields) return wrongType(place, fmt::format("a list of {} values", kFields));
+        if (elements.size() != kFields) return wrongType(path, fmt::format("a list of {} values", kFields));
         std::size_t index = 0;
         boost::hana::for_each(boost::hana::accessors<Struct>(), [&](const auto& field) {
             const auto& description =
                 describedField<Struct, std::decay_t<decltype(boost::hana::first(field))>>();
-            read(elements[index], Place{&place, {}, index}, description.rule,
+            read(elements[index], FieldPath{&path, {}, index}, description.rule,
                  boost::hana::second(field)(out));
             ++index;
         });
     }
 
     template <class Value>
-    void readField(const Source& source, const Place& place, const FieldDescription& description,
+    void readField(const Source& source, const FieldPath& path, const FieldDescription& description,
                    Value& out) {
         const std::optional<Source> member = source.member(description.name);
-        const Place here{&place, description.name, {}};
+        const FieldPath here{&path, description.name, {}};
         if (member && !member->null()) return read(*member, here, description.rule, out);
         if (description.rule.required) fault(here, "is missing", "add it");
     }
 
-    void wrongType(const Place& place, std::string_view wanted) {
-        fault(place, fmt::format("is not {}", wanted), fmt::format("write {}", wanted));
+    void wrongType(const FieldPath& path, std::string_view wanted) {
+        fault(path, fmt::format("is not {}", wanted), fmt::format("write {}", wanted));
     }
 
-    void tolerate(const FieldRule& rule, const Place& place, std::string_view wanted) {
-        if (!rule.tolerant) wrongType(place, wanted);
+    void tolerate(const FieldRule& rule, const FieldPath& path, std::string_view wanted) {
+        if (!rule.tolerant) wrongType(path, wanted);
     }
 
-    void badForm(const Place& place, std::string_view text, Form form) {
+    void badForm(const FieldPath& path, std::string_view text, Form form) {
         constexpr std::size_t kShown = 64;
-        fault(place, fmt::format("\"{}\" is not {}", text.substr(0, kShown), describeForm(form)),
+        fault(path, fmt::format("\"{}\" is not {}", text.substr(0, kShown), describeForm(form)),
               fmt::format("write {}", describeForm(form)));
     }
 
@@ -232,12 +232,12 @@
         return value < rule.least || value > rule.most || (rule.aboveLeast && value == rule.least);
     }
 
-    void outOfRange(const Place& place, double value, const FieldRule& rule) {
+    void outOfRange(const FieldPath& path, double value, const FieldRule& rule) {
         const std::string below =
             rule.aboveLeast ? fmt::format("above {}", rule.least) : fmt::format("of at least {}", rule.least);
         const std::string range =
             std::isinf(rule.most) ? below : fmt::format("{} and at most {}", below, rule.most);
-        fault(place, fmt::format("{} is out of range", value), fmt::format("write a number {}", range));
+        fault(path, fmt::format("{} is out of range", value), fmt::format("write a number {}", range));
     }
 
     // Whole numbers are cut towards zero and kept within their type.
--- a/src/settings/process_settings.cpp
+++ b/src/settings/process_settings.cpp
@@ -11,14 +11,14 @@
 namespace beechpoint::settings {
 namespace {
 
-void addFault(std::vector<Error>& faults, std::string place, std::string message, std::string remedy) {
-    faults.push_back({ErrorKind::invalid, std::move(place), std::move(message), std::move(remedy)});
+void addFault(std::vector<Error>& faults, std::string path, std::string message, std::string remedy) {
+    faults.push_back({ErrorKind::invalid, std::move(path), std::move(message), std::move(remedy)});
 }
 
 // Whether the field was read without a fault; what is checked between fields would only repeat one.
 bool sound(const std::vector<Error>& faults, std::string_view field) {
     return std::none_of(faults.begin(), faults.end(),
-                        [field](const Error& fault) { return fault.place.starts_with(field); });
+                        [field](const Error& fault) { return fault.location.starts_with(field); });
 }
 
 void requireForRole(const ProcessSettings& settings, std::string_view role, const std::string& value,
@@ -97,7 +97,7 @@
         return result;
     }
     DescribedReader<TomlSource> reader{result.faults};
-    reader.read(TomlSource{parsed.table()}, Place{}, kNoRule, result.settings);
+    reader.read(TomlSource{parsed.table()}, FieldPath{}, kNoRule, result.settings);
     checkPorts(result.settings.internalPortRange, result.faults);
     checkRoles(result.settings, result.faults);
     checkSeeds(result.settings, result.faults);
--- a/tests/cluster/linear_test.cpp
+++ b/tests/cluster/linear_test.cpp
@@ -6,11 +6,11 @@
 namespace beechpoint::emulator {
 namespace {
 
-DutyOp take(const char* member, double from, double to, std::uint64_t fence) {
-    return {DutyOp::Kind::take, member, from, to, true, fence > 0, fence};
+DutyOp take(const char* member, double from, double to, std::uint64_t fencingToken) {
+    return {DutyOp::Kind::take, member, from, to, true, fencingToken > 0, fencingToken};
 }
-DutyOp give(const char* member, double from, double to, std::uint64_t fence, bool yes = true) {
-    return {DutyOp::Kind::giveUp, member, from, to, true, yes, fence};
+DutyOp give(const char* member, double from, double to, std::uint64_t fencingToken, bool yes = true) {
+    return {DutyOp::Kind::giveUp, member, from, to, true, yes, fencingToken};
 }
 DutyOp unknown(DutyOp op) {
     op.known = false;
--- a/tests/cluster/net.hpp
+++ b/tests/cluster/net.hpp
@@ -32,12 +32,12 @@
     void start(int i) {
         const auto n = static_cast<std::size_t>(i);
         machines[n] = std::make_unique<Text>();
-        ++life;
-        ledgers[n] = std::make_unique<Ledger>(options, names[n], life, names, life, now, *machines[n],
+        ++processIncarnation;
+        ledgers[n] = std::make_unique<RaftConsensus>(options, names[n], processIncarnation, names, processIncarnation, now, *machines[n],
                                               lasting ? kept[n] : std::nullopt);
     }
     void kill(int i) { ledgers[static_cast<std::size_t>(i)].reset(); }
-    Ledger& at(int i) { return *ledgers[static_cast<std::size_t>(i)]; }
+    RaftConsensus& at(int i) { return *ledgers[static_cast<std::size_t>(i)]; }
     int place(const std::string& name) const {
         return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
     }
@@ -115,11 +115,11 @@
     Options options;
     bool lasting;
     Millis now = 1000;
-    Life life = 0;
+    ProcessIncarnation processIncarnation = 0;
     std::vector<std::string> names;
     std::vector<std::unique_ptr<Text>> machines;
-    std::vector<std::unique_ptr<Ledger>> ledgers;
-    std::vector<std::optional<Kept>> kept;
+    std::vector<std::unique_ptr<RaftConsensus>> ledgers;
+    std::vector<std::optional<PersistentState>> kept;
     std::deque<Message> wire;
     std::function<bool(const Message&)> drop;  // lost on their way
     std::vector<std::uint64_t> confirmed;
--- a/tests/cluster/properties_test.cpp
+++ b/tests/cluster/properties_test.cpp
@@ -51,19 +51,19 @@
     int said = 0;
     for (const Step& s : *steps(6, 900)) {
         const int i = s.a % kSize;
-        const bool lives = net.ledgers[static_cast<std::size_t>(i)] != nullptr;
+        const bool processIncarnations = net.ledgers[static_cast<std::size_t>(i)] != nullptr;
         std::set<int> among;
         for (int m = 0; m < kSize; ++m)
             if (s.b >> m & 1) among.insert(m);
         switch (s.what) {
             case 0:
-                if (lives) net.kill(i);
+                if (processIncarnations) net.kill(i);
                 break;
             case 1:
-                if (!lives) net.start(i);
+                if (!processIncarnations) net.start(i);
                 break;
             case 2:
-                if (lives && net.at(i).leads()) {
+                if (processIncarnations && net.at(i).leads()) {
                     raft::Actions out;
                     net.at(i).propose(net.now, std::to_string(++said), out);
                     net.out(i, out);
@@ -92,33 +92,33 @@
     std::map<std::string, std::uint64_t> numbers;
     raft::Index index = 0;
     const auto member = [](int n) { return "g" + std::to_string(n % 3); };
-    const auto duty = [](int n) { return "d" + std::to_string(n % 4); };
+    const auto singletonRole = [](int n) { return "d" + std::to_string(n % 4); };
     for (const Step& s : *steps(8, 4)) {
         lease_sessions::Command c;
         c.op = static_cast<lease_sessions::Op>(s.what % 6);
-        c.member = member(s.a), c.duty = duty(s.b), c.life = 1, c.to = member(s.wait);
+        c.member = member(s.a), c.singletonRole = singletonRole(s.b), c.processIncarnation = 1, c.to = member(s.wait);
         const lease_sessions::Session* in = table.session(c.member);
         c.session = in != nullptr ? in->number : 0;
-        if (const lease_sessions::Duty* d = table.duty(c.duty)) c.fence = s.a % 7 == 0 ? d->fence - 1 : d->fence;
+        if (const lease_sessions::SingletonRole* d = table.singletonRole(c.singletonRole)) c.fencingToken = s.a % 7 == 0 ? d->fencingToken - 1 : d->fencingToken;
         c.number = s.what >= 6 ? 0 : ++numbers[c.member];
         const std::string data = lease_sessions::write(c);
         std::map<std::string, std::string> before;
-        for (const auto& [name, d] : table.duties()) before[name] = d.holder;
+        for (const auto& [name, d] : table.singletonRoles()) before[name] = d.holder;
         table.apply(++index, 1, data);
-        for (const auto& [name, d] : table.duties()) {
-            RC_ASSERT(d.fence >= fences[name]);
+        for (const auto& [name, d] : table.singletonRoles()) {
+            RC_ASSERT(d.fencingToken >= fences[name]);
             if (!d.holder.empty()) {
-                RC_ASSERT(d.fence >> lease_sessions::kFenceBits == 2u);
+                RC_ASSERT(d.fencingToken >> lease_sessions::kFenceBits == 2u);
                 RC_ASSERT(table.session(d.holder) != nullptr && table.session(d.holder)->number == d.session);
-                if (before[name] != d.holder) RC_ASSERT(d.fence > fences[name]);
+                if (before[name] != d.holder) RC_ASSERT(d.fencingToken > fences[name]);
                 RC_ASSERT(table.heldBy(d.holder).contains(name));
             }
             RC_ASSERT(table.free().contains(name) == d.holder.empty());
-            fences[name] = d.fence;
+            fences[name] = d.fencingToken;
         }
         std::size_t listed = table.free().size();
         for (int m = 0; m < 3; ++m) listed += table.heldBy(member(m)).size();
-        RC_ASSERT(listed == table.duties().size());
+        RC_ASSERT(listed == table.singletonRoles().size());
         if (c.number == 0) continue;
         const std::string saved = table.save();
         table.apply(++index, 1, data);  // the same request, settled again
@@ -133,18 +133,18 @@
 // that it gave up, whatever the leader's words, their order and their repeats.
 RC_GTEST_PROP(HolderLaws, ActsOnlyWithinItsLeaseAndNeverOnWhatItGaveUp, ()) {
     const lease_sessions::Times times;
-    lease_sessions::Holder holder(times, "a", 1, {"l", "m"}, 3, 0);
+    lease_sessions::LeaseClient holder(times, "a", 1, {"l", "m"}, 3, 0);
     std::vector<lease_sessions::Message> out,
         words;  // words: of the leader, to be said at any time, any number of times
     std::map<std::uint64_t, Millis> renewals;
     std::map<std::string, std::uint64_t> given;
     Millis now = 0, proven = -1e9;
-    std::uint64_t fence = 100;
+    std::uint64_t fencingToken = 100;
     const auto took = [&](std::size_t from) {
         for (std::size_t i = from; i < out.size(); ++i) {
             if (const auto* r = std::get_if<lease_sessions::Renew>(&out[i].body)) {
                 renewals[r->number] = now;
-                lease_sessions::Renewed yes{1, r->number, lease_sessions::Verdict::yes, r->session, "l", {{"d", fence}}};
+                lease_sessions::Renewed yes{1, r->number, lease_sessions::Verdict::yes, r->session, "l", {{"d", fencingToken}}};
                 words.push_back({"l", "a", 9, yes});
                 yes.verdict = lease_sessions::Verdict::gone;
                 words.push_back({"l", "a", 9, yes});
@@ -153,7 +153,7 @@
                 if (renewals[1000 + a->command.number] == 0) renewals[1000 + a->command.number] = now + 1e-9;
                 words.push_back(
                     {"l", "a", 9,
-                     lease_sessions::Answer{1, a->command.number, {lease_sessions::Verdict::yes, ++fence, 7}, "l"}});
+                     lease_sessions::Answer{1, a->command.number, {lease_sessions::Verdict::yes, ++fencingToken, 7}, "l"}});
                 words.push_back(
                     {"l", "a", 9, lease_sessions::Answer{1, a->command.number, {lease_sessions::Verdict::no, 0, 7}, "l"}});
             }
@@ -180,7 +180,7 @@
         } else if (s.what == 4 && s.a < 200) {
             holder.resume();
         } else if (s.what == 5) {
-            words.push_back({"l", "a", 9, lease_sessions::Granted{1, 7, "d", s.a % 2 == 0 ? fence : ++fence}});
+            words.push_back({"l", "a", 9, lease_sessions::Granted{1, 7, "d", s.a % 2 == 0 ? fencingToken : ++fencingToken}});
         } else {
             holder.advance(now, out);
         }
--- a/tests/cluster/raft_consensus_test.cpp
+++ b/tests/cluster/raft_consensus_test.cpp
@@ -17,7 +17,7 @@
     net.out(leader, a);
 }
 
-TEST(Ledger, WhatAMajorityHasIsSettledAndAppliedAlike) {
+TEST(RaftConsensus, WhatAMajorityHasIsSettledAndAppliedAlike) {
     Net net(5);
     net.found();
     net.pass(3000, kAll);
@@ -28,7 +28,7 @@
     for (int i = 0; i < 5; ++i) EXPECT_EQ(net.text(i), "a;b;c;");
     EXPECT_EQ(net.at(0).digestAt(net.at(0).commit()), net.at(4).digestAt(net.at(0).commit()));
 }
-TEST(Ledger, AMinoritySettlesNothing) {
+TEST(RaftConsensus, AMinoritySettlesNothing) {
     Net net(5);
     net.found();
     net.pass(3000, kAll);
@@ -89,7 +89,7 @@
     net.pass(2000, {1, 2, 3, 4});
     return {settled, net.text(4)};
 }
-TEST(Ledger, OnlyEntriesOfTheOwnTermAreSettledByCounting) {
+TEST(RaftConsensus, OnlyEntriesOfTheOwnTermAreSettledByCounting) {
     const auto [settled, after] = figureEight(true);
     EXPECT_EQ(settled, "");
     EXPECT_EQ(after, "new;");
@@ -127,25 +127,25 @@
     Back() {
         kept.number = 9, kept.term = kept.promised = 5;
         for (int i = 1; i <= 10; ++i) kept.entries.push_back({5, Kind::command, std::to_string(i)});
-        ledger.emplace(Options{}, "s2", 77, std::vector<std::string>{"s1", "s2", "s3"}, 1, 0, machine, kept);
+        raft.emplace(Options{}, "s2", 77, std::vector<std::string>{"s1", "s2", "s3"}, 1, 0, machine, kept);
     }
     Actions hears(Body body) {
         Actions out;
-        ledger->receive(10, {"s1", "s2", 5, 9, std::move(body)}, out);
+        raft->receive(10, {"s1", "s2", 5, 9, std::move(body)}, out);
         return out;
     }
     Text machine;
-    Kept kept;
-    std::optional<Ledger> ledger;
+    PersistentState kept;
+    std::optional<RaftConsensus> raft;
 };
 // What it acknowledged may be settled by its word: a snapshot that comes late takes none of it back.
-TEST(Ledger, ALateSnapshotTakesNoAcknowledgedEntryBack) {
+TEST(RaftConsensus, ALateSnapshotTakesNoAcknowledgedEntryBack) {
     Back s2;
-    const Ledger& l = *s2.ledger;
+    const RaftConsensus& l = *s2.raft;
     const Actions reply = s2.hears(Append{5, 10, l.digestAt(10), 0, 1, false, {}});
     ASSERT_EQ(std::get<AppendReply>(reply.send.at(0).body).match, 10u);
     const std::string whole = "s1 s2 s3\n1;2;3;4;5;";
-    s2.hears(Piece{5, 5, 5, l.digestAt(5), XXH3_64bits(whole.data(), whole.size()), 0,
+    s2.hears(SnapshotChunk{5, 5, 5, l.digestAt(5), XXH3_64bits(whole.data(), whole.size()), 0,
                    static_cast<std::uint32_t>(whole.size()), whole});
     EXPECT_EQ(l.last(), 10u);
     EXPECT_EQ(l.commit(), 5u);
@@ -154,9 +154,9 @@
     EXPECT_EQ(s2.machine.all, "1;2;3;4;5;6;7;8;9;10;");
 }
 // One that was taken out by an entry that never came to be settled, and is replaced: nothing beyond the log is settled.
-TEST(Ledger, WhatWasEqualBeforeACutIsNotSettledAfterIt) {
+TEST(RaftConsensus, WhatWasEqualBeforeACutIsNotSettledAfterIt) {
     Back s2;
-    const Ledger& l = *s2.ledger;
+    const RaftConsensus& l = *s2.raft;
     const Digest three = l.digestAt(3);
     s2.hears(Append{5, 10, l.digestAt(10), 3, 1, true, {5, Kind::voters, "s1 s3"}});
     EXPECT_EQ(l.role(), Role::learner);
@@ -169,13 +169,13 @@
 }
 
 // One vote a term, kept before it is given: neither a restart nor a second asker gets another.
-TEST(Ledger, AVoteIsGivenOnceATermAlsoOverARestart) {
+TEST(RaftConsensus, AVoteIsGivenOnceATermAlsoOverARestart) {
     for (const bool lasting : {true, false}) {
         Net net(3, {}, lasting);
         net.found();
         net.now += 2000;
         Actions a;
-        net.at(2).receive(net.now, {"s1", "s3", 1, 9, VoteAsk{5, 0, 0}}, a);
+        net.at(2).receive(net.now, {"s1", "s3", 1, 9, VoteRequest{5, 0, 0}}, a);
         ASSERT_EQ(a.send.size(), 1u);
         EXPECT_TRUE(std::get<VoteReply>(a.send[0].body).yes);
         EXPECT_TRUE(a.keep);
@@ -184,7 +184,7 @@
         net.start(2);
         Actions b;
         net.now += 2000;
-        net.at(2).receive(net.now, {"s2", "s3", 2, 9, VoteAsk{5, 0, 0}}, b);
+        net.at(2).receive(net.now, {"s2", "s3", 2, 9, VoteRequest{5, 0, 0}}, b);
         for (const Message& m : b.send) {
             const auto* r = std::get_if<VoteReply>(&m.body);
             EXPECT_FALSE(r != nullptr && r->yes) << lasting;
@@ -192,7 +192,7 @@
     }
 }
 // A renewal is confirmed by answers to signs sent after it came, not by old ones.
-TEST(Ledger, LeadingIsProvenByNewAnswersOnly) {
+TEST(RaftConsensus, LeadingIsProvenByNewAnswersOnly) {
     Net net(3);
     net.found();
     net.pass(3000, {0, 1, 2});
@@ -206,7 +206,7 @@
     net.pass(300, {0, 1, 2});
     EXPECT_EQ(net.confirmed, std::vector<std::uint64_t>{77});
 }
-TEST(Ledger, OneThatIsFarBehindCatchesUpByASnapshot) {
+TEST(RaftConsensus, OneThatIsFarBehindCatchesUpByASnapshot) {
     Options o;
     o.mostEntries = 20;
     Net net(3, o, false);
@@ -224,7 +224,7 @@
     EXPECT_EQ(net.text(away), net.text(lead));
     EXPECT_GT(net.at(away).counters().snapshots, 0u);
 }
-TEST(Ledger, VotersChangeOneAtATimeAndTheRemovedDisturbsNobody) {
+TEST(RaftConsensus, VotersChangeOneAtATimeAndTheRemovedDisturbsNobody) {
     Net net(5);
     net.found();
     net.pass(3000, kAll);
@@ -246,7 +246,7 @@
 }
 // Found in virtual time (voters that change, seed 11): one of three has forgotten, and a fourth comes in. Of the four only two have
 // their memory: they could settle nothing any more, and neither of the others could recover by them.
-TEST(Ledger, AVoterComesInOnlyWhereTheNewSetHasAMajorityWithItsMemory) {
+TEST(RaftConsensus, AVoterComesInOnlyWhereTheNewSetHasAMajorityWithItsMemory) {
     Net net(4, {}, false);
     for (int i = 0; i < 4; ++i) net.names[static_cast<std::size_t>(i)] = "s" + std::to_string(i + 1);
     net.names.resize(3);  // the group begins with three
@@ -265,13 +265,13 @@
     net.pass(3000, {0, 1, 2});  // it has recovered
     EXPECT_TRUE(net.at(lead).changeVoters(net.now, four, yes));
 }
-TEST(Ledger, EntriesAreBounded) {
+TEST(RaftConsensus, EntriesAreBounded) {
     Net net(3);
     net.found();
     net.pass(3000, {0, 1, 2});
     Actions a;
-    EXPECT_FALSE(net.at(net.leader()).propose(net.now, std::string(kMostData + 1, 'x'), a));
-    EXPECT_TRUE(net.at(net.leader()).propose(net.now, std::string(kMostData, 'x'), a));
+    EXPECT_FALSE(net.at(net.leader()).propose(net.now, std::string(kMaxEntryBytes + 1, 'x'), a));
+    EXPECT_TRUE(net.at(net.leader()).propose(net.now, std::string(kMaxEntryBytes, 'x'), a));
 }
 
 }  // namespace
--- a/tests/cluster/scenario_test.cpp
+++ b/tests/cluster/scenario_test.cpp
@@ -88,7 +88,7 @@
     for (std::size_t bytes = 0; (bytes += 3 + name.size() + 5 + 5) <= gossip::kRumourBytes;)
         longest.rumours.push_back({name, gossip::Presence::suspect, (1ull << 32) - 1, 0xffffffffull});
     const std::string body = cluster::write(gossip::Body(longest));
-    const std::string sealed = gossip::seal("group", {gossip::Room::membership, name, ~0ull, 0x7fffffff}, body);
+    const std::string sealed = gossip::seal("group", {gossip::Channel::membership, name, ~0ull, 0x7fffffff}, body);
     EXPECT_FALSE(sealed.empty());
     EXPECT_LE(sealed.size(), 256u);
     const auto read = cluster::readMembership(body);
--- a/tests/cluster/state_folder_test.cpp
+++ b/tests/cluster/state_folder_test.cpp
@@ -21,28 +21,28 @@
 // A follower that hears leaders of ever newer terms, each of which may replace what was not settled.
 struct Follower {
     explicit Follower(std::uint64_t seed, std::size_t mostEntries = 12,
-                      const std::optional<Kept>& from = std::nullopt)
+                      const std::optional<PersistentState>& from = std::nullopt)
         : random(seed) {
-        Kept kept;
+        PersistentState kept;
         kept.number = 9;
         options.mostEntries = mostEntries;
-        ledger.emplace(options, "s2", 77, std::vector<std::string>{"s1", "s2", "s3"}, seed, 0, machine,
+        raft.emplace(options, "s2", 77, std::vector<std::string>{"s1", "s2", "s3"}, seed, 0, machine,
                        from ? from : kept);
-        term = ledger->term() + 1;
+        term = raft->term() + 1;
     }
     // True: something is to be kept.
     bool step() {
         Actions out;
-        const Ledger& l = *ledger;
+        const RaftConsensus& l = *raft;
         if (random() % 8 == 0) ++term;
         if (random() % 10 == 0) {
-            ledger->receive(now += 2000, {"s3", "s2", 6, 9, VoteAsk{++term, l.last() + 5, term}}, out);
+            raft->receive(now += 2000, {"s3", "s2", 6, 9, VoteRequest{++term, l.last() + 5, term}}, out);
             return out.keep;
         }
         const Index low = std::max(l.commit(), l.base());
         const Index prev = low + (l.last() > low ? random() % (l.last() - low + 1) : 0);
         const Index settled = random() % 3 == 0 ? prev + 1 : l.commit();
-        ledger->receive(now += 10,
+        raft->receive(now += 10,
                         {"s1", "s2", 5, 9,
                          Append{term,
                                 prev,
@@ -57,12 +57,12 @@
     std::mt19937_64 random;
     Options options;
     Text machine;
-    std::optional<Ledger> ledger;
+    std::optional<RaftConsensus> raft;
     Term term = 1;
     std::uint64_t round = 0;
     Millis now = 0;
 };
-bool same(const Kept& a, const Kept& b) {
+bool same(const PersistentState& a, const PersistentState& b) {
     return a.number == b.number && a.term == b.term && a.promised == b.promised && a.vote == b.vote &&
            a.base == b.base && a.baseTerm == b.baseTerm && a.baseDigest == b.baseDigest &&
            a.saved == b.saved && a.baseVoters == b.baseVoters && a.entries == b.entries;
@@ -75,26 +75,26 @@
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
         FaultyFiles files(seed);
         std::mt19937_64 random(seed);
-        std::optional<Kept> answered;
-        for (int life = 1; life <= 4; ++life) {
+        std::optional<PersistentState> answered;
+        for (int processIncarnation = 1; processIncarnation <= 4; ++processIncarnation) {
             Folder folder(files, "f", "group", "s2");
             std::string note;
             const Read read = folder.load(note);
-            ASSERT_NE(read.how, Reading::damaged) << seed << " " << life;
+            ASSERT_NE(read.how, Reading::damaged) << seed << " " << processIncarnation;
             cutShort += read.how == Reading::cutShort;
             if (answered) {
-                ASSERT_TRUE(read.kept) << seed << " " << life << " " << note;
-                ASSERT_TRUE(same(*read.kept, *answered)) << seed << " " << life;
+                ASSERT_TRUE(read.kept) << seed << " " << processIncarnation << " " << note;
+                ASSERT_TRUE(same(*read.kept, *answered)) << seed << " " << processIncarnation;
             }
             Journal journal("group", "s2", random() | 1);
-            Follower f(seed * 10 + static_cast<std::uint64_t>(life), 12, read.kept);
+            Follower f(seed * 10 + static_cast<std::uint64_t>(processIncarnation), 12, read.kept);
             files.crashAt(files.calls() + 1 + random() % 60);
-            std::optional<Kept> underWay;
+            std::optional<PersistentState> underWay;
             try {
                 for (int i = 0; i < 60; ++i) {
                     if (!f.step()) continue;
-                    underWay = f.ledger->kept();
-                    ASSERT_TRUE(folder.keep(journal.changes(*f.ledger, 2000)));
+                    underWay = f.raft->kept();
+                    ASSERT_TRUE(folder.keep(journal.changes(*f.raft, 2000)));
                     answered = underWay;
                 }
             } catch (const Crash&) {
@@ -119,10 +119,10 @@
         Folder folder(files, "f", "group", "s2");
         Journal journal("group", "s2", seed);
         Follower f(seed);
-        std::optional<Kept> answered;
+        std::optional<PersistentState> answered;
         for (int i = 0; i < 60 && !folder.failed(); ++i) {
             if (i == 10) files.failing(0.1);
-            if (f.step() && folder.keep(journal.changes(*f.ledger))) answered = f.ledger->kept();
+            if (f.step() && folder.keep(journal.changes(*f.raft))) answered = f.raft->kept();
         }
         if (!folder.failed()) continue;
         ++failures;
@@ -144,7 +144,7 @@
     Follower f(4, 40);
     for (int i = 0; i < 40; ++i)
         if (f.step()) {
-            ASSERT_TRUE(folder.keep(journal.changes(*f.ledger)));
+            ASSERT_TRUE(folder.keep(journal.changes(*f.raft)));
         }
     const auto all = files.all();
     ASSERT_EQ(all.size(), 2u);
@@ -176,7 +176,7 @@
     durable_files::Disk disk;
     std::mt19937_64 random(7);
     std::uint64_t answered = 0, later = 0;
-    std::optional<Kept> kept;
+    std::optional<PersistentState> kept;
     const int kills = 60;
     for (int n = 0; n < kills; ++n) {
         int ends[2];
@@ -187,11 +187,11 @@
             Folder folder(disk, path, "group", "s2");
             std::string note;
             const Read read = folder.load(note);
-            Journal journal("group", "s2", static_cast<Life>(n) + 1);
+            Journal journal("group", "s2", static_cast<ProcessIncarnation>(n) + 1);
             Follower f(static_cast<std::uint64_t>(n), 12, read.kept);
             for (;;) {
                 if (!f.step()) continue;
-                if (!folder.keep(journal.changes(*f.ledger, 4000))) ::_exit(2);
+                if (!folder.keep(journal.changes(*f.raft, 4000))) ::_exit(2);
                 if (::write(ends[1], "k", 1) != 1) ::_exit(3);
             }
         }
@@ -212,7 +212,7 @@
         // The same steps again, up to the state that was read.
         Follower f(static_cast<std::uint64_t>(n), 12, kept);
         std::uint64_t steps = 0;
-        const auto equal = [&] { return read.kept && same(*read.kept, f.ledger->kept()); };
+        const auto equal = [&] { return read.kept && same(*read.kept, f.raft->kept()); };
         while (steps < said) steps += f.step() ? 1 : 0;
         const bool asSaid = said == 0 || equal();
         if (!asSaid) {
--- a/tests/cluster/virtual_test.cpp
+++ b/tests/cluster/virtual_test.cpp
@@ -51,11 +51,11 @@
         return plan;
     }
     // Time until somebody other than `old` acts on the duty.
-    Millis nextHolder(int old, const std::string& duty) {
+    Millis nextHolder(int old, const std::string& singletonRole) {
         const Millis from = now();
         while (now() < from + 20'000) {
             until(now() + 5);
-            if (const int h = holder(duty); h >= 0 && h != old) break;
+            if (const int h = holder(singletonRole); h >= 0 && h != old) break;
         }
         return now() - from;
     }
@@ -113,7 +113,7 @@
 TEST(GroupBroken, NoMarginForClocksThatRunApart) {
     const auto two = [](bool margin) {
         GroupPlan plan = Calm::calm();
-        plan.duties = 1;
+        plan.singletonRoles = 1;
         plan.willing = 3;
         plan.rates = {1, 1, 1, 1, 1};
         if (!margin) plan.times.drift = plan.times.margin = plan.times.settle = 0;
@@ -123,14 +123,14 @@
             plan.rates.assign(5, 1.05);
             plan.rates[static_cast<std::size_t>(slow)] = 0.95;
             Calm world(plan, 1 + static_cast<std::uint64_t>(run));
-            const std::string duty = GroupWorld::dutyName(0);
-            const int old = world.holder(duty);
-            if (old != slow) world.giveUp(old, duty, GroupWorld::name(slow));
+            const std::string singletonRole = GroupWorld::singletonRoleName(0);
+            const int old = world.holder(singletonRole);
+            if (old != slow) world.giveUp(old, singletonRole, GroupWorld::name(slow));
             world.until(world.now() + 2000);
-            if (world.holder(duty) != slow || world.leader() == slow) continue;
+            if (world.holder(singletonRole) != slow || world.leader() == slow) continue;
             world.cutOff(slow, false, false);
             world.until(world.now() + 6000);
-            EXPECT_NE(world.holder(duty), slow);
+            EXPECT_NE(world.holder(singletonRole), slow);
             broken += world.report().broken.contains("two holders");
         }
         return broken;
@@ -143,10 +143,10 @@
         GroupPlan plan = Calm::calm();
         plan.fencesChecked = checked;
         Calm world(plan);
-        const std::string duty = GroupWorld::dutyName(0);
-        const int old = world.holder(duty);
+        const std::string singletonRole = GroupWorld::singletonRoleName(0);
+        const int old = world.holder(singletonRole);
         world.stop(old);  // between its check and its act
-        world.nextHolder(old, duty);
+        world.nextHolder(old, singletonRole);
         world.until(world.now() + 500);
         world.proceed(old);
         return world.report().broken.contains("fence went back");
@@ -161,11 +161,11 @@
         plan.safeguards.preVote = preVote;
         Calm world(plan);
         const int deaf = (world.leader() + 1) % 5;
-        const raft::Term before = world.core(world.leader()).ledger().term();
+        const raft::Term before = world.core(world.leader()).raft().term();
         world.cutOff(deaf, false, true);
         world.until(world.now() + 20'000);
         raft::Term most = 0;
-        for (int i = 0; i < 5; ++i) most = std::max(most, world.core(i).ledger().term());
+        for (int i = 0; i < 5; ++i) most = std::max(most, world.core(i).raft().term());
         return most - before;
     };
     EXPECT_EQ(terms(true), 0u);
@@ -176,36 +176,36 @@
 
 TEST(Group, AKilledHolderIsFollowedAfterItsLeaseAndNotBefore) {
     Calm world;
-    const std::string duty = GroupWorld::dutyName(0);
-    int old = world.holder(duty);
+    const std::string singletonRole = GroupWorld::singletonRoleName(0);
+    int old = world.holder(singletonRole);
     ASSERT_GE(old, 0);
     world.kill(old);
-    const Millis took = world.nextHolder(old, duty);
+    const Millis took = world.nextHolder(old, singletonRole);
     EXPECT_GT(took, 1500);  // what is left of a lease that was renewed within the last 0.4 s
     EXPECT_LT(took, 3500);
 }
 TEST(Group, AnOrderlyEndHandsOnAtOnce) {
     Calm world;
-    const std::string duty = GroupWorld::dutyName(1);
-    const int old = world.holder(duty);
+    const std::string singletonRole = GroupWorld::singletonRoleName(1);
+    const int old = world.holder(singletonRole);
     ASSERT_GE(old, 0);
     world.leave(old);
-    EXPECT_LT(world.nextHolder(old, duty), 1000);
+    EXPECT_LT(world.nextHolder(old, singletonRole), 1000);
 }
 // A drain that is undone: it takes part again, under new numbers, and never acts on what it had given up.
 TEST(Group, ADrainedMemberGivesUpItsDutiesAndTakesPartAgainLater) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Calm world(Calm::calm(), seed);
-        const std::string duty = GroupWorld::dutyName(0);
-        const int old = world.holder(duty);
-        const std::uint64_t fence = world.core(old).holder().held().at(duty);
+        const std::string singletonRole = GroupWorld::singletonRoleName(0);
+        const int old = world.holder(singletonRole);
+        const std::uint64_t fencingToken = world.core(old).holder().held().at(singletonRole);
         world.leave(old);
         world.resume(old);  // at once: while its session is still being closed
         for (int i = 0; i < 200; ++i) {
             world.until(world.now() + 5);
             const auto& held = world.core(old).holder().held();
-            if (const auto h = held.find(duty); h != held.end() && world.holder(duty) == old) {
-                ASSERT_GT(h->second, fence) << seed;
+            if (const auto h = held.find(singletonRole); h != held.end() && world.holder(singletonRole) == old) {
+                ASSERT_GT(h->second, fencingToken) << seed;
             }
         }
         world.until(world.now() + 3000);
@@ -215,8 +215,8 @@
 }
 // Found in virtual time (short.json, seed 7): a take is settled and told by a renewal before its own answer comes; the duty
 // is given up meanwhile, and the answer, late, must not bring it back: another holds it by then.
-TEST(Holder, ALateAnswerBringsNothingBackThatWasGivenUp) {
-    lease_sessions::Holder h({}, "a", 1, {"l"}, 1, 0);
+TEST(LeaseClient, ALateAnswerBringsNothingBackThatWasGivenUp) {
+    lease_sessions::LeaseClient h({}, "a", 1, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     const auto says = [&](Millis now, lease_sessions::Body body) {
         h.receive(now, {"l", "a", 9, std::move(body)}, out);
@@ -247,8 +247,8 @@
 }
 // Found in virtual time (short.json, seed 1): the session runs out by the own clock and is opened anew, under the same number,
 // while the giving up is still on its way. A word of the old grant comes with the first renewal.
-TEST(Holder, WhatWasGivenUpStaysSoThoughTheSessionIsOpenedAnew) {
-    lease_sessions::Holder h({}, "a", 1, {"l"}, 1, 0);
+TEST(LeaseClient, WhatWasGivenUpStaysSoThoughTheSessionIsOpenedAnew) {
+    lease_sessions::LeaseClient h({}, "a", 1, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     const auto says = [&](Millis now, lease_sessions::Body body) {
         h.receive(now, {"l", "a", 9, std::move(body)}, out);
@@ -283,14 +283,14 @@
     h.advance(9300, out);
     const auto again = std::find_if(out.begin(), out.end(), [](const lease_sessions::Message& m) {
         const auto* a = std::get_if<lease_sessions::Ask>(&m.body);
-        return a != nullptr && a->command.op == lease_sessions::Op::giveUp && a->command.fence == 77;
+        return a != nullptr && a->command.op == lease_sessions::Op::giveUp && a->command.fencingToken == 77;
     });
     EXPECT_NE(again, out.end());
 }
 // Found over 10,000 seeds (3595): numbers begin anew with each life, so an answer to the one before, come again much later, was
 // taken for one's own; with it a session, and with another old word a duty.
-TEST(Holder, AnAnswerToAnEarlierLifeIsNone) {
-    lease_sessions::Holder h({}, "a", 2, {"l"}, 1, 0);
+TEST(LeaseClient, AnAnswerToAnEarlierLifeIsNone) {
+    lease_sessions::LeaseClient h({}, "a", 2, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     h.advance(0, out);
     h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}}, out);
@@ -303,8 +303,8 @@
 }
 // Found over 10,000 seeds (1179): two renewals lost in a row, and from then on it asked everybody but the leader until its lease
 // was over, though each of them named the leader.
-TEST(Holder, AfterTwoLostRenewalsItAsksWhomOthersName) {
-    lease_sessions::Holder h({}, "a", 1, {"l", "m", "n"}, 1, 0);
+TEST(LeaseClient, AfterTwoLostRenewalsItAsksWhomOthersName) {
+    lease_sessions::LeaseClient h({}, "a", 1, {"l", "m", "n"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     h.leaderIs("l");
     h.advance(0, out);
@@ -333,8 +333,8 @@
     EXPECT_TRUE(h.inSession(2500));
 }
 // Whoever waits for a request's end hears of it, also where the member leaves: a drain never ends by itself.
-TEST(Holder, LeavingEndsWhatWasAskedFor) {
-    lease_sessions::Holder h({}, "a", 1, {"l"}, 1, 0);
+TEST(LeaseClient, LeavingEndsWhatWasAskedFor) {
+    lease_sessions::LeaseClient h({}, "a", 1, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     h.advance(0, out);
     h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}}, out);
@@ -348,9 +348,9 @@
     EXPECT_FALSE(ends[0].known);
 }
 // A request goes on to whom the asked one names, not to the next in turn.
-TEST(Holder, ARequestFollowsTheLeadersName) {
+TEST(LeaseClient, ARequestFollowsTheLeadersName) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-        lease_sessions::Holder h({}, "a", 1, {"m", "n", "o"}, seed, 0);  // the leader is none of those it knows
+        lease_sessions::LeaseClient h({}, "a", 1, {"m", "n", "o"}, seed, 0);  // the leader is none of those it knows
         std::vector<lease_sessions::Message> out;
         std::size_t seen = 0;
         for (Millis t = 0; t < 400 && !h.inSession(t); t += 10) {
@@ -373,26 +373,26 @@
 }
 TEST(Group, ADutyIsHandedToANamedSuccessor) {
     Calm world;
-    const std::string duty = GroupWorld::dutyName(1);
-    const int old = world.holder(duty), next = (old + 2) % 5;
-    world.giveUp(old, duty, GroupWorld::name(next));
-    EXPECT_LT(world.nextHolder(old, duty), 900);
-    EXPECT_EQ(world.holder(duty), next);
+    const std::string singletonRole = GroupWorld::singletonRoleName(1);
+    const int old = world.holder(singletonRole), next = (old + 2) % 5;
+    world.giveUp(old, singletonRole, GroupWorld::name(next));
+    EXPECT_LT(world.nextHolder(old, singletonRole), 900);
+    EXPECT_EQ(world.holder(singletonRole), next);
     world.until(world.now() + 5000);
-    EXPECT_EQ(world.holder(duty), next);  // and stays
+    EXPECT_EQ(world.holder(singletonRole), next);  // and stays
 }
 // It believes that nothing happened; its first act after waking asks its own clock, and what was begun before is late.
 TEST(Group, AHolderStoppedPastItsLeaseFindsOutBeforeItsNextAct) {
     Calm world;
-    const std::string duty = GroupWorld::dutyName(0);
-    const int old = world.holder(duty);
+    const std::string singletonRole = GroupWorld::singletonRoleName(0);
+    const int old = world.holder(singletonRole);
     world.stop(old);
-    world.nextHolder(old, duty);
+    world.nextHolder(old, singletonRole);
     const std::uint64_t late = world.report().lateActs;
     world.until(world.now() + 500);  // the successor has acted
     world.proceed(old);
     EXPECT_EQ(world.report().lateActs, late + 1);
-    EXPECT_NE(world.holder(duty), old);
+    EXPECT_NE(world.holder(singletonRole), old);
     world.until(world.now() + 5000);
     EXPECT_TRUE(world.report().broken.empty()) << text(world.report());
 }
@@ -401,13 +401,13 @@
     Calm world;
     const int lead = world.leader();
     for (int d = 0; d < 3; ++d) {
-        const int by = world.holder(GroupWorld::dutyName(d));
-        if (by != lead) world.giveUp(by, GroupWorld::dutyName(d), GroupWorld::name(lead));
+        const int by = world.holder(GroupWorld::singletonRoleName(d));
+        if (by != lead) world.giveUp(by, GroupWorld::singletonRoleName(d), GroupWorld::name(lead));
     }
     world.until(world.now() + 2000);
-    for (int d = 0; d < 3; ++d) ASSERT_EQ(world.holder(GroupWorld::dutyName(d)), lead);
+    for (int d = 0; d < 3; ++d) ASSERT_EQ(world.holder(GroupWorld::singletonRoleName(d)), lead);
     world.cutOff(lead, false, false);
-    for (int d = 0; d < 3; ++d) world.nextHolder(lead, GroupWorld::dutyName(d));
+    for (int d = 0; d < 3; ++d) world.nextHolder(lead, GroupWorld::singletonRoleName(d));
     world.until(world.now() + 3000);
     world.heal();
     world.until(world.now() + 5000);
@@ -432,11 +432,11 @@
     for (int i = 0; i < 3; ++i) world.restart(i);
     world.until(world.now() + 20'000);
     EXPECT_EQ(world.leader(), -1);
-    for (int i = 0; i < 3; ++i) EXPECT_EQ(world.core(i).ledger().role(), raft::Role::recovering);
-    for (int d = 0; d < 3; ++d) EXPECT_EQ(world.holder(GroupWorld::dutyName(d)), -1);
+    for (int i = 0; i < 3; ++i) EXPECT_EQ(world.core(i).raft().role(), raft::Role::recovering);
+    for (int d = 0; d < 3; ++d) EXPECT_EQ(world.holder(GroupWorld::singletonRoleName(d)), -1);
     world.found(0, kNumber + 1);  // not while others have something
     world.until(world.now() + 3000);
-    EXPECT_EQ(world.core(0).ledger().number(), kNumber);
+    EXPECT_EQ(world.core(0).raft().number(), kNumber);
     for (int i = 0; i < 5; ++i) world.kill(i);
     for (int i = 0; i < 5; ++i) world.restart(i);
     world.until(world.now() + 3000);
@@ -444,7 +444,7 @@
     world.found(2, kNumber + 1);
     world.until(world.now() + 6000);
     EXPECT_GE(world.leader(), 0);
-    EXPECT_EQ(world.core(0).ledger().number(), kNumber + 1);
+    EXPECT_EQ(world.core(0).raft().number(), kNumber + 1);
     EXPECT_TRUE(world.report().broken.empty()) << text(world.report());
 }
 TEST(Group, TwoPersonsWhoFoundItAtOnceMakeOneGroup) {
@@ -457,7 +457,7 @@
         world.until(9000);
         std::set<std::uint64_t> numbers;
         for (int i = 0; i < 5; ++i)
-            if (world.core(i).ledger().number() != 0) numbers.insert(world.core(i).ledger().number());
+            if (world.core(i).raft().number() != 0) numbers.insert(world.core(i).raft().number());
         EXPECT_LE(numbers.size(), 1u) << seed;
         EXPECT_TRUE(world.report().broken.empty()) << text(world.report());
     }
--- a/tests/cluster/wire_test.cpp
+++ b/tests/cluster/wire_test.cpp
@@ -10,23 +10,23 @@
 
 using gossip::Refusal;
 
-const std::string kName(raft::kMostName, 'n'), kDuty(lease_sessions::kMostDutyName, 'd');
+const std::string kName(raft::kMaxMemberNameBytes, 'n'), kDuty(lease_sessions::kMaxRoleNameBytes, 'd');
 constexpr std::uint64_t kBig = 0xffffffffffffffffULL, kIndex = 0xffffffffULL;
 
 std::vector<raft::Body> ledgerBodies() {
     using namespace raft;
-    const Entry entry{kIndex, Kind::command, std::string(kMostData, '\xff')};
+    const Entry entry{kIndex, Kind::command, std::string(kMaxEntryBytes, '\xff')};
     return {PreVote{kIndex, kIndex, kIndex},
             PreVoteReply{kIndex, true, kIndex},
-            VoteAsk{kIndex, kIndex, kIndex},
+            VoteRequest{kIndex, kIndex, kIndex},
             VoteReply{kIndex, true},
             Append{kIndex, kIndex, kBig, kIndex, kIndex, true, entry},
             AppendReply{kIndex, true, kIndex, kIndex, true},
-            StateAsk{kBig},
+            StateRequest{kBig},
             StateReply{kBig, Standing::normal, kIndex, kIndex, true, kIndex, kIndex, true},
             Found{kIndex, kBig},
-            Piece{kIndex, kIndex, kIndex, kBig, kBig, 1U << 24, 1U << 24, std::string(kPiece, '\xff')},
-            PieceReply{kIndex, kIndex, 1U << 24},
+            SnapshotChunk{kIndex, kIndex, kIndex, kBig, kBig, 1U << 24, 1U << 24, std::string(kSnapshotChunkBytes, '\xff')},
+            SnapshotChunkReply{kIndex, kIndex, 1U << 24},
             Pull{kIndex, kBig},
             Tail{kIndex, kBig, kIndex, true, entry}};
 }
@@ -38,37 +38,37 @@
             Answer{kBig, kIndex, {Verdict::wait, kBig, kIndex}, kName}, Renew{kIndex, kIndex}, renewed,
             Granted{kBig, kIndex, kDuty, kBig}};
 }
-std::string sealed(gossip::Room room, const std::string& body) {
+std::string sealed(gossip::Channel room, const std::string& body) {
     return gossip::seal("gatherers", {room, kName, kBig, kIndex}, body);
 }
 
 TEST(Wire, EveryMessageFitsOneDatagramAndComesBackAsItWas) {
     Refusal why;
     for (const raft::Body& b : ledgerBodies()) {
-        const std::string bytes = sealed(gossip::Room::ledger, write(b));
+        const std::string bytes = sealed(gossip::Channel::raft, write(b));
         ASSERT_FALSE(bytes.empty()) << b.index();
         EXPECT_LE(bytes.size(), gossip::kMostBytes);
         const auto opened = gossip::open("gatherers", bytes, why);
         ASSERT_TRUE(opened) << nameOf(why);
         EXPECT_EQ(opened->header.sender, kName);
-        EXPECT_EQ(opened->header.life, kBig);
-        const auto back = readLedger(opened->body);
+        EXPECT_EQ(opened->header.processIncarnation, kBig);
+        const auto back = readRaft(opened->body);
         ASSERT_TRUE(back) << b.index();
         EXPECT_EQ(back->index(), b.index());
         EXPECT_EQ(write(*back), write(b));
     }
     for (const lease_sessions::Body& b : dutyBodies()) {
-        const std::string bytes = sealed(gossip::Room::duties, write(b));
+        const std::string bytes = sealed(gossip::Channel::singletonRoles, write(b));
         ASSERT_FALSE(bytes.empty()) << b.index();
         const auto opened = gossip::open("gatherers", bytes, why);
         ASSERT_TRUE(opened);
-        const auto back = readDuties(opened->body);
+        const auto back = readLeaseSessions(opened->body);
         ASSERT_TRUE(back);
         EXPECT_EQ(write(*back), write(b));
     }
 }
 TEST(Wire, EveryChangedBitAndEveryCutIsRefused) {
-    const std::string good = sealed(gossip::Room::ledger, write(ledgerBodies()[4]));
+    const std::string good = sealed(gossip::Channel::raft, write(ledgerBodies()[4]));
     Refusal why;
     for (std::size_t i = 0; i < good.size(); ++i)
         for (int bit = 0; bit < 8; ++bit) {
@@ -81,7 +81,7 @@
     EXPECT_FALSE(gossip::open("gatherers", good + "x", why));
 }
 TEST(Wire, WhatIsNotOursIsCountedByItsReason) {
-    const std::string good = sealed(gossip::Room::ledger, "x");
+    const std::string good = sealed(gossip::Channel::raft, "x");
     Refusal why = Refusal::none;
     const auto refused = [&](std::string bytes, const char* group = "gatherers") {
         return gossip::open(group, bytes, why) ? Refusal::none : why;
@@ -109,12 +109,12 @@
     for (const std::string& bad :
          {std::string(), std::string("\xc1"), std::string("\x92\x63\x90"), std::string("\x92\x00\x91\x01"),
           std::string("\x92\xff\x90"), std::string(200, '\xdd')}) {
-        EXPECT_FALSE(readLedger(bad));
-        EXPECT_FALSE(readDuties(bad));
+        EXPECT_FALSE(readRaft(bad));
+        EXPECT_FALSE(readLeaseSessions(bad));
     }
     raft::Append long_;
-    long_.entry.data = std::string(raft::kMostData + 1, 'x');
-    EXPECT_FALSE(readLedger(write(raft::Body(long_))));
+    long_.entry.data = std::string(raft::kMaxEntryBytes + 1, 'x');
+    EXPECT_FALSE(readRaft(write(raft::Body(long_))));
 }
 
 }  // namespace
--- a/tests/configuration/applied_operations_test.cpp
+++ b/tests/configuration/applied_operations_test.cpp
@@ -27,14 +27,14 @@
 
 std::size_t takenEntries(const Table& table) {
     std::size_t count = 0;
-    eachWithPrefix(table, kTakenPrefix, [&](std::string_view, std::string_view) { ++count; });
+    eachWithPrefix(table, kAppliedPrefix, [&](std::string_view, std::string_view) { ++count; });
     return count;
 }
 
 std::size_t takenBytes(const Table& table) {
     std::size_t bytes = 0;
-    eachWithPrefix(table, kTakenPrefix, [&](std::string_view name, std::string_view value) {
-        bytes += kTakenPrefix.size() + name.size() + value.size();
+    eachWithPrefix(table, kAppliedPrefix, [&](std::string_view name, std::string_view value) {
+        bytes += kAppliedPrefix.size() + name.size() + value.size();
     });
     return bytes;
 }
@@ -56,14 +56,14 @@
 
 TEST(TakenCalls, AreBoundedAndTheLowestRevisionsGiveWay) {
     constexpr std::uint64_t kMore = 25;
-    const Table table = afterCalls(kTakenKept + kMore);
-    EXPECT_EQ(takenEntries(table), kTakenKept);
-    EXPECT_EQ(takenBytes(table), kMaxTakenBytes);
-    EXPECT_EQ(table.at(std::string{kTakenCountKey}), std::to_string(kTakenKept));
+    const Table table = afterCalls(kAppliedRetained + kMore);
+    EXPECT_EQ(takenEntries(table), kAppliedRetained);
+    EXPECT_EQ(takenBytes(table), kMaxAppliedBytes);
+    EXPECT_EQ(table.at(std::string{kAppliedCountKey}), std::to_string(kAppliedRetained));
     for (std::uint64_t call = 1; call <= kMore; ++call)
         EXPECT_EQ(refusal(repeated(table, call)), ErrorKind::conflict) << call;
-    for (std::uint64_t call = kMore + 1; call <= kTakenKept + kMore; ++call)
-        ASSERT_TRUE(alreadyTaken(repeated(table, call))) << call;
+    for (std::uint64_t call = kMore + 1; call <= kAppliedRetained + kMore; ++call)
+        ASSERT_TRUE(alreadyApplied(repeated(table, call))) << call;
 }
 
 TEST(TakenCalls, OfEitherMethodAreFoundAfterOthers) {
@@ -73,10 +73,10 @@
     take(table, putConfiguration(table, "5", body(11, 2000)));
     take(table, patchConfiguration(table, "11", patch(12, "c")));
     take(table, evacuate(table, "hub-hall", true));
-    EXPECT_TRUE(alreadyTaken(putConfiguration(table, "0", body(2))));
-    EXPECT_TRUE(alreadyTaken(patchConfiguration(table, "2", patch(5, "b"))));
-    EXPECT_TRUE(alreadyTaken(putConfiguration(table, "5", body(11, 2000))));
-    EXPECT_TRUE(alreadyTaken(patchConfiguration(table, "11", patch(12, "c"))));
+    EXPECT_TRUE(alreadyApplied(putConfiguration(table, "0", body(2))));
+    EXPECT_TRUE(alreadyApplied(patchConfiguration(table, "2", patch(5, "b"))));
+    EXPECT_TRUE(alreadyApplied(putConfiguration(table, "5", body(11, 2000))));
+    EXPECT_TRUE(alreadyApplied(patchConfiguration(table, "11", patch(12, "c"))));
 }
 
 TEST(TakenCalls, AnotherBodyUnderATakenRevisionIsNeverTaken) {
@@ -99,11 +99,11 @@
         const std::string loser = body(9, second ? 1000 : 2000);
         take(table, putConfiguration(table, "7", winner));
         for (int again = 0; again < 3; ++again) {
-            EXPECT_TRUE(alreadyTaken(putConfiguration(table, "7", winner)));
+            EXPECT_TRUE(alreadyApplied(putConfiguration(table, "7", winner)));
             EXPECT_EQ(refusal(putConfiguration(table, "7", loser)), ErrorKind::conflict);
         }
         take(table, putConfiguration(table, "9", body(10, 3000)));
-        EXPECT_TRUE(alreadyTaken(putConfiguration(table, "7", winner)));
+        EXPECT_TRUE(alreadyApplied(putConfiguration(table, "7", winner)));
         EXPECT_EQ(refusal(putConfiguration(table, "7", loser)), ErrorKind::conflict);
     }
 }
@@ -112,7 +112,7 @@
     Table table = started();
     take(table, putConfiguration(table, "7", body(9)));
     for (const char* ifMatch : {"7", " 7", "\"7\"", "07"})
-        EXPECT_TRUE(alreadyTaken(putConfiguration(table, ifMatch, body(9)))) << ifMatch;
+        EXPECT_TRUE(alreadyApplied(putConfiguration(table, ifMatch, body(9)))) << ifMatch;
     for (const char* ifMatch : {"", "8", "9", "x7", "*"}) {
         const auto other = putConfiguration(table, ifMatch, body(9));
         EXPECT_FALSE(other) << ifMatch;
@@ -123,37 +123,37 @@
 Table ofEarlierRelease(Table table) {
     Table older;
     for (auto& [key, value] : table) {
-        if (key == kTakenCountKey) continue;
-        if (!key.starts_with(kTakenPrefix)) {
+        if (key == kAppliedCountKey) continue;
+        if (!key.starts_with(kAppliedPrefix)) {
             older.emplace(key, value);
             continue;
         }
-        const std::uint64_t revision = std::stoull(key.substr(kTakenPrefix.size()));
-        older.emplace(joinedKey(kTakenPrefix, std::to_string(revision)), value);
+        const std::uint64_t revision = std::stoull(key.substr(kAppliedPrefix.size()));
+        older.emplace(joinedKey(kAppliedPrefix, std::to_string(revision)), value);
     }
     return older;
 }
 
 TEST(TakenCalls, OfAnEarlierReleaseAreFoundAndRewrittenOnce) {
-    for (const std::uint64_t calls : {std::uint64_t{3}, std::uint64_t{kTakenKept}}) {
+    for (const std::uint64_t calls : {std::uint64_t{3}, std::uint64_t{kAppliedRetained}}) {
         Table table = ofEarlierRelease(afterCalls(calls));
-        EXPECT_TRUE(alreadyTaken(repeated(table, 1)));
-        EXPECT_TRUE(alreadyTaken(repeated(table, calls)));
+        EXPECT_TRUE(alreadyApplied(repeated(table, 1)));
+        EXPECT_TRUE(alreadyApplied(repeated(table, calls)));
         take(table, repeated(table, calls + 1));
         take(table, repeated(table, calls + 2));
-        const std::uint64_t kept = std::min<std::uint64_t>(calls + 2, kTakenKept);
+        const std::uint64_t kept = std::min<std::uint64_t>(calls + 2, kAppliedRetained);
         EXPECT_EQ(takenEntries(table), kept);
-        EXPECT_EQ(table.at(std::string{kTakenCountKey}), std::to_string(kept));
+        EXPECT_EQ(table.at(std::string{kAppliedCountKey}), std::to_string(kept));
         for (std::uint64_t call = calls + 3 - kept; call <= calls + 2; ++call)
-            ASSERT_TRUE(alreadyTaken(repeated(table, call))) << call;
+            ASSERT_TRUE(alreadyApplied(repeated(table, call))) << call;
     }
 }
 
 TEST(TakenCalls, TheCountNeverRunsAwayFromAnEmptyRange) {
     Table table = started();
-    table[std::string{kTakenCountKey}] = std::to_string(kTakenKept);
-    eachWithPrefix(Table{table}, kTakenPrefix, [&](std::string_view name, std::string_view) {
-        table.erase(joinedKey(kTakenPrefix, name));
+    table[std::string{kAppliedCountKey}] = std::to_string(kAppliedRetained);
+    eachWithPrefix(Table{table}, kAppliedPrefix, [&](std::string_view name, std::string_view) {
+        table.erase(joinedKey(kAppliedPrefix, name));
     });
     take(table, putConfiguration(table, "7", body(9)));
     EXPECT_EQ(takenEntries(table), 1u);
@@ -180,7 +180,7 @@
         Table table = started();
         const std::string sent = with(whole(9), "\"revision\":9", std::string("\"revision\":") + number);
         take(table, putConfiguration(table, "7", sent));
-        EXPECT_TRUE(alreadyTaken(putConfiguration(table, "7", sent))) << number;
+        EXPECT_TRUE(alreadyApplied(putConfiguration(table, "7", sent))) << number;
         EXPECT_EQ(currentRevision(table), *revisionOfBody(sent)) << number;
     }
 }
--- a/tests/configuration/evacuation_test.cpp
+++ b/tests/configuration/evacuation_test.cpp
@@ -6,17 +6,17 @@
 namespace beechpoint::configuration {
 namespace {
 
-using examples::alreadyTaken;
+using examples::alreadyApplied;
 using examples::take;
 
 TEST(Evacuation, IsAStateOfTheTable) {
     Table table = examples::started();
     take(table, evacuate(table, "hub-hall", true));
     EXPECT_EQ(table.at("evacuated/hub-hall"), "1");
-    EXPECT_TRUE(alreadyTaken(evacuate(table, "hub-hall", true)));
+    EXPECT_TRUE(alreadyApplied(evacuate(table, "hub-hall", true)));
     take(table, evacuate(table, "hub-hall", false));
     EXPECT_FALSE(table.contains("evacuated/hub-hall"));
-    EXPECT_TRUE(alreadyTaken(evacuate(table, "hub-hall", false)));
+    EXPECT_TRUE(alreadyApplied(evacuate(table, "hub-hall", false)));
 }
 
 TEST(Evacuation, LeavesTheConfigurationAndSurvivesItsChange) {
@@ -30,7 +30,7 @@
 TEST(Evacuation, WorksBeforeTheFirstConfiguration) {
     const Table table;
     EXPECT_TRUE(evacuate(table, "hub-hall", true));
-    EXPECT_TRUE(alreadyTaken(evacuate(table, "hub-hall", false)));
+    EXPECT_TRUE(alreadyApplied(evacuate(table, "hub-hall", false)));
 }
 
 TEST(Evacuation, BoundsNamesAndTheirNumber) {
--- a/tests/configuration/examples.hpp
+++ b/tests/configuration/examples.hpp
@@ -73,8 +73,8 @@
     return decision ? ErrorKind::storage : decision.error().kind;
 }
 
-inline bool alreadyTaken(const Result<Decision>& decision) {
-    return decision && std::holds_alternative<AlreadyTaken>(decision.value());
+inline bool alreadyApplied(const Result<Decision>& decision) {
+    return decision && std::holds_alternative<AlreadyApplied>(decision.value());
 }
 
 }  // namespace beechpoint::configuration::examples
--- a/tests/configuration/items_test.cpp
+++ b/tests/configuration/items_test.cpp
@@ -25,7 +25,7 @@
     EXPECT_EQ(route.trafficSplit, (std::vector<WeightedBackend>{{"huvo", 90}, {"wuno", 10}}));
     EXPECT_EQ(route.maxAttempts, 1);
     EXPECT_TRUE(route.sessionAffinity);
-    EXPECT_FALSE(route.repeatable());
+    EXPECT_FALSE(route.idempotent());
     EXPECT_DOUBLE_EQ(route.gapAimMs, 400);
 }
 
@@ -33,7 +33,7 @@
     const Result<Route> result = parseRoute(examples::kPlainRoute);
     ASSERT_TRUE(result) << result.error().text();
     EXPECT_EQ(result.value().backend, "huvo");
-    EXPECT_TRUE(result.value().repeatable());
+    EXPECT_TRUE(result.value().idempotent());
     EXPECT_EQ(result.value().allowedRegions, std::vector<std::string>{"east"});
 }
 
@@ -87,7 +87,7 @@
 struct Refused {
     std::string what;
     std::string instead;
-    std::string place;
+    std::string path;
 };
 
 class RefusedRoutes : public testing::TestWithParam<Refused> {};
@@ -96,7 +96,7 @@
     const Result<Route> result = parseRoute(with(examples::kSplitRoute, GetParam().what, GetParam().instead));
     ASSERT_FALSE(result);
     EXPECT_EQ(result.error().kind, ErrorKind::invalid);
-    EXPECT_EQ(result.error().place, GetParam().place);
+    EXPECT_EQ(result.error().location, GetParam().path);
     EXPECT_FALSE(result.error().remedy.empty());
 }
 
--- a/tests/configuration/patch_test.cpp
+++ b/tests/configuration/patch_test.cpp
@@ -87,14 +87,14 @@
     EXPECT_EQ(refusal(patchConfiguration(table, "", body)), ErrorKind::conflict);
     EXPECT_EQ(refusal(patchConfiguration(table, "7", patch(7, route("a", "/a/")))), ErrorKind::invalid);
     take(table, patchConfiguration(table, "7", body));
-    EXPECT_TRUE(alreadyTaken(patchConfiguration(table, "7", body)));
+    EXPECT_TRUE(alreadyApplied(patchConfiguration(table, "7", body)));
     EXPECT_EQ(refusal(patchConfiguration(table, "7", patch(10, route("b", "/b/")))), ErrorKind::conflict);
 }
 
 struct InvalidPatch {
     std::string name;
     std::string body;
-    std::string place;
+    std::string path;
 };
 
 void PrintTo(const InvalidPatch& invalid, std::ostream* out) { *out << invalid.name; }
@@ -106,7 +106,7 @@
     const Result<Decision> result = patchConfiguration(table, "7", GetParam().body);
     ASSERT_FALSE(result);
     EXPECT_EQ(result.error().kind, ErrorKind::invalid);
-    EXPECT_EQ(result.error().place, GetParam().place);
+    EXPECT_EQ(result.error().location, GetParam().path);
     EXPECT_FALSE(result.error().remedy.empty());
 }
 
--- a/tests/configuration/put_test.cpp
+++ b/tests/configuration/put_test.cpp
@@ -60,10 +60,10 @@
 
 TEST(Put, OfTheSameCallIsTakenAlready) {
     Table table = started();
-    EXPECT_TRUE(alreadyTaken(putConfiguration(table, "0", whole(7))));
+    EXPECT_TRUE(alreadyApplied(putConfiguration(table, "0", whole(7))));
     take(table, putConfiguration(table, "7", whole(9)));
-    EXPECT_TRUE(alreadyTaken(putConfiguration(table, "0", whole(7))));
-    EXPECT_TRUE(alreadyTaken(putConfiguration(table, "7", whole(9))));
+    EXPECT_TRUE(alreadyApplied(putConfiguration(table, "0", whole(7))));
+    EXPECT_TRUE(alreadyApplied(putConfiguration(table, "7", whole(9))));
 }
 
 TEST(Put, OfAnotherBodyUnderATakenRevisionIsAConflict) {
@@ -98,7 +98,7 @@
     const std::string second = with(whole(8), "5000", "5002");
     take(table, putConfiguration(table, "7", first));
     EXPECT_EQ(refusal(putConfiguration(table, "7", second)), ErrorKind::conflict);
-    EXPECT_TRUE(alreadyTaken(putConfiguration(table, "7", first)));
+    EXPECT_TRUE(alreadyApplied(putConfiguration(table, "7", first)));
 }
 
 TEST(Put, ChangesOnlyWhatDiffers) {
@@ -136,7 +136,7 @@
 struct Invalid {
     std::string name;
     std::string body;
-    std::string place;
+    std::string path;
 };
 
 void PrintTo(const Invalid& invalid, std::ostream* out) { *out << invalid.name; }
@@ -149,7 +149,7 @@
     const Result<Decision> result = putConfiguration(table, "7", GetParam().body);
     ASSERT_FALSE(result);
     EXPECT_EQ(result.error().kind, ErrorKind::invalid);
-    EXPECT_EQ(result.error().place, GetParam().place);
+    EXPECT_EQ(result.error().location, GetParam().path);
     EXPECT_FALSE(result.error().message.empty());
     EXPECT_FALSE(result.error().remedy.empty());
 }
--- a/tests/control/cluster.cpp
+++ b/tests/control/cluster.cpp
@@ -181,7 +181,7 @@
     return true;
 }
 
-bool Cluster::settled(std::size_t members) {
+bool Cluster::installed(std::size_t members) {
     std::size_t inView = 0;
     bool writable = false;
     for (const auto& member : members_) {
--- a/tests/control/cluster.hpp
+++ b/tests/control/cluster.hpp
@@ -46,7 +46,7 @@
 
     // Runs the loop until the condition holds; false where it does not in time.
     bool runUntil(const std::function<bool()>& condition, Millis most = kMost);
-    bool settled(
+    bool installed(
         std::size_t members = kMembers);  // a view of so many, all of them in it, and its head takes writes
 
     std::string controlAddress(std::size_t member) const;
--- a/tests/control/codec_test.cpp
+++ b/tests/control/codec_test.cpp
@@ -107,28 +107,28 @@
 }
 
 TEST(Codec, AShareGoesThereAndBack) {
-    Share share;
-    share.member = "c1";
-    share.session = 5;
-    share.epoch = 6;
-    share.leases = {{gateway(), 250}};
-    share.hostListVersion = {1, 1, 1};
-    share.hostListAge = 40;
-    share.hostList = hostList();
-    share.readsHosts = true;
-    const std::string bytes = encode(share);
+    PeerUpdate peerUpdate;
+    peerUpdate.member = "c1";
+    peerUpdate.session = 5;
+    peerUpdate.epoch = 6;
+    peerUpdate.leases = {{gateway(), 250}};
+    peerUpdate.hostListVersion = {1, 1, 1};
+    peerUpdate.hostListAge = 40;
+    peerUpdate.hostList = hostList();
+    peerUpdate.readsHosts = true;
+    const std::string bytes = encode(peerUpdate);
     const auto envelope = openEnvelope(bytes);
     ASSERT_TRUE(envelope.has_value());
-    EXPECT_EQ(envelope.value().kind, RequestKind::share);
-    const auto read = decodeShare(envelope.value().body);
+    EXPECT_EQ(envelope.value().kind, RequestKind::peerUpdate);
+    const auto read = decodePeerUpdate(envelope.value().body);
     ASSERT_TRUE(read.has_value()) << read.error().text();
     EXPECT_EQ(read.value().member, "c1");
     ASSERT_EQ(read.value().leases.size(), 1u);
     EXPECT_EQ(read.value().leases.front().gateway, gateway());
     EXPECT_EQ(read.value().leases.front().age, 250);
-    EXPECT_EQ(read.value().hostList->hosts, share.hostList->hosts);
+    EXPECT_EQ(read.value().hostList->hosts, peerUpdate.hostList->hosts);
     EXPECT_TRUE(read.value().readsHosts);
-    const auto answer = decodeShareReply(encode(ShareReply{{1, 2, 3}, true, {7}}));
+    const auto answer = decodePeerUpdateReply(encode(PeerUpdateReply{{1, 2, 3}, true, {7}}));
     ASSERT_TRUE(answer.has_value());
     EXPECT_EQ(answer.value().hostListVersion, (host_discovery::HostListVersion{1, 2, 3}));
     EXPECT_TRUE(answer.value().takesIncrements);
@@ -159,24 +159,24 @@
 }
 
 TEST(Codec, IncrementsOfAShareGoThereAndBack) {
-    Share share;
-    share.renewals = {{7, 250}, {8, 0}};
+    PeerUpdate peerUpdate;
+    peerUpdate.renewals = {{7, 250}, {8, 0}};
     host_discovery::HostListChanges changes;
     changes.base = {1, 1, 1};
     changes.version = {1, 2, 1};
     changes.gone = {"i-1"};
-    share.packedHostChanges = packHostChanges(changes);
-    share.hostListReadAge = 30;
-    const std::string bytes = encode(share);
-    const auto read = decodeShare(openEnvelope(bytes).value().body);
+    peerUpdate.packedHostChanges = packHostChanges(changes);
+    peerUpdate.hostListReadAge = 30;
+    const std::string bytes = encode(peerUpdate);
+    const auto read = decodePeerUpdate(openEnvelope(bytes).value().body);
     ASSERT_TRUE(read.has_value()) << read.error().text();
-    EXPECT_EQ(read.value().renewals, share.renewals);
+    EXPECT_EQ(read.value().renewals, peerUpdate.renewals);
     ASSERT_TRUE(read.value().hostChanges.has_value());
     EXPECT_EQ(read.value().hostChanges->changes, changes);
     EXPECT_EQ(read.value().hostChanges->readAge, 30);
-    share.packedHostChanges = "x";
-    const std::string spoilt = encode(share);
-    EXPECT_FALSE(decodeShare(openEnvelope(spoilt).value().body).has_value());
+    peerUpdate.packedHostChanges = "x";
+    const std::string spoilt = encode(peerUpdate);
+    EXPECT_FALSE(decodePeerUpdate(openEnvelope(spoilt).value().body).has_value());
 }
 
 TEST(Codec, RefusesWhatIsNoMessage) {
@@ -188,7 +188,7 @@
         EXPECT_FALSE(decodePollRequest(request.substr(1, size)).has_value()) << size;
     EXPECT_FALSE(decodePollReply("\xff").has_value());
     EXPECT_FALSE(decodePollReply("\x91\x07").has_value());  // a status that is not known
-    EXPECT_FALSE(decodeShare("nonsense").has_value());
+    EXPECT_FALSE(decodePeerUpdate("nonsense").has_value());
 }
 
 replica::Member member(const std::string& name) {
@@ -198,7 +198,7 @@
 replica::View view() { return {4, {member("a"), member("b")}, {3, 9}, {member("a"), member("c")}}; }
 
 std::vector<replica::Body> bodies() {
-    const replica::Ballot ballot{2, "a", 12};
+    const replica::ProposalNumber proposal{2, "a", 12};
     replica::Status status;
     status.sealed = status.diskFailing = status.leaving = true;
     status.syncedEpoch = 4;
@@ -210,10 +210,10 @@
     status.stored = {4, 3};
     const Batch batch{{4, 6}, {{"k", "v"}, {"gone", std::nullopt}}};
     replica::Promise promise;
-    promise.ballot = ballot;
+    promise.proposal = proposal;
     promise.target = 5;
     promise.value = view();
-    promise.accepted = ballot;
+    promise.accepted = proposal;
     promise.syncedEpoch = 3;
     promise.position = {4, 6};
     promise.folded = {4, 5};
@@ -221,11 +221,11 @@
     return {replica::Heartbeat{1, 2.5},
             replica::HeartbeatReply{1, 2.5, 3, status},
             replica::Join{},
-            replica::Prepare{ballot, view(), {"s1", "s2"}, true},
+            replica::Prepare{proposal, view(), {"s1", "s2"}, true},
             promise,
-            replica::Refuse{ballot, 5, ballot},
-            replica::Accept{ballot, view(), {}, view()},
-            replica::Accepted{ballot, 5},
+            replica::Refuse{proposal, 5, proposal},
+            replica::Accept{proposal, view(), {}, view()},
+            replica::Accepted{proposal, 5},
             replica::Decided{view()},
             replica::Propose{true, {4, 5}, batch},
             replica::Commit{{4, 6}},
@@ -248,7 +248,7 @@
     EXPECT_EQ(encodeMessages(read.value()), bytes);
     const auto& promise = std::get<replica::Promise>(read.value()[4].body);
     EXPECT_EQ(promise.value, view());
-    EXPECT_EQ(promise.accepted, (replica::Ballot{2, "a", 12}));
+    EXPECT_EQ(promise.accepted, (replica::ProposalNumber{2, "a", 12}));
     EXPECT_EQ(promise.syncedEpoch, 3u);
     EXPECT_EQ(promise.position, (Position{4, 6}));
     EXPECT_EQ(promise.folded, (Position{4, 5}));
--- a/tests/control/control_test.cpp
+++ b/tests/control/control_test.cpp
@@ -53,7 +53,7 @@
 protected:
     void found() {
         cluster.found();
-        ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(); }));
+        ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
     }
     int revisionAt(std::size_t member) {
         const HttpAnswer answer = cluster.call(member, "GET", "/configuration");
@@ -256,14 +256,14 @@
     while (!cluster.member(reader)->readsHosts()) reader++;
     cluster.kill(reader);
     const int before = calls;
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(2) && readers() == 1 && calls > before; }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(2) && readers() == 1 && calls > before; }));
     const std::size_t other = reader == 0 ? 1 : 0;
     hosts = R"({"instance_id":"i-2","backend":"s","address":"10.0.0.1:80","state":"serving"})";
     ASSERT_TRUE(cluster.runUntil([&] {
         reply = cluster.poll(other, request);
         return reply && reply->hostList && reply->hostList->hosts.back().instanceId == "i-2";
     }));
-    EXPECT_GT(reply->hostList->version.fence, request.hostList.fence);
+    EXPECT_GT(reply->hostList->version.fencingToken, request.hostList.fencingToken);
 }
 
 TEST_F(ControlTest, AMemberIsKilledAndComesBackWithItsDisk) {
@@ -272,9 +272,9 @@
     const std::size_t lost = head();
     cluster.kill(lost);
     EXPECT_EQ(cluster.call(0, "PUT", "/configuration", "1", configuration(2)).status, 200);
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(2); }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(2); }));
     cluster.start(lost);
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(); }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
     EXPECT_EQ(revisionAt(lost), 2);
 }
 
@@ -284,7 +284,7 @@
     cluster.kill(2);
     cluster.wipe(2);
     cluster.start(2);
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(); }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
     EXPECT_EQ(cluster.member(2)->replica()->committedTable(), cluster.member(0)->replica()->committedTable());
     EXPECT_EQ(cluster.call(0, "PUT", "/configuration", "1", configuration(2, 50)).status, 200);
     // The two others are lost: nothing more is acknowledged, and what was is still there when one comes back.
@@ -297,7 +297,7 @@
         return alone.status == 503;
     }));
     cluster.start(0);
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(2); }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(2); }));
     EXPECT_EQ(revisionAt(2), 2);
 }
 
@@ -308,7 +308,7 @@
     const Table before = cluster.member(0)->replica()->committedTable();
     for (std::size_t member = 0; member < Cluster::kMembers; member++) cluster.kill(member);
     for (std::size_t member = 0; member < Cluster::kMembers; member++) cluster.start(member);
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(); }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
     EXPECT_EQ(revisionAt(1), 1);
     for (std::size_t member = 0; member < Cluster::kMembers; member++)
         EXPECT_EQ(cluster.member(member)->replica()->committedTable(), before);
@@ -321,7 +321,7 @@
         cluster.seedsOf(member, {cluster.controlAddress(0), cluster.controlAddress(1)});
         cluster.start(member, true);
     }
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(2); }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(2); }));
     ASSERT_EQ(cluster.call(0, "PUT", "/configuration", "0", configuration(1)).status, 200);
     cluster.seedsOf(2, {"127.0.0.9:9"});
     cluster.start(2);
@@ -330,7 +330,7 @@
     EXPECT_FALSE(cluster.member(2)->replica()->inView());
     cluster.seedsOf(2, {cluster.controlAddress(1)});
     cluster.reload(2);
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(); }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
     EXPECT_EQ(revisionAt(2), 1);
 }
 
@@ -371,14 +371,14 @@
     std::optional<PollReply> reply;
     client.call(cluster.internalAddress(0), encode(request), 5000,
                 [&](Result<std::string> bytes) { reply = decodePollReply(bytes.value()).value(); });
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.member(0)->waitingPolls() == 1; }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.member(0)->pendingLongPolls() == 1; }));
     bool left = false;
     cluster.member(0)->stop([&] { left = true; });
     ASSERT_TRUE(cluster.runUntil([&] { return left && reply; }));
     EXPECT_EQ(reply->status, PollStatus::notFresh);
     EXPECT_EQ(cluster.callOnce(cluster.controlAddress(0), "GET", "/configuration").status, 0);
     cluster.kill(0);
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(2); }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(2); }));
 }
 
 TEST_F(ControlTest, BodiesOfSomeMegabytesAreTakenAndLargerOnesRefused) {
--- a/tests/control/gateway_service_state_test.cpp
+++ b/tests/control/gateway_service_state_test.cpp
@@ -22,7 +22,7 @@
     bool on = false;
 };
 
-class Table final : public VouchedTable {
+class Table final : public CommittedTableSource {
 public:
     explicit Table(std::size_t self) : self_(self) {
         view_.epoch = 1;
@@ -168,15 +168,15 @@
     GatewayServiceState& second() { return *held; }
     void restartSecond(Millis now) { held.emplace(leases::LeaseTable::Settings{}, now, source); }
 
-    Share carry(Millis now, bool answered = true) {
-        Share carried;
+    PeerUpdate carry(Millis now, bool answered = true) {
+        PeerUpdate carried;
         const auto actions = first.tick(now, &tables[0]);
-        for (const ShareCall& call : actions.shares) {
+        for (const PeerUpdateCall& call : actions.peerUpdates) {
             if (call.member != "c1") continue;
-            carried = call.share;
-            ShareReply reply;
-            second().onShare(now, &tables[1], call.share, reply);
-            first.onShared(now, &tables[0], call.member, answered ? std::optional(reply) : std::nullopt);
+            carried = call.peerUpdate;
+            PeerUpdateReply reply;
+            second().onPeerUpdate(now, &tables[1], call.peerUpdate, reply);
+            first.onPeerUpdateReply(now, &tables[0], call.member, answered ? std::optional(reply) : std::nullopt);
         }
         return carried;
     }
@@ -189,12 +189,12 @@
     pair.first.onPoll(600, &pair.tables[0], pollOf("g0"), 2);
     EXPECT_EQ(pair.carry(1000).leases.size(), 1u);
     pair.first.onPoll(1100, &pair.tables[0], pollOf("g0"), 3);
-    const Share third = pair.carry(1500);
+    const PeerUpdate third = pair.carry(1500);
     EXPECT_TRUE(third.leases.empty());
     ASSERT_EQ(third.renewals.size(), 1u);
     EXPECT_EQ(third.renewals.front().ageMs, 400u);
     EXPECT_TRUE(pair.second().leases().isLive("g0", 4000));
-    const Share fourth = pair.carry(2000);
+    const PeerUpdate fourth = pair.carry(2000);
     EXPECT_TRUE(fourth.leases.empty() && fourth.renewals.empty());
     EXPECT_FALSE(pair.second().leases().isLive("g0", 4200));
 }
@@ -219,7 +219,7 @@
     pair.carry(400);
     pair.first.onPoll(600, &pair.tables[0], pollOf("g0"), 2);
     pair.carry(1000, false);
-    const Share again = pair.carry(1500);
+    const PeerUpdate again = pair.carry(1500);
     EXPECT_EQ(again.leases.size() + again.renewals.size(), 1u);
 }
 
@@ -228,10 +228,10 @@
     pair.first.onPoll(0, &pair.tables[0], pollOf("g0"), 1);
     for (const Millis now : {500.0, 1000.0, 1500.0}) {
         const auto actions = pair.first.tick(now, &pair.tables[0]);
-        ASSERT_FALSE(actions.shares.empty());
-        EXPECT_EQ(actions.shares.front().share.leases.size(), 1u);
-        for (const ShareCall& call : actions.shares)
-            pair.first.onShared(now, &pair.tables[0], call.member, ShareReply{});
+        ASSERT_FALSE(actions.peerUpdates.empty());
+        EXPECT_EQ(actions.peerUpdates.front().peerUpdate.leases.size(), 1u);
+        for (const PeerUpdateCall& call : actions.peerUpdates)
+            pair.first.onPeerUpdateReply(now, &pair.tables[0], call.member, PeerUpdateReply{});
     }
 }
 
--- a/tests/control/host_changes_test.cpp
+++ b/tests/control/host_changes_test.cpp
@@ -45,7 +45,7 @@
     platform.listen({asio::ip::address_v4::loopback(), 0});
     cluster.platform("127.0.0.1:" + std::to_string(platform.endpoint().port()));
     cluster.found();
-    ASSERT_TRUE(cluster.runUntil([&] { return cluster.settled(); }));
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
     for (std::size_t member = 0; member < Cluster::kMembers; member++) {
         PollRequest request = firstPoll();
         std::optional<PollReply> reply;
--- a/tests/control/operator_call_test.cpp
+++ b/tests/control/operator_call_test.cpp
@@ -44,7 +44,7 @@
     ASSERT_TRUE(first.has_value());
     ASSERT_TRUE(std::holds_alternative<configuration::Accepted>(first.value()));
     apply(std::get<configuration::Accepted>(first.value()).changes, table);
-    EXPECT_TRUE(std::holds_alternative<configuration::AlreadyTaken>(decide(call, table).value()));
+    EXPECT_TRUE(std::holds_alternative<configuration::AlreadyApplied>(decide(call, table).value()));
     call.kind = OperatorCallKind::takeBack;
     EXPECT_TRUE(std::holds_alternative<configuration::Accepted>(decide(call, table).value()));
     call.kind = OperatorCallKind::put;
--- a/tests/control/operator_history.cpp
+++ b/tests/control/operator_history.cpp
@@ -128,7 +128,7 @@
     OperatorCalls calls;
     View view;
     std::size_t known = 0;  // entry of the log that its committed table is
-    bool settled = false, inFlight = false, cut = false, frozen = false, down = false;
+    bool installed = false, inFlight = false, cut = false, frozen = false, down = false;
     std::uint64_t start = 1;
     std::deque<std::function<void()>> held;  // while it is frozen
     std::map<CallId, Served> served;
@@ -178,7 +178,7 @@
 
     void at(Millis after, std::function<void()> action) { events_.emplace(now_ + after, std::move(action)); }
     Millis between(Millis low, Millis high) { return low + (high - low) * random_(); }
-    bool chance(double share) { return random_() < share; }
+    bool chance(double peerUpdate) { return random_() < peerUpdate; }
     bool faultsOver() const { return now_ >= kFaultsEnd; }
 
     void violate(std::string what) {
@@ -202,7 +202,7 @@
 
     bool real(std::size_t member) const {
         const Member& here = members_[member];
-        return !here.down && !here.cut && !here.frozen && here.settled && here.view.epoch == view_.epoch &&
+        return !here.down && !here.cut && !here.frozen && here.installed && here.view.epoch == view_.epoch &&
                view_.has(member);
     }
 
@@ -216,7 +216,7 @@
         state.inView = here.view.has(member);
         state.isHead = state.inView && here.view.order.front() == member;
         state.isTail = state.inView && here.view.order.back() == member;
-        state.writable = state.isHead && here.settled && !here.inFlight;
+        state.writable = state.isHead && here.installed && !here.inFlight;
         if (!here.view.order.empty()) {
             state.head = holder(here.view.order.front());
             state.tail = holder(here.view.order.back());
@@ -334,12 +334,12 @@
             Member& here = members_[member];
             if (here.down || here.cut || here.frozen) continue;
             here.view = view_;
-            here.settled = false;
+            here.installed = false;
             if (!view_.has(member)) continue;
             atMember(member, between(20, 300), [this, member, epoch = view_.epoch] {
                 Member& settling = members_[member];
                 if (settling.view.epoch != epoch || view_.epoch != epoch || settling.cut) return;
-                settling.settled = true;
+                settling.installed = true;
                 settling.known = log_.size() - 1;
                 tell(member, Look{});
             });
--- a/tests/control/waiting_polls_test.cpp
+++ b/tests/control/waiting_polls_test.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr Millis kNow = 1000;
-const WaitingPolls::HasNews kNoNews = [](const PollRequest&) { return false; };
-const WaitingPolls::HasNews kNews = [](const PollRequest&) { return true; };
+const LongPolls::HasNews kNoNews = [](const PollRequest&) { return false; };
+const LongPolls::HasNews kNews = [](const PollRequest&) { return true; };
 
 PollRequest of(const std::string& gateway) {
     PollRequest request;
@@ -16,8 +16,8 @@
     return request;
 }
 
-TEST(WaitingPolls, AreDueAtTheEndOfTheirWaitAndWithNews) {
-    WaitingPolls polls;
+TEST(LongPolls, AreDueAtTheEndOfTheirWaitAndWithNews) {
+    LongPolls polls;
     polls.hold(kNow, of("a"), {}, 500, true);
     EXPECT_TRUE(polls.takeDue(kNow + 499, true, 0, kNoNews).empty());
     EXPECT_EQ(polls.takeDue(kNow + 450, true, 100, kNoNews).size(), 1u);
@@ -26,16 +26,16 @@
     EXPECT_EQ(polls.takeDue(kNow, true, 0, kNews).size(), 1u);
 }
 
-TEST(WaitingPolls, ThatCameWhileNotFreshAreAnsweredAsSoonAsItIs) {
-    WaitingPolls polls;
+TEST(LongPolls, ThatCameWhileNotFreshAreAnsweredAsSoonAsItIs) {
+    LongPolls polls;
     polls.hold(kNow, of("a"), {}, 500, false);
     EXPECT_TRUE(polls.waitsForFreshness());
     EXPECT_TRUE(polls.takeDue(kNow + kNotFreshWait - 1, false, 0, kNews).empty());
     EXPECT_EQ(polls.takeDue(kNow + kNotFreshWait - 1, true, 0, kNoNews).size(), 1u);
 }
 
-TEST(WaitingPolls, AreSentAwayWhenNotFreshForTooLong) {
-    WaitingPolls polls;
+TEST(LongPolls, AreSentAwayWhenNotFreshForTooLong) {
+    LongPolls polls;
     polls.hold(kNow, of("a"), {}, 2000, true);
     EXPECT_FALSE(polls.waitsForFreshness());
     EXPECT_TRUE(polls.takeDue(kNow + 100, false, 0, kNoNews).empty());
@@ -44,8 +44,8 @@
     EXPECT_EQ(polls.takeDue(kNow + 100 + kNotFreshWait, false, 0, kNoNews).size(), 1u);
 }
 
-TEST(WaitingPolls, ThatOutlastASpellWithoutFreshnessWaitOn) {
-    WaitingPolls polls;
+TEST(LongPolls, ThatOutlastASpellWithoutFreshnessWaitOn) {
+    LongPolls polls;
     polls.hold(kNow, of("a"), {}, 2000, true);
     EXPECT_TRUE(polls.takeDue(kNow + 100, false, 0, kNoNews).empty());
     EXPECT_TRUE(polls.takeDue(kNow + 200, true, 0, kNoNews).empty());
@@ -53,8 +53,8 @@
     EXPECT_TRUE(polls.takeDue(kNow + 100 + kNotFreshWait, false, 0, kNoNews).empty());
 }
 
-TEST(WaitingPolls, HoldOneAGatewayAndSoManyInAll) {
-    WaitingPolls polls;
+TEST(LongPolls, HoldOneAGatewayAndSoManyInAll) {
+    LongPolls polls;
     for (std::size_t i = 0; i < kMaxWaitingPolls; ++i) {
         EXPECT_FALSE(polls.full());
         polls.hold(kNow, of("g" + std::to_string(i)), {}, 500, true);
--- a/tests/dispatch/cold_allowance_test.cpp
+++ b/tests/dispatch/cold_allowance_test.cpp
@@ -10,31 +10,31 @@
 namespace beechpoint::dispatch {
 namespace {
 
-TEST(ColdShare, IsNothingWithoutAFleet) {
-    EXPECT_EQ(ColdShare(20, 1, false, 0).perSpan(), 0);
-    EXPECT_EQ(ColdShare(0.5, 1, true, 0).perSpan(), 0);
+TEST(SlowStartShare, IsNothingWithoutAFleet) {
+    EXPECT_EQ(SlowStartShare(20, 1, false, 0).perSpan(), 0);
+    EXPECT_EQ(SlowStartShare(0.5, 1, true, 0).perSpan(), 0);
 }
 
-TEST(ColdShare, IsAPartThatHoldsWithAThirdMoreGateways) {
-    EXPECT_EQ(ColdShare(20, 8, true, 0).perSpan(), 1);
-    EXPECT_EQ(ColdShare(20, 2, true, 0).perSpan(), 6);
-    EXPECT_EQ(ColdShare(20, 1, true, 0).perSpan(), 10);
+TEST(SlowStartShare, IsAPartThatHoldsWithAThirdMoreGateways) {
+    EXPECT_EQ(SlowStartShare(20, 8, true, 0).perSpan(), 1);
+    EXPECT_EQ(SlowStartShare(20, 2, true, 0).perSpan(), 6);
+    EXPECT_EQ(SlowStartShare(20, 1, true, 0).perSpan(), 10);
 }
 
-TEST(ColdShare, OfMoreGatewaysThanRequestsOnlyTheFirstSend) {
-    EXPECT_EQ(ColdShare(20, 50, true, 5).perSpan(), 1);
-    EXPECT_EQ(ColdShare(20, 50, true, 6).perSpan(), 0);
-    EXPECT_EQ(ColdShare(20, 50, true, -1).perSpan(), 0);
+TEST(SlowStartShare, OfMoreGatewaysThanRequestsOnlyTheFirstSend) {
+    EXPECT_EQ(SlowStartShare(20, 50, true, 5).perSpan(), 1);
+    EXPECT_EQ(SlowStartShare(20, 50, true, 6).perSpan(), 0);
+    EXPECT_EQ(SlowStartShare(20, 50, true, -1).perSpan(), 0);
 }
 
 TEST(ColdLog, FreesPlacesAsTheSpanPasses) {
-    const ColdShare share(20, 4, true, 0);
+    const SlowStartShare share(20, 4, true, 0);
     ASSERT_EQ(share.perSpan(), 3);
     ColdLog log;
     for (const Millis at : {0.0, 100.0, 200.0}) log.sent(at);
     EXPECT_FALSE(log.allows(300, share));
-    EXPECT_EQ(log.freeAt(300, share), ColdShare::kSpan);
-    EXPECT_TRUE(log.allows(ColdShare::kSpan, share));
+    EXPECT_EQ(log.freeAt(300, share), SlowStartShare::kSpan);
+    EXPECT_TRUE(log.allows(SlowStartShare::kSpan, share));
 }
 
 // Whatever the gateways want, and with a third more of them than are known, no second sees more than the bound.
@@ -48,7 +48,7 @@
         std::vector<Millis> sends;
         for (Millis now = 0; now < 6000; now += 2) {
             for (int gateway = 0; gateway < real; ++gateway) {
-                const ColdShare share(bound, known, true, gateway % known);
+                const SlowStartShare share(bound, known, true, gateway % known);
                 ColdLog& log = logs[static_cast<std::size_t>(gateway)];
                 if (random() > 0.05 || !log.allows(now, share)) continue;
                 log.sent(now);
--- a/tests/dispatch/random_test.cpp
+++ b/tests/dispatch/random_test.cpp
@@ -96,8 +96,8 @@
                                  host->region),
                       1);
         }
-        const bool repeatable = life.asked.type == RequestType::idempotent || life.asked.resumable;
-        EXPECT_TRUE(repeatable || life.possiblyRun + static_cast<int>(life.out.size()) == 0)
+        const bool idempotent = life.asked.type == RequestType::idempotent || life.asked.resumable;
+        EXPECT_TRUE(idempotent || life.possiblyRun + static_cast<int>(life.out.size()) == 0)
             << "may run twice";
         EXPECT_EQ(send.resume, life.open);
         EXPECT_GT(send.within, 0);
@@ -161,7 +161,7 @@
     void did(std::size_t gateway, const SetTimer& timer) { gateways[gateway].timerAt = timer.at; }
     void did(std::size_t, const Log&) {}
     // Datagrams get lost now and then.
-    void did(std::size_t gateway, const ShareLoad& load) {
+    void did(std::size_t gateway, const ReportLoad& load) {
         for (std::size_t other = 0; other < gateways.size(); ++other)
             if (other != gateway && random() < 0.9)
                 tell(other, PeerLoad{gateway + 1, false, load.hosts, 2500, load.speeds});
@@ -193,7 +193,7 @@
         Life& life = lives.at(id);
         if (life.over) return;
         life.over = true;
-        tell(life.gateway, ClientGone{id});
+        tell(life.gateway, ClientDisconnected{id});
         for (const int attempt : life.out) EXPECT_TRUE(cancelled.contains({id, attempt})) << "works on";
     }
     // No request is without its final answer later than its deadline (a tick is at most 1 ms late here).
--- a/tests/dispatch/requests_test.cpp
+++ b/tests/dispatch/requests_test.cpp
@@ -160,7 +160,7 @@
 TEST_F(RequestsTest, AClientThatLeavesCancelsItsAttempts) {
     const RequestArrived arrived = h.request();
     h.tell(arrived);
-    EXPECT_EQ(only<Cancel>(h.tell(ClientGone{arrived.id})).size(), 1u);
+    EXPECT_EQ(only<Cancel>(h.tell(ClientDisconnected{arrived.id})).size(), 1u);
     EXPECT_EQ(h.dispatcher.live(), 0u);
     EXPECT_TRUE(only<Relay>(h.serve(arrived.id, 0)).empty());
 }
--- a/tests/dispatch/shared_load_test.cpp
+++ b/tests/dispatch/shared_load_test.cpp
@@ -153,7 +153,7 @@
     Harness harness(settings);
     startWithTwoHosts(harness);
     harness.tell(harness.request());
-    EXPECT_TRUE(only<ShareLoad>(harness.all).empty());
+    EXPECT_TRUE(only<ReportLoad>(harness.all).empty());
 }
 
 TEST(SharedLoadInDispatcher, TellsWhatWaitsAndWhenItNoLongerDoes) {
@@ -161,13 +161,13 @@
     startWithTwoHosts(harness);
     RequestArrived asked = harness.request(RequestType::streaming);
     asked.prompt = {{"own", 4000}};
-    const auto told = only<ShareLoad>(harness.tell(asked));
+    const auto told = only<ReportLoad>(harness.tell(asked));
     ASSERT_EQ(told.size(), 1u);
     ASSERT_EQ(told.front().hosts.size(), 1u);
     EXPECT_EQ(told.front().hosts.front().waiting, 1);
     EXPECT_GT(told.front().hosts.front().workS, 0);
-    EXPECT_TRUE(only<ShareLoad>(harness.pass(5)).empty());
-    const auto ended = only<ShareLoad>(harness.serve(asked.id, 0));
+    EXPECT_TRUE(only<ReportLoad>(harness.pass(5)).empty());
+    const auto ended = only<ReportLoad>(harness.serve(asked.id, 0));
     ASSERT_FALSE(ended.empty());
     EXPECT_EQ(ended.front().hosts.front().waiting, 0);
 }
--- a/tests/golden/control/control_messages_test.cpp
+++ b/tests/golden/control/control_messages_test.cpp
@@ -14,8 +14,8 @@
 using control::PollReply;
 using control::PollRequest;
 using control::RequestKind;
-using control::Share;
-using control::ShareReply;
+using control::PeerUpdate;
+using control::PeerUpdateReply;
 
 class ControlMessagesTest : public ::testing::Test {
 protected:
@@ -34,16 +34,16 @@
         EXPECT_EQ(read.value(), reply);
         EXPECT_EQ(control::encode(read.value()), bytes);
     }
-    void check(const std::string& name, const Share& share) {
-        const std::string bytes = golden_.check(name, control::encode(share));
-        const auto read = control::decodeShare(bodyOf(bytes, RequestKind::share));
+    void check(const std::string& name, const PeerUpdate& peerUpdate) {
+        const std::string bytes = golden_.check(name, control::encode(peerUpdate));
+        const auto read = control::decodePeerUpdate(bodyOf(bytes, RequestKind::peerUpdate));
         ASSERT_TRUE(read) << read.error().text();
-        EXPECT_EQ(read.value(), share);
+        EXPECT_EQ(read.value(), peerUpdate);
         EXPECT_EQ(control::encode(read.value()), bytes);
     }
-    void check(const std::string& name, const ShareReply& reply) {
+    void check(const std::string& name, const PeerUpdateReply& reply) {
         const std::string bytes = golden_.check(name, control::encode(reply));
-        const auto read = control::decodeShareReply(bytes);
+        const auto read = control::decodePeerUpdateReply(bytes);
         ASSERT_TRUE(read) << read.error().text();
         EXPECT_EQ(read.value(), reply);
         EXPECT_EQ(control::encode(read.value()), bytes);
@@ -55,9 +55,9 @@
         ASSERT_TRUE(read) << read.error().text();
         EXPECT_EQ(read.value(), plain);
     }
-    void checkPacked(const std::string& name, const Share& packed, const Share& plain) {
+    void checkPacked(const std::string& name, const PeerUpdate& packed, const PeerUpdate& plain) {
         const std::string bytes = golden_.check(name, control::encode(packed));
-        const auto read = control::decodeShare(bodyOf(bytes, RequestKind::share));
+        const auto read = control::decodePeerUpdate(bodyOf(bytes, RequestKind::peerUpdate));
         ASSERT_TRUE(read) << read.error().text();
         EXPECT_EQ(read.value(), plain);
     }
@@ -102,22 +102,22 @@
     return reply;
 }
 
-Share packedShare(std::size_t count) {
-    Share share;
-    share.member = "control-1";
-    share.packedHostList = control::packHostList(sampleHostList(count));
-    share.packedHostChanges = control::packHostChanges(sampleHostChanges(count));
-    share.hostListReadAge = 14.5;
-    return share;
+PeerUpdate packedShare(std::size_t count) {
+    PeerUpdate peerUpdate;
+    peerUpdate.member = "control-1";
+    peerUpdate.packedHostList = control::packHostList(sampleHostList(count));
+    peerUpdate.packedHostChanges = control::packHostChanges(sampleHostChanges(count));
+    peerUpdate.hostListReadAge = 14.5;
+    return peerUpdate;
 }
 
-Share unpackedShare(std::size_t count) {
-    Share share;
-    share.member = "control-1";
-    share.hostList = control::SharedHostList{{3, 4, 5}, 14.5, sampleHosts(count)};
-    share.hostChanges = control::SharedHostChanges{sampleHostChanges(count), 14.5};
-    share.hostListReadAge = 14.5;
-    return share;
+PeerUpdate unpackedShare(std::size_t count) {
+    PeerUpdate peerUpdate;
+    peerUpdate.member = "control-1";
+    peerUpdate.hostList = control::SharedHostList{{3, 4, 5}, 14.5, sampleHosts(count)};
+    peerUpdate.hostChanges = control::SharedHostChanges{sampleHostChanges(count), 14.5};
+    peerUpdate.hostListReadAge = 14.5;
+    return peerUpdate;
 }
 
 constexpr std::size_t kFew = 1;    // not compressed
@@ -203,16 +203,16 @@
 
 TEST_F(ControlMessagesTest, ShareWithAllPlainFields) { check("share/full", sampleShare()); }
 
-TEST_F(ControlMessagesTest, ShareWithDefaults) { check("share/empty", Share{}); }
+TEST_F(ControlMessagesTest, ShareWithDefaults) { check("share/empty", PeerUpdate{}); }
 
 TEST_F(ControlMessagesTest, ShareWithEachOptionalFieldAlone) {
-    const Share full = sampleShare();
-    Share share;
-    share.hostListAge = full.hostListAge;
-    check("share/host_list_age", share);
-    share = {};
-    share.hostList = full.hostList;
-    check("share/host_list", share);
+    const PeerUpdate full = sampleShare();
+    PeerUpdate peerUpdate;
+    peerUpdate.hostListAge = full.hostListAge;
+    check("share/host_list_age", peerUpdate);
+    peerUpdate = {};
+    peerUpdate.hostList = full.hostList;
+    check("share/host_list", peerUpdate);
 }
 
 TEST_F(ControlMessagesTest, ShareWithPackedFields) {
@@ -223,15 +223,15 @@
     checkPacked("share/compressed", packedShare(kMany), unpackedShare(kMany));
 }
 
-TEST_F(ControlMessagesTest, ShareReply) {
+TEST_F(ControlMessagesTest, PeerUpdateReply) {
     check("share_reply/full", sampleShareReply());
-    check("share_reply/empty", ShareReply{});
+    check("share_reply/empty", PeerUpdateReply{});
 }
 
 TEST_F(ControlMessagesTest, RequestsBeginWithTheirKind) {
     EXPECT_EQ(control::encode(PollRequest{}).front(), 1);
     EXPECT_EQ(static_cast<int>(RequestKind::replica), 2);
-    EXPECT_EQ(control::encode(Share{}).front(), 3);
+    EXPECT_EQ(control::encode(PeerUpdate{}).front(), 3);
 }
 
 // The bytes of the compressed form are also those of the zstd library.
--- a/tests/golden/control/control_samples.cpp
+++ b/tests/golden/control/control_samples.cpp
@@ -109,21 +109,21 @@
     return reply;
 }
 
-control::Share sampleShare() {
-    control::Share share;
-    share.member = "control-1";
-    share.session = 0x0102030405060708u;
-    share.epoch = 6;
-    share.leases = {{sampleGateway(), 250.5}};
-    share.hostListVersion = {3, 4, 5};
-    share.hostListAge = 40.5;
-    share.hostList = sampleSharedList();
-    share.readsHosts = true;
-    share.renewals = {{0xA1A2A3A4A5A6A7A8u, 120}, {9, 70'000}};
-    share.hostListReadAge = 14.5;
-    return share;
+control::PeerUpdate sampleShare() {
+    control::PeerUpdate peerUpdate;
+    peerUpdate.member = "control-1";
+    peerUpdate.session = 0x0102030405060708u;
+    peerUpdate.epoch = 6;
+    peerUpdate.leases = {{sampleGateway(), 250.5}};
+    peerUpdate.hostListVersion = {3, 4, 5};
+    peerUpdate.hostListAge = 40.5;
+    peerUpdate.hostList = sampleSharedList();
+    peerUpdate.readsHosts = true;
+    peerUpdate.renewals = {{0xA1A2A3A4A5A6A7A8u, 120}, {9, 70'000}};
+    peerUpdate.hostListReadAge = 14.5;
+    return peerUpdate;
 }
 
-control::ShareReply sampleShareReply() { return {{3, 4, 5}, true, {7, 0xB1B2B3B4B5B6B7B8u}}; }
+control::PeerUpdateReply sampleShareReply() { return {{3, 4, 5}, true, {7, 0xB1B2B3B4B5B6B7B8u}}; }
 
 }  // namespace beechpoint::golden
--- a/tests/golden/control/control_samples.hpp
+++ b/tests/golden/control/control_samples.hpp
@@ -25,7 +25,7 @@
 control::PollRequest samplePollRequest();
 // With the plain fields; encoding it packs the table.
 control::PollReply samplePollReply();
-control::Share sampleShare();
-control::ShareReply sampleShareReply();
+control::PeerUpdate sampleShare();
+control::PeerUpdateReply sampleShareReply();
 
 }  // namespace beechpoint::golden
