--- a/tests/golden/control/equality.hpp
+++ b/tests/golden/control/equality.hpp
@@ -17,7 +17,7 @@
 
 namespace beechpoint::leases {
 
-inline bool operator==(const SharedLease& left, const SharedLease& right) {
+inline bool operator==(const ReportedLease& left, const ReportedLease& right) {
     return left.gateway == right.gateway && left.age == right.age;
 }
 
@@ -38,12 +38,12 @@
                     reply.packedHostList, reply.packedHostChanges, reply.packedDirectory,
                     reply.hostListReadAge, reply.retryAfterMs, reply.memberRegions);
 }
-inline auto tied(const Share& share) {
-    return std::tie(share.member, share.session, share.epoch, share.leases, share.hostListVersion,
-                    share.hostListAge, share.hostList, share.readsHosts, share.renewals, share.packedHostList,
-                    share.packedHostChanges, share.hostListReadAge, share.hostChanges);
+inline auto tied(const PeerUpdate& peerUpdate) {
+    return std::tie(peerUpdate.member, peerUpdate.session, peerUpdate.epoch, peerUpdate.leases, peerUpdate.hostListVersion,
+                    peerUpdate.hostListAge, peerUpdate.hostList, peerUpdate.readsHosts, peerUpdate.renewals, peerUpdate.packedHostList,
+                    peerUpdate.packedHostChanges, peerUpdate.hostListReadAge, peerUpdate.hostChanges);
 }
-inline auto tied(const ShareReply& reply) {
+inline auto tied(const PeerUpdateReply& reply) {
     return std::tie(reply.hostListVersion, reply.takesIncrements, reply.unknownLeases);
 }
 inline auto tied(const FoundedView& view) { return std::tie(view.founders, view.view); }
@@ -63,7 +63,7 @@
 
 inline auto tied(const Heartbeat& message) { return std::tie(message.sequence, message.sentAt); }
 inline auto tied(const Status& status) {
-    return std::tie(status.sealed, status.settled, status.diskFailing, status.syncedEpoch, status.chained,
+    return std::tie(status.sealed, status.installed, status.diskFailing, status.syncedEpoch, status.chained,
                     status.committed, status.reached, status.unheard, status.stalledAt, status.stored,
                     status.leaving);
 }
@@ -72,17 +72,17 @@
 }
 inline auto tied(const Join&) { return std::tuple<>(); }
 inline auto tied(const Prepare& message) {
-    return std::tie(message.ballot, message.base, message.founders, message.observed);
+    return std::tie(message.proposal, message.base, message.founders, message.observed);
 }
 inline auto tied(const Promise& message) {
-    return std::tie(message.ballot, message.target, message.accepted, message.value, message.syncedEpoch,
+    return std::tie(message.proposal, message.target, message.accepted, message.value, message.syncedEpoch,
                     message.position, message.folded, message.diskFailing);
 }
-inline auto tied(const Refuse& message) { return std::tie(message.ballot, message.target, message.promised); }
+inline auto tied(const Refuse& message) { return std::tie(message.proposal, message.target, message.promised); }
 inline auto tied(const Accept& message) {
-    return std::tie(message.ballot, message.base, message.founders, message.value);
+    return std::tie(message.proposal, message.base, message.founders, message.value);
 }
-inline auto tied(const Accepted& message) { return std::tie(message.ballot, message.target); }
+inline auto tied(const Accepted& message) { return std::tie(message.proposal, message.target); }
 inline auto tied(const Decided& message) { return std::tie(message.view); }
 inline auto tied(const Propose& message) {
     return std::tie(message.opening, message.previous, message.batch);
--- a/tests/golden/control/replica_samples.cpp
+++ b/tests/golden/control/replica_samples.cpp
@@ -22,7 +22,7 @@
         {"heartbeat_reply/full", HeartbeatReply{17, 1234.5, 0x0102030405060708u, sampleStatus()}},
         {"heartbeat_reply/empty", HeartbeatReply{}},
         {"heartbeat_reply/sealed", withFlag(&Status::sealed)},
-        {"heartbeat_reply/settled", withFlag(&Status::settled)},
+        {"heartbeat_reply/settled", withFlag(&Status::installed)},
         {"heartbeat_reply/disk_failing", withFlag(&Status::diskFailing)},
         {"heartbeat_reply/leaving", withFlag(&Status::leaving)},
         {"join", replica::Join{}},
@@ -84,7 +84,7 @@
     return member;
 }
 
-replica::Ballot sampleBallot(std::uint64_t round) { return {round, "control-1", 70'001}; }
+replica::ProposalNumber sampleBallot(std::uint64_t round) { return {round, "control-1", 70'001}; }
 
 replica::View sampleView() {
     return {
@@ -98,7 +98,7 @@
 replica::Status sampleStatus() {
     replica::Status status;
     status.sealed = true;
-    status.settled = true;
+    status.installed = true;
     status.diskFailing = true;
     status.syncedEpoch = 5;
     status.chained = 1000;
--- a/tests/golden/control/replica_samples.hpp
+++ b/tests/golden/control/replica_samples.hpp
@@ -11,7 +11,7 @@
 
 // `number` tells one from the other.
 replica::Member sampleMember(int number);
-replica::Ballot sampleBallot(std::uint64_t round);
+replica::ProposalNumber sampleBallot(std::uint64_t round);
 // Two members, one of them not counted, and three voters.
 replica::View sampleView();
 std::vector<std::string> sampleFounders();
--- a/tests/golden/gatherer/duties_table_test.cpp
+++ b/tests/golden/gatherer/duties_table_test.cpp
@@ -44,8 +44,8 @@
     apply({Op::open, "g1", 101, 1, 0, "", 0, ""});
     apply({Op::open, "g2", 102, 1, 0, "", 0, ""});
     apply({Op::open, "g3", 103, 1, 0, "", 0, ""});
-    for (const char* duty : {"given-up", "held", "lost", "never-held"})
-        apply({Op::want, "g1", 101, index, 0, duty, 0, ""});
+    for (const char* singletonRole : {"given-up", "held", "lost", "never-held"})
+        apply({Op::want, "g1", 101, index, 0, singletonRole, 0, ""});
     apply({Op::grant, "g1", 0, 0, 1, "held", 0, ""});
     apply({Op::grant, "g2", 0, 0, 2, "given-up", 0, ""});
     apply({Op::grant, "g3", 0, 0, 3, "lost", 0, ""});
@@ -55,14 +55,14 @@
     return table;
 }
 
-void expectDuty(const Table& table, const std::string& name, const lease_sessions::Duty& expected) {
-    const lease_sessions::Duty* duty = table.duty(name);
-    ASSERT_NE(duty, nullptr) << name;
-    EXPECT_EQ(duty->holder, expected.holder) << name;
-    EXPECT_EQ(duty->session, expected.session) << name;
-    EXPECT_EQ(duty->fence, expected.fence) << name;
-    EXPECT_EQ(duty->last, expected.last) << name;
-    EXPECT_EQ(duty->lost, expected.lost) << name;
+void expectDuty(const Table& table, const std::string& name, const lease_sessions::SingletonRole& expected) {
+    const lease_sessions::SingletonRole* singletonRole = table.singletonRole(name);
+    ASSERT_NE(singletonRole, nullptr) << name;
+    EXPECT_EQ(singletonRole->holder, expected.holder) << name;
+    EXPECT_EQ(singletonRole->session, expected.session) << name;
+    EXPECT_EQ(singletonRole->fencingToken, expected.fencingToken) << name;
+    EXPECT_EQ(singletonRole->last, expected.last) << name;
+    EXPECT_EQ(singletonRole->lost, expected.lost) << name;
 }
 
 TEST(DutiesTable, Snapshot) {
@@ -77,7 +77,7 @@
     EXPECT_EQ(table.sessions().size(), 2u);
     ASSERT_NE(table.session("g1"), nullptr);
     EXPECT_EQ(table.session("g1")->number, 1u);
-    EXPECT_EQ(table.session("g1")->life, 101u);
+    EXPECT_EQ(table.session("g1")->processIncarnation, 101u);
     EXPECT_EQ(table.answer("g2", 102, 2), (lease_sessions::Result{Verdict::yes, kFirst, 2}));
     EXPECT_EQ(table.save(), saved);
 }
@@ -86,7 +86,7 @@
     const std::string saved = expectGolden("duties_table", "snapshot_empty", Table().save());
     Table table;
     ASSERT_TRUE(table.load(saved));
-    EXPECT_TRUE(table.duties().empty());
+    EXPECT_TRUE(table.singletonRoles().empty());
     EXPECT_TRUE(table.sessions().empty());
 }
 
--- a/tests/golden/gatherer/group_datagrams_test.cpp
+++ b/tests/golden/gatherer/group_datagrams_test.cpp
@@ -18,7 +18,7 @@
 using Samples = std::vector<std::pair<std::string, Body>>;
 
 // The header's numbers are as wide as they get.
-gossip::Header headerOf(gossip::Room room) {
+gossip::Header headerOf(gossip::Channel room) {
     return {room, "gatherer-a", 0xfedcba9876543210, 0x123456789abcdef0};
 }
 
@@ -34,14 +34,14 @@
     return {{"pre_vote", PreVote{11, 300, 70'000}},
             {"pre_vote_reply_yes", PreVoteReply{12, true, 13}},
             {"pre_vote_reply_no", PreVoteReply{12, false, 13}},
-            {"vote_ask", VoteAsk{14, 5'000'000'000, 15}},
+            {"vote_ask", VoteRequest{14, 5'000'000'000, 15}},
             {"vote_reply_yes", VoteReply{16, true}},
             {"vote_reply_no", VoteReply{16, false}}};
 }
 
 Samples<raft::Body> replicationSamples() {
     using namespace raft;
-    const Entry longest{22, Kind::command, std::string(kMostData, '\xc3')};
+    const Entry longest{22, Kind::command, std::string(kMaxEntryBytes, '\xc3')};
     return {
         {"append_begin", Append{21, 22, 0xa1a2a3a4a5a6a7a8, 23, 24, true, {25, Kind::begin, ""}}},
         {"append_command", Append{21, 22, 0xa1a2a3a4a5a6a7a8, 23, 24, true, {25, Kind::command, "data"}}},
@@ -57,14 +57,14 @@
 
 Samples<raft::Body> recoverySamples() {
     using namespace raft;
-    return {{"state_ask", StateAsk{0xd1d2d3d4d5d6d7d8}},
+    return {{"state_ask", StateRequest{0xd1d2d3d4d5d6d7d8}},
             {"state_reply_empty", StateReply{41, Standing::empty, 42, 43, true, 44, 45, false}},
             {"state_reply_recovering", StateReply{41, Standing::recovering, 42, 43, false, 44, 45, true}},
             {"state_reply_normal", StateReply{41, Standing::normal, 42, 43, false, 44, 45, false}},
             {"found", Found{46, 0xe1e2e3e4e5e6e7e8}},
-            {"piece", Piece{47, 48, 49, 0xf1f2f3f4f5f6f7f8, 50, 260, 300, "the last bytes of a snapshot"}},
-            {"piece_longest", Piece{47, 48, 49, 51, 52, 130, 390, std::string(kPiece, '\x01')}},
-            {"piece_reply", PieceReply{53, 54, 260}}};
+            {"piece", SnapshotChunk{47, 48, 49, 0xf1f2f3f4f5f6f7f8, 50, 260, 300, "the last bytes of a snapshot"}},
+            {"piece_longest", SnapshotChunk{47, 48, 49, 51, 52, 130, 390, std::string(kSnapshotChunkBytes, '\x01')}},
+            {"piece_reply", SnapshotChunkReply{53, 54, 260}}};
 }
 
 Samples<raft::Body> ledgerDefaults() {
@@ -134,7 +134,7 @@
 
 // Each sample as a datagram: as it was written before, and read back from those bytes.
 template <class Body, class Read>
-void checkDatagrams(gossip::Room room, const std::string& prefix, const Samples<Body>& samples, Read read) {
+void checkDatagrams(gossip::Channel room, const std::string& prefix, const Samples<Body>& samples, Read read) {
     const gossip::Header header = headerOf(room);
     for (const auto& [name, body] : samples) {
         SCOPED_TRACE(name);
@@ -145,7 +145,7 @@
         ASSERT_TRUE(opened) << gossip::nameOf(why);
         EXPECT_EQ(opened->header.room, room);
         EXPECT_EQ(opened->header.sender, header.sender);
-        EXPECT_EQ(opened->header.life, header.life);
+        EXPECT_EQ(opened->header.processIncarnation, header.processIncarnation);
         EXPECT_EQ(opened->header.number, header.number);
         const std::optional<Body> message = read(opened->body);
         ASSERT_TRUE(message);
@@ -154,51 +154,51 @@
 }
 
 TEST(GroupDatagrams, LedgerElections) {
-    checkDatagrams(gossip::Room::ledger, "ledger", electionSamples(), cluster::readLedger);
+    checkDatagrams(gossip::Channel::raft, "ledger", electionSamples(), cluster::readRaft);
 }
 
 TEST(GroupDatagrams, LedgerReplication) {
-    checkDatagrams(gossip::Room::ledger, "ledger", replicationSamples(), cluster::readLedger);
+    checkDatagrams(gossip::Channel::raft, "ledger", replicationSamples(), cluster::readRaft);
 }
 
 TEST(GroupDatagrams, LedgerRecoveryAndSnapshots) {
-    checkDatagrams(gossip::Room::ledger, "ledger", recoverySamples(), cluster::readLedger);
+    checkDatagrams(gossip::Channel::raft, "ledger", recoverySamples(), cluster::readRaft);
 }
 
 TEST(GroupDatagrams, LedgerDefaults) {
-    checkDatagrams(gossip::Room::ledger, "ledger", ledgerDefaults(), cluster::readLedger);
+    checkDatagrams(gossip::Channel::raft, "ledger", ledgerDefaults(), cluster::readRaft);
 }
 
 TEST(GroupDatagrams, DutiesRequests) {
-    checkDatagrams(gossip::Room::duties, "duties", askSamples(), cluster::readDuties);
+    checkDatagrams(gossip::Channel::singletonRoles, "duties", askSamples(), cluster::readLeaseSessions);
 }
 
 TEST(GroupDatagrams, DutiesAnswers) {
-    checkDatagrams(gossip::Room::duties, "duties", answerSamples(), cluster::readDuties);
+    checkDatagrams(gossip::Channel::singletonRoles, "duties", answerSamples(), cluster::readLeaseSessions);
 }
 
 TEST(GroupDatagrams, DutiesDefaults) {
-    checkDatagrams(gossip::Room::duties, "duties", dutiesDefaults(), cluster::readDuties);
+    checkDatagrams(gossip::Channel::singletonRoles, "duties", dutiesDefaults(), cluster::readLeaseSessions);
 }
 
 TEST(GroupDatagrams, Membership) {
-    checkDatagrams(gossip::Room::membership, "membership", membershipSamples(), cluster::readMembership);
+    checkDatagrams(gossip::Channel::membership, "membership", membershipSamples(), cluster::readMembership);
 }
 
 TEST(GroupDatagrams, HostProber) {
-    checkDatagrams(gossip::Room::hostProber, "host_prober", hostProberSamples(), cluster::readHostProber);
+    checkDatagrams(gossip::Channel::hostProber, "host_prober", hostProberSamples(), cluster::readHostProber);
 }
 
 // A member that has joined no group yet seals under number 0.
 TEST(GroupDatagrams, HeaderOfAMemberWithoutAGroup) {
     const std::string bytes =
         expectGolden("group_datagrams", "header.without_a_group",
-                     gossip::seal("g", {gossip::Room::ledger, "a", 1, 0}, cluster::write(raft::StateAsk{2})));
+                     gossip::seal("g", {gossip::Channel::raft, "a", 1, 0}, cluster::write(raft::StateRequest{2})));
     gossip::Refusal why = gossip::Refusal::none;
     const auto opened = gossip::open("g", bytes, why);
     ASSERT_TRUE(opened) << gossip::nameOf(why);
     EXPECT_EQ(opened->header.sender, "a");
-    EXPECT_EQ(opened->header.life, 1u);
+    EXPECT_EQ(opened->header.processIncarnation, 1u);
     EXPECT_EQ(opened->header.number, 0u);
 }
 
--- a/tests/golden/gatherer/ledger_folder_test.cpp
+++ b/tests/golden/gatherer/ledger_folder_test.cpp
@@ -14,17 +14,17 @@
 using lease_sessions::Op;
 using raft::Append;
 using raft::Entry;
-using raft::Kept;
+using raft::PersistentState;
 using raft::Kind;
 
 constexpr const char* kFamily = "ledger_folder";
 constexpr const char* kGroup = "beech.group 1";  // with characters that file names leave out
 constexpr const char* kSelf = "s2";
 constexpr std::uint64_t kNumber = 9;
-constexpr raft::Life kLife = 0xa1a2a3a4a5a6a7a8;
+constexpr raft::ProcessIncarnation kLife = 0xa1a2a3a4a5a6a7a8;
 
-std::string openSession(const std::string& member, raft::Life life) {
-    return lease_sessions::write({Op::open, member, life, 1, 0, "", 0, ""});
+std::string openSession(const std::string& member, raft::ProcessIncarnation processIncarnation) {
+    return lease_sessions::write({Op::open, member, processIncarnation, 1, 0, "", 0, ""});
 }
 
 // A voter that follows, and keeps each of its steps in a folder.
@@ -33,20 +33,20 @@
     explicit Voter(const std::string& folder)
         : folder_(disk_, folder, kGroup, kSelf),
           journal_(kGroup, kSelf, kLife),
-          ledger_(options(), kSelf, kLife, {"s1", "s2", "s3"}, 1, 0, table_, founded()) {
+          raft_(options(), kSelf, kLife, {"s1", "s2", "s3"}, 1, 0, table_, founded()) {
         keep();
     }
     // An entry from the leader s1, after the one at `prev`; all up to `commit` is settled.
     void append(raft::Term term, raft::Index prev, Entry entry, raft::Index commit) {
         receive(now_ + 10, "s1",
-                Append{term, prev, ledger_.digestAt(prev), commit, ++round_, true, std::move(entry)});
+                Append{term, prev, raft_.digestAt(prev), commit, ++round_, true, std::move(entry)});
     }
     // A message from s3 once no leader has been heard for long.
     template <class Body>
     void election(Body body) {
         receive(now_ + 5000, "s3", std::move(body));
     }
-    Kept kept() const { return ledger_.kept(); }
+    PersistentState kept() const { return raft_.kept(); }
 
 private:
     static raft::Options options() {
@@ -54,31 +54,31 @@
         options.mostEntries = 3;
         return options;
     }
-    static Kept founded() {
-        Kept kept;
+    static PersistentState founded() {
+        PersistentState kept;
         kept.number = kNumber;
         return kept;
     }
     void receive(Millis now, const std::string& from, raft::Body body) {
         raft::Actions actions;
-        ledger_.receive(now_ = now, {from, kSelf, 5, kNumber, std::move(body)}, actions);
+        raft_.receive(now_ = now, {from, kSelf, 5, kNumber, std::move(body)}, actions);
         EXPECT_TRUE(actions.keep);
         keep();
     }
-    void keep() { EXPECT_TRUE(folder_.keep(journal_.changes(ledger_))); }
+    void keep() { EXPECT_TRUE(folder_.keep(journal_.changes(raft_))); }
 
     durable_files::Disk disk_;
     raft::Folder folder_;
     raft::Journal journal_;
     lease_sessions::Table table_;
-    raft::Ledger ledger_;
+    raft::RaftConsensus raft_;
     Millis now_ = 0;
     std::uint64_t round_ = 0;
 };
 
 // Entries up to a snapshot, of which a new whole is made; then a log with a record of each kind: an entry more, an
 // entry replaced by another leader's, a promise, a vote, a new term.
-Kept writeFolder(const std::string& folder) {
+PersistentState writeFolder(const std::string& folder) {
     Voter voter(folder);
     voter.append(3, 0, {3, Kind::begin, ""}, 0);
     voter.append(3, 1, {3, Kind::command, openSession("g1", 101)}, 1);
@@ -89,12 +89,12 @@
     voter.append(3, 6, {3, Kind::command, "replaced"}, 5);
     voter.append(4, 6, {4, Kind::begin, ""}, 5);
     voter.election(raft::PreVote{6, 7, 4});
-    voter.election(raft::VoteAsk{6, 7, 4});
+    voter.election(raft::VoteRequest{6, 7, 4});
     voter.append(7, 7, {7, Kind::command, openSession("g3", 103)}, 5);
     return voter.kept();
 }
 
-void expectSame(const Kept& a, const Kept& b) {
+void expectSame(const PersistentState& a, const PersistentState& b) {
     EXPECT_EQ(a.number, b.number);
     EXPECT_EQ(a.term, b.term);
     EXPECT_EQ(a.promised, b.promised);
@@ -107,7 +107,7 @@
     EXPECT_EQ(a.entries, b.entries);
 }
 
-std::optional<Kept> readFolder(const TemporaryFolder& folder, raft::Reading expected) {
+std::optional<PersistentState> readFolder(const TemporaryFolder& folder, raft::Reading expected) {
     durable_files::Disk disk;
     raft::Folder kept(disk, folder.path(), kGroup, kSelf);
     std::string note;
@@ -133,7 +133,7 @@
 TEST(LedgerFolder, OpenedWithAllThatWasKept) {
     const TemporaryFolder folder, fresh;
     restore(folder);
-    const std::optional<Kept> kept = readFolder(folder, raft::Reading::sound);
+    const std::optional<PersistentState> kept = readFolder(folder, raft::Reading::sound);
     ASSERT_TRUE(kept);
     expectSame(*kept, writeFolder(fresh.path()));
     EXPECT_EQ(folder.files(), loadFamily(kFamily));  // opening it changes nothing
@@ -142,7 +142,7 @@
 TEST(LedgerFolder, ContentsAreThoseOfTheOperations) {
     const TemporaryFolder folder;
     restore(folder);
-    const std::optional<Kept> kept = readFolder(folder, raft::Reading::sound);
+    const std::optional<PersistentState> kept = readFolder(folder, raft::Reading::sound);
     ASSERT_TRUE(kept);
     EXPECT_EQ(kept->number, kNumber);
     EXPECT_EQ(kept->term, 7u);
@@ -158,7 +158,7 @@
         {7, Kind::command, openSession("g3", 103)}};
     EXPECT_EQ(kept->entries, entries);
     lease_sessions::Table table;
-    ASSERT_TRUE(raft::Ledger::readable(*kept, table));
+    ASSERT_TRUE(raft::RaftConsensus::readable(*kept, table));
     EXPECT_EQ(table.sessions().size(), 2u);
 }
 
@@ -167,7 +167,7 @@
     const TemporaryFolder folder;
     for (const auto& [name, bytes] : loadFamily(kFamily))
         folder.write(name, name.ends_with(".log") ? bytes.substr(0, bytes.size() - 1) : bytes);
-    const std::optional<Kept> kept = readFolder(folder, raft::Reading::cutShort);
+    const std::optional<PersistentState> kept = readFolder(folder, raft::Reading::cutShort);
     ASSERT_TRUE(kept);
     EXPECT_EQ(kept->term, 6u);
     EXPECT_EQ(kept->vote, "s3");
@@ -178,14 +178,14 @@
 TEST(LedgerFolder, ALedgerGoesOnFromIt) {
     const TemporaryFolder folder;
     restore(folder);
-    const std::optional<Kept> kept = readFolder(folder, raft::Reading::sound);
+    const std::optional<PersistentState> kept = readFolder(folder, raft::Reading::sound);
     ASSERT_TRUE(kept);
     lease_sessions::Table table;
-    const raft::Ledger ledger({}, kSelf, kLife + 1, {"s1", "s2", "s3"}, 1, 0, table, kept);
-    EXPECT_EQ(ledger.role(), raft::Role::follower);
-    EXPECT_EQ(ledger.last(), 8u);
-    EXPECT_EQ(ledger.voters(), (std::vector<std::string>{"s1", "s2", "s3"}));
-    expectSame(ledger.kept(), *kept);
+    const raft::RaftConsensus raft({}, kSelf, kLife + 1, {"s1", "s2", "s3"}, 1, 0, table, kept);
+    EXPECT_EQ(raft.role(), raft::Role::follower);
+    EXPECT_EQ(raft.last(), 8u);
+    EXPECT_EQ(raft.voters(), (std::vector<std::string>{"s1", "s2", "s3"}));
+    expectSame(raft.kept(), *kept);
 }
 
 }  // namespace
--- a/tests/golden/gatherer/ledger_journal_test.cpp
+++ b/tests/golden/gatherer/ledger_journal_test.cpp
@@ -9,7 +9,7 @@
 namespace beechpoint::golden {
 namespace {
 
-using raft::Kept;
+using raft::PersistentState;
 using raft::Kind;
 
 constexpr const char* kFamily = "ledger_journal";
@@ -28,8 +28,8 @@
     std::string text_;
 };
 
-Kept sampleKept() {
-    Kept kept;
+PersistentState sampleKept() {
+    PersistentState kept;
     kept.number = 9;
     kept.term = 70'000;
     kept.promised = 70'001;
@@ -45,7 +45,7 @@
     return kept;
 }
 
-void expectSame(const Kept& a, const Kept& b) {
+void expectSame(const PersistentState& a, const PersistentState& b) {
     EXPECT_EQ(a.number, b.number);
     EXPECT_EQ(a.term, b.term);
     EXPECT_EQ(a.promised, b.promised);
@@ -60,23 +60,23 @@
 
 // A ledger with a journal, whose first writing is the whole.
 struct Journaled {
-    explicit Journaled(const std::optional<Kept>& kept)
-        : ledger({}, "s2", 77, {"s1", "s2", "s3"}, 1, 0, machine, kept),
-          whole(journal.changes(ledger).bytes) {}
+    explicit Journaled(const std::optional<PersistentState>& kept)
+        : raft({}, "s2", 77, {"s1", "s2", "s3"}, 1, 0, machine, kept),
+          whole(journal.changes(raft).bytes) {}
     // Receives one message and returns the record of what it changed.
     std::string record(const std::string& from, raft::Body body) {
         raft::Actions actions;
-        ledger.receive(now += 5000, {from, "s2", 5, 9, std::move(body)}, actions);
-        return journal.changes(ledger).bytes;
+        raft.receive(now += 5000, {from, "s2", 5, 9, std::move(body)}, actions);
+        return journal.changes(raft).bytes;
     }
     Text machine;
-    raft::Ledger ledger;
+    raft::RaftConsensus raft;
     raft::Journal journal{"group", "s2", 77};
     std::string whole;
     Millis now = 0;
 };
 
-void checkRead(const std::string& whole, const std::string& log, const Kept& expected) {
+void checkRead(const std::string& whole, const std::string& log, const PersistentState& expected) {
     const raft::Read read = raft::readKept("group", "s2", whole, log);
     EXPECT_EQ(read.how, raft::Reading::sound) << raft::nameOf(read.how);
     EXPECT_EQ(read.generation, raft::generationOf(whole));
@@ -91,7 +91,7 @@
 
 TEST(LedgerJournal, WholeOfAMemberWithoutAGroup) {
     const Journaled journaled(std::nullopt);
-    Kept empty;
+    PersistentState empty;
     empty.baseVoters = {"s1", "s2", "s3"};
     checkRead(expectGolden(kFamily, "whole_without_a_group", journaled.whole), "", empty);
 }
@@ -99,21 +99,21 @@
 // A promise, a vote, an entry of a new leader in place of the last one, a sign of life of a newer term.
 TEST(LedgerJournal, Records) {
     Journaled journaled(sampleKept());
-    const raft::Index last = journaled.ledger.last();
+    const raft::Index last = journaled.raft.last();
     const auto append = [&](raft::Term term, bool holds) {
         return raft::Append{
-            term, last - 1, journaled.ledger.digestAt(last - 1), 0, 1, holds, {term, Kind::begin, ""}};
+            term, last - 1, journaled.raft.digestAt(last - 1), 0, 1, holds, {term, Kind::begin, ""}};
     };
     std::string log;
     const auto add = [&](const std::string& name, const std::string& from, raft::Body body) {
         log += expectGolden(kFamily, name, journaled.record(from, std::move(body)));
-        checkRead(journaled.whole, log, journaled.ledger.kept());
+        checkRead(journaled.whole, log, journaled.raft.kept());
     };
     add("record_0_promise", "s1", raft::PreVote{70'005, last, 303});
-    add("record_1_vote", "s1", raft::VoteAsk{70'006, last, 303});
+    add("record_1_vote", "s1", raft::VoteRequest{70'006, last, 303});
     add("record_2_entry_replaced", "s3", append(70'007, true));
     add("record_3_newer_term", "s3", append(70'008, false));
-    const Kept kept = journaled.ledger.kept();
+    const PersistentState kept = journaled.raft.kept();
     EXPECT_EQ(kept.term, 70'008u);
     EXPECT_EQ(kept.promised, 70'008u);
     EXPECT_EQ(kept.vote, "");
@@ -123,7 +123,7 @@
 // Nothing changed: nothing is written.
 TEST(LedgerJournal, NoRecordWithoutAChange) {
     Journaled journaled(sampleKept());
-    EXPECT_EQ(journaled.record("s1", raft::StateAsk{1}), "");
+    EXPECT_EQ(journaled.record("s1", raft::StateRequest{1}), "");
 }
 
 }  // namespace
--- a/tests/golden/gatherer/message_fields.hpp
+++ b/tests/golden/gatherer/message_fields.hpp
@@ -14,21 +14,21 @@
 
 inline auto members(const PreVote& x) { return std::tie(x.term, x.last, x.lastTerm); }
 inline auto members(const PreVoteReply& x) { return std::tie(x.term, x.yes, x.known); }
-inline auto members(const VoteAsk& x) { return std::tie(x.term, x.last, x.lastTerm); }
+inline auto members(const VoteRequest& x) { return std::tie(x.term, x.last, x.lastTerm); }
 inline auto members(const VoteReply& x) { return std::tie(x.term, x.yes); }
 inline auto members(const Append& x) {
     return std::tie(x.term, x.prev, x.prevDigest, x.commit, x.round, x.holds, x.entry);
 }
 inline auto members(const AppendReply& x) { return std::tie(x.term, x.ok, x.match, x.round, x.counts); }
-inline auto members(const StateAsk& x) { return std::tie(x.nonce); }
+inline auto members(const StateRequest& x) { return std::tie(x.nonce); }
 inline auto members(const StateReply& x) {
     return std::tie(x.nonce, x.standing, x.term, x.promised, x.leads, x.last, x.number, x.voter);
 }
-inline auto members(const Found& x) { return std::tie(x.number, x.life); }
-inline auto members(const Piece& x) {
+inline auto members(const Found& x) { return std::tie(x.number, x.processIncarnation); }
+inline auto members(const SnapshotChunk& x) {
     return std::tie(x.term, x.index, x.indexTerm, x.digest, x.sum, x.offset, x.total, x.bytes);
 }
-inline auto members(const PieceReply& x) { return std::tie(x.term, x.index, x.offset); }
+inline auto members(const SnapshotChunkReply& x) { return std::tie(x.term, x.index, x.offset); }
 inline auto members(const Pull& x) { return std::tie(x.last, x.digest); }
 inline auto members(const Tail& x) { return std::tie(x.prev, x.prevDigest, x.commit, x.holds, x.entry); }
 
@@ -37,7 +37,7 @@
 namespace beechpoint::lease_sessions {
 
 inline auto members(const Command& x) {
-    return std::tie(x.op, x.member, x.life, x.number, x.session, x.duty, x.fence, x.to);
+    return std::tie(x.op, x.member, x.processIncarnation, x.number, x.session, x.singletonRole, x.fencingToken, x.to);
 }
 inline auto members(const Ask& x) { return members(x.command); }
 inline auto members(const Answer& x) { return std::tie(x.to, x.number, x.result, x.leader); }
@@ -45,7 +45,7 @@
 inline auto members(const Renewed& x) {
     return std::tie(x.to, x.number, x.verdict, x.session, x.leader, x.held);
 }
-inline auto members(const Granted& x) { return std::tie(x.to, x.session, x.duty, x.fence); }
+inline auto members(const Granted& x) { return std::tie(x.to, x.session, x.singletonRole, x.fencingToken); }
 
 }  // namespace beechpoint::lease_sessions
 
--- a/tests/golden/names/gatherer_keys_test.cpp
+++ b/tests/golden/names/gatherer_keys_test.cpp
@@ -47,7 +47,7 @@
     const Lines lines{"snmp.community " + config.snmpCommunity,
                       "group.name " + config.group->name,
                       std::string("group.holds ") + (config.group->holds ? "true" : "false"),
-                      "group.duties " + std::to_string(config.group->duties.size()),
+                      "group.duties " + std::to_string(config.group->singletonRoles.size()),
                       "group.folder '" + config.group->folder + "'",
                       "group.lookout '" + config.group->proberDuty + "'"};
     EXPECT_TRUE(matchesGolden("gatherer_operator_defaults", lines));
--- a/tests/layout/store_test.cpp
+++ b/tests/layout/store_test.cpp
@@ -91,21 +91,21 @@
     raft::Index entry = 0;
     const auto settle = [&](lease_sessions::Op op, const std::string& member, raft::Index session) {
         lease_sessions::Command c;
-        c.op = op, c.member = member, c.duty = "layout", c.session = session, c.life = 1;
+        c.op = op, c.member = member, c.singletonRole = "layout", c.session = session, c.processIncarnation = 1;
         table.apply(++entry, 1, lease_sessions::write(c));
         return entry;
     };
     settle(lease_sessions::Op::want, "", 0);
     const raft::Index s1 = settle(lease_sessions::Op::open, "g1", 0), s2 = settle(lease_sessions::Op::open, "g2", 0);
     settle(lease_sessions::Op::grant, "g1", s1);
-    const std::uint64_t f1 = table.duty("layout")->fence;
+    const std::uint64_t f1 = table.singletonRole("layout")->fencingToken;
     Folder folder;
     LayoutStore one(folder.file(), "g1", f1, 1'000, first());
     one.step(2'000, BeginStep{Move{1, "a", "c"}});
     EXPECT_THROW(LayoutStore(folder.file(), "g2", f1, 2'000, first()), LeaseLost);  // the same number, another holder
     settle(lease_sessions::Op::close, "g1", s1);  // it stands still, and its session has run out
     settle(lease_sessions::Op::grant, "g2", s2);
-    const std::uint64_t f2 = table.duty("layout")->fence;
+    const std::uint64_t f2 = table.singletonRole("layout")->fencingToken;
     ASSERT_GT(f2, f1);
     LayoutStore two(folder.file(), "g2", f2, 9'001, first());
     EXPECT_EQ(two.changes().underWay(), 1U);
--- a/tests/operator_client/status_test.cpp
+++ b/tests/operator_client/status_test.cpp
@@ -31,7 +31,7 @@
     status.leases = {{gateway, 1000}};
     status.leaseLength = 3000;
     status.hostList = control::HostListStatus{40, 1500};
-    status.waitingPolls = 1;
+    status.pendingLongPolls = 1;
     status.writesTaken = 2;
     return status;
 }
--- a/tests/recovery/recovery_model.cpp
+++ b/tests/recovery/recovery_model.cpp
@@ -82,7 +82,7 @@
     return list;
 }
 
-class FakeTable final : public control::VouchedTable {
+class FakeTable final : public control::CommittedTableSource {
 public:
     FakeTable(const ModelSettings& settings, const replica::View& view, std::size_t index,
               const TableUpdate& whole)
@@ -340,31 +340,31 @@
             at.polls.erase(poll);
             reply(answer.reply);
         }
-        for (control::ShareCall& call : actions.shares) send(member, call);
+        for (control::PeerUpdateCall& call : actions.peerUpdates) send(member, call);
     }
 
-    void send(std::size_t member, const control::ShareCall& call) {
+    void send(std::size_t member, const control::PeerUpdateCall& call) {
         const std::size_t to = memberAt(call.address);
-        const std::string bytes = control::encode(call.share);
-        count(result_.shares, result_.shareBytes, result_.quietShareBytes, bytes.size());
+        const std::string bytes = control::encode(call.peerUpdate);
+        count(result_.peerUpdates, result_.shareBytes, result_.quietShareBytes, bytes.size());
         auto ended = std::make_shared<bool>(false);
         members_[member]->sender.send(bytes.size(), [this, member, to, bytes, ended] {
-            const auto share = control::decodeShare(control::openEnvelope(bytes).value().body);
-            control::ShareReply reply;
+            const auto peerUpdate = control::decodePeerUpdate(control::openEnvelope(bytes).value().body);
+            control::PeerUpdateReply reply;
             Member& at = *members_[to];
-            perform(to, at.state.onShare(schedule_.now(), &at.table, share.value(), reply));
+            perform(to, at.state.onPeerUpdate(schedule_.now(), &at.table, peerUpdate.value(), reply));
             at.sender.send(control::encode(reply).size(), [this, member, to, reply, ended] {
-                if (!std::exchange(*ended, true)) onShared(member, to, reply);
+                if (!std::exchange(*ended, true)) onPeerUpdateReply(member, to, reply);
             });
         });
-        schedule_.at(schedule_.now() + control::kShareTimeout, [this, member, to, ended] {
-            if (!std::exchange(*ended, true)) onShared(member, to, std::nullopt);
+        schedule_.at(schedule_.now() + control::kPeerUpdateTimeout, [this, member, to, ended] {
+            if (!std::exchange(*ended, true)) onPeerUpdateReply(member, to, std::nullopt);
         });
     }
 
-    void onShared(std::size_t member, std::size_t to, const std::optional<control::ShareReply>& reply) {
+    void onPeerUpdateReply(std::size_t member, std::size_t to, const std::optional<control::PeerUpdateReply>& reply) {
         Member& at = *members_[member];
-        perform(member, at.state.onShared(schedule_.now(), &at.table, view_.members[to].name, reply));
+        perform(member, at.state.onPeerUpdateReply(schedule_.now(), &at.table, view_.members[to].name, reply));
     }
 
     void count(std::uint64_t& messages, std::uint64_t& total, std::uint64_t& quiet, std::size_t bytes) {
--- a/tests/replica/replica_test.cpp
+++ b/tests/replica/replica_test.cpp
@@ -136,7 +136,7 @@
     void forget() { actions_.clear(); }
 
     Prepare prepareFor(std::uint64_t round, bool observed = true) const {
-        return Prepare{Ballot{round, "a", 1}, replica_->view(), {}, observed};
+        return Prepare{ProposalNumber{round, "a", 1}, replica_->view(), {}, observed};
     }
 
     Tolerance tolerance_{1, 1};
@@ -154,7 +154,7 @@
 
 TEST_F(ReplicaTest, SaysNothingBeforeItsIdentityIsDurable) {
     startWith({}, true);
-    receive("a", Prepare{Ballot{1, "a", 1}, {}, {}, true}, 0);
+    receive("a", Prepare{ProposalNumber{1, "a", 1}, {}, {}, true}, 0);
     pass(300);
     EXPECT_EQ(
         std::ranges::count_if(actions_, [](const Action& a) { return std::holds_alternative<Send>(a); }), 0);
@@ -175,7 +175,7 @@
         persists_.clear();
         startWith(std::move(state), bootstrap, seeds);
         storeAll();
-        receive("a", Prepare{Ballot{1, "a", 1}, {}, founders, true}, 0);
+        receive("a", Prepare{ProposalNumber{1, "a", 1}, {}, founders, true}, 0);
         storeAll();
         pass(5'000);
         return sent<Promise>() + sent<Prepare>();
@@ -195,7 +195,7 @@
 TEST_F(ReplicaTest, FoundersWithOtherSeedsDoNotVoteForEachOther) {
     startWith({}, true);
     storeAll();
-    receive("a", Prepare{Ballot{1, "a", 1}, {}, {memberOf("a").controlAddress}, true}, 0);
+    receive("a", Prepare{ProposalNumber{1, "a", 1}, {}, {memberOf("a").controlAddress}, true}, 0);
     storeAll();
     EXPECT_EQ(sent<Promise>(), 0u);
 }
@@ -235,7 +235,7 @@
     EXPECT_EQ(last<Promise>()->position, (Position{1, 3}));
     receive("a", prepareFor(1));
     EXPECT_EQ(sent<Promise>(), 2u) << "a durable vote is repeated at once";
-    receive("c", Prepare{Ballot{0, "c", 1}, replica_->view(), {}, true});
+    receive("c", Prepare{ProposalNumber{0, "c", 1}, replica_->view(), {}, true});
     EXPECT_EQ(last<Refuse>()->promised.round, 1u);
 }
 
@@ -245,7 +245,7 @@
     forget();
     View next = replica_->view();
     next.epoch = 3;
-    const Accept accept{Ballot{4, "a", 1}, replica_->view(), {}, next};
+    const Accept accept{ProposalNumber{4, "a", 1}, replica_->view(), {}, next};
     receive("a", accept);
     EXPECT_EQ(sent<Accepted>(), 0u);
     storeNext(false);
@@ -253,7 +253,7 @@
     receive("a", accept);
     storeAll();
     EXPECT_EQ(sent<Accepted>(), 1u);
-    receive("c", Prepare{Ballot{9, "c", 1}, replica_->view(), {}, true});
+    receive("c", Prepare{ProposalNumber{9, "c", 1}, replica_->view(), {}, true});
     storeAll();
     ASSERT_TRUE(last<Promise>());
     EXPECT_EQ(last<Promise>()->value, next);
@@ -271,7 +271,7 @@
     persists_.clear();
     actions_.clear();
     startWith(state);
-    receive("c", Prepare{Ballot{4, "c", 1}, state.control.view, {}, true});
+    receive("c", Prepare{ProposalNumber{4, "c", 1}, state.control.view, {}, true});
     EXPECT_EQ(sent<Refuse>(), 1u);
     receive("a", Heartbeat{1, 1});
     EXPECT_TRUE(last<HeartbeatReply>()->status.sealed);
@@ -282,7 +282,7 @@
     storeAll();
     View view{2, {memberOf("a"), memberOf("b"), memberOf("c")}, {1, 3}};
     view.members[1].incarnation = 999;
-    receive("a", Prepare{Ballot{1, "a", 1}, view, {}, true});
+    receive("a", Prepare{ProposalNumber{1, "a", 1}, view, {}, true});
     storeAll();
     EXPECT_EQ(sent<Promise>(), 0u);
     EXPECT_EQ(replica_->view().epoch, 2u);
@@ -297,7 +297,7 @@
     receive("a", prepareFor(1, false));
     EXPECT_EQ(sent<Promise>(), 0u);
     ASSERT_EQ(sent<Refuse>(), 1u);
-    EXPECT_EQ(last<Refuse>()->promised, Ballot{});
+    EXPECT_EQ(last<Refuse>()->promised, ProposalNumber{});
     Status trouble;
     trouble.unheard = {memberOf("c").internalAddress};
     pass(300);
@@ -324,16 +324,16 @@
         pass(50);
     }
     ASSERT_GT(sent<Prepare>("a"), 0u);
-    const Ballot ballot = last<Prepare>()->ballot;
+    const ProposalNumber proposal = last<Prepare>()->proposal;
     storeAll();
-    receive("a", Promise{ballot, 3, {}, std::nullopt, 2, {1, 3}, {1, 3}, false});
+    receive("a", Promise{proposal, 3, {}, std::nullopt, 2, {1, 3}, {1, 3}, false});
     ASSERT_GT(sent<Accept>("a"), 0u);
     const View value = last<Accept>()->value;
     EXPECT_EQ(value.members.size(), 2u);
     EXPECT_FALSE(value.find("c"));
     storeAll();
     EXPECT_EQ(replica_->view().epoch, 2u) << "one of three has accepted";
-    receive("a", Accepted{ballot, 3});
+    receive("a", Accepted{proposal, 3});
     EXPECT_EQ(replica_->view(), value);
     EXPECT_GT(sent<Decided>("c"), 0u);
 }
@@ -453,7 +453,7 @@
 TEST_F(ReplicaTest, DoesNotClaimTheStartingStateOfAnEpochThatItEntersSealed) {
     DurableState state = usedDisk();
     state.pending = Batch{{1, 4}, {{"k", "4"}}};
-    state.control.vote = Vote{3, Ballot{1, "a", 1}, {}, std::nullopt};
+    state.control.vote = Vote{3, ProposalNumber{1, "a", 1}, {}, std::nullopt};
     startWith(state);
     enter(1, {1, 3}, false);
     pass(600);
--- a/tests/replica/view_agreement_test.cpp
+++ b/tests/replica/view_agreement_test.cpp
@@ -10,7 +10,7 @@
 namespace beechpoint::replica {
 namespace {
 
-Ballot ballot(std::uint64_t round, const std::string& member = "a") { return {round, member, 1}; }
+ProposalNumber proposal(std::uint64_t round, const std::string& member = "a") { return {round, member, 1}; }
 
 View viewOf(std::uint64_t epoch, const std::string& name) {
     View view;
@@ -21,7 +21,7 @@
 
 Promise promiseOf(std::uint64_t round, std::uint64_t target) {
     Promise promise;
-    promise.ballot = ballot(round);
+    promise.proposal = proposal(round);
     promise.target = target;
     return promise;
 }
@@ -29,51 +29,51 @@
 TEST(Acceptor, PromisesOnlyUpwards) {
     Acceptor acceptor{Vote{}};
     EXPECT_FALSE(acceptor.sealed(1));
-    EXPECT_TRUE(acceptor.promise(2, ballot(3)));
-    EXPECT_TRUE(acceptor.promise(2, ballot(3)));
-    EXPECT_FALSE(acceptor.promise(2, ballot(2)));
-    EXPECT_TRUE(acceptor.promise(2, ballot(3, "b")));
-    EXPECT_FALSE(acceptor.promise(2, ballot(3, "a")));
-    EXPECT_FALSE(acceptor.promise(2, Ballot{}));
+    EXPECT_TRUE(acceptor.promise(2, proposal(3)));
+    EXPECT_TRUE(acceptor.promise(2, proposal(3)));
+    EXPECT_FALSE(acceptor.promise(2, proposal(2)));
+    EXPECT_TRUE(acceptor.promise(2, proposal(3, "b")));
+    EXPECT_FALSE(acceptor.promise(2, proposal(3, "a")));
+    EXPECT_FALSE(acceptor.promise(2, ProposalNumber{}));
     EXPECT_TRUE(acceptor.sealed(1));
     EXPECT_FALSE(acceptor.sealed(2));
 }
 
 TEST(Acceptor, AcceptsAtOrAboveItsPromise) {
     Acceptor acceptor{Vote{}};
-    ASSERT_TRUE(acceptor.promise(2, ballot(3)));
-    EXPECT_FALSE(acceptor.accept(2, ballot(2), viewOf(2, "x")));
-    EXPECT_FALSE(acceptor.accept(2, ballot(3), viewOf(3, "x")));
-    EXPECT_TRUE(acceptor.accept(2, ballot(3), viewOf(2, "x")));
-    EXPECT_TRUE(acceptor.accept(2, ballot(4), viewOf(2, "y")));
-    EXPECT_FALSE(acceptor.promise(2, ballot(3)));
-    EXPECT_EQ(acceptor.vote().accepted, ballot(4));
+    ASSERT_TRUE(acceptor.promise(2, proposal(3)));
+    EXPECT_FALSE(acceptor.accept(2, proposal(2), viewOf(2, "x")));
+    EXPECT_FALSE(acceptor.accept(2, proposal(3), viewOf(3, "x")));
+    EXPECT_TRUE(acceptor.accept(2, proposal(3), viewOf(2, "x")));
+    EXPECT_TRUE(acceptor.accept(2, proposal(4), viewOf(2, "y")));
+    EXPECT_FALSE(acceptor.promise(2, proposal(3)));
+    EXPECT_EQ(acceptor.vote().accepted, proposal(4));
     EXPECT_EQ(acceptor.vote().value, viewOf(2, "y"));
 }
 
 TEST(Acceptor, PromiseKeepsWhatWasAccepted) {
     Acceptor acceptor{Vote{}};
-    ASSERT_TRUE(acceptor.accept(2, ballot(3), viewOf(2, "x")));
-    ASSERT_TRUE(acceptor.promise(2, ballot(5)));
-    EXPECT_EQ(acceptor.vote().accepted, ballot(3));
+    ASSERT_TRUE(acceptor.accept(2, proposal(3), viewOf(2, "x")));
+    ASSERT_TRUE(acceptor.promise(2, proposal(5)));
+    EXPECT_EQ(acceptor.vote().accepted, proposal(3));
     EXPECT_EQ(acceptor.vote().value, viewOf(2, "x"));
 }
 
 TEST(Acceptor, HasOneEpochAtATime) {
     Acceptor acceptor{Vote{}};
-    ASSERT_TRUE(acceptor.accept(2, ballot(3), viewOf(2, "x")));
-    ASSERT_TRUE(acceptor.promise(3, ballot(1)));
+    ASSERT_TRUE(acceptor.accept(2, proposal(3), viewOf(2, "x")));
+    ASSERT_TRUE(acceptor.promise(3, proposal(1)));
     EXPECT_FALSE(acceptor.vote().value);
-    EXPECT_FALSE(acceptor.promise(2, ballot(9)));
+    EXPECT_FALSE(acceptor.promise(2, proposal(9)));
     acceptor.decided(2);
-    EXPECT_EQ(acceptor.promisedFor(3), ballot(1));
+    EXPECT_EQ(acceptor.promisedFor(3), proposal(1));
     acceptor.decided(3);
     EXPECT_EQ(acceptor.vote(), Vote{});
 }
 
 TEST(Proposer, CountsOnlyAnswersToItsBallot) {
     Proposer proposer;
-    proposer.begin(0, 2, ballot(3), 2);
+    proposer.begin(0, 2, proposal(3), 2);
     EXPECT_TRUE(proposer.onPromise("a", {}, promiseOf(3, 2)));
     EXPECT_FALSE(proposer.onPromise("b", {}, promiseOf(2, 2)));
     EXPECT_FALSE(proposer.onPromise("b", {}, promiseOf(3, 3)));
@@ -81,12 +81,12 @@
     EXPECT_FALSE(proposer.hasMajority());
     EXPECT_TRUE(proposer.onPromise("b", {}, promiseOf(3, 2)));
     EXPECT_TRUE(proposer.hasMajority());
-    EXPECT_FALSE(proposer.onAccepted("a", Accepted{ballot(3), 2}));
+    EXPECT_FALSE(proposer.onAccepted("a", Accepted{proposal(3), 2}));
     proposer.propose(0, viewOf(2, "x"));
     EXPECT_FALSE(proposer.hasMajority());
-    EXPECT_TRUE(proposer.onAccepted("a", Accepted{ballot(3), 2}));
-    EXPECT_FALSE(proposer.onAccepted("b", Accepted{ballot(2), 2}));
-    EXPECT_TRUE(proposer.onAccepted("b", Accepted{ballot(3), 2}));
+    EXPECT_TRUE(proposer.onAccepted("a", Accepted{proposal(3), 2}));
+    EXPECT_FALSE(proposer.onAccepted("b", Accepted{proposal(2), 2}));
+    EXPECT_TRUE(proposer.onAccepted("b", Accepted{proposal(3), 2}));
     EXPECT_TRUE(proposer.hasMajority());
     proposer.stop();
     EXPECT_FALSE(proposer.hasMajority());
@@ -94,10 +94,10 @@
 
 TEST(Proposer, IsBoundToTheHighestAcceptedValue) {
     Proposer proposer;
-    proposer.begin(0, 2, ballot(9), 3);
-    proposer.onPromise("a", {}, Promise{ballot(9), 2, ballot(3), viewOf(2, "x"), 1, {}, {}, false});
-    proposer.onPromise("b", {}, Promise{ballot(9), 2, ballot(5), viewOf(2, "y"), 1, {}, {}, false});
-    proposer.onPromise("c", {}, Promise{ballot(9), 2, {}, std::nullopt, 1, {}, {}, false});
+    proposer.begin(0, 2, proposal(9), 3);
+    proposer.onPromise("a", {}, Promise{proposal(9), 2, proposal(3), viewOf(2, "x"), 1, {}, {}, false});
+    proposer.onPromise("b", {}, Promise{proposal(9), 2, proposal(5), viewOf(2, "y"), 1, {}, {}, false});
+    proposer.onPromise("c", {}, Promise{proposal(9), 2, {}, std::nullopt, 1, {}, {}, false});
     EXPECT_EQ(proposer.bound(), viewOf(2, "y"));
 }
 
--- a/tests/rpc/rpc_test.cpp
+++ b/tests/rpc/rpc_test.cpp
@@ -152,7 +152,7 @@
     const Answer unanswered = callAndWait(client, addressOf(*server), "a", kShort);
     ASSERT_FALSE(unanswered);
     EXPECT_EQ(unanswered.error().kind, ErrorKind::timedOut);
-    EXPECT_EQ(unanswered.error().place, addressOf(*server));
+    EXPECT_EQ(unanswered.error().location, addressOf(*server));
     late->send("too late");  // on a connection that is gone
     EXPECT_EQ(callAndWait(client, addressOf(*server), "b").value(), "re:b");
 }
--- a/tests/settings/process_settings_test.cpp
+++ b/tests/settings/process_settings_test.cpp
@@ -165,7 +165,7 @@
 struct FaultCase {
     std::string what;  // replaced in the whole file
     std::string instead;
-    std::string place;  // of the fault
+    std::string path;  // of the fault
 };
 
 class FaultySettings : public testing::TestWithParam<FaultCase> {};
@@ -175,7 +175,7 @@
     const FaultCase& faulty = GetParam();
     const InspectedSettings inspected = inspectSettings(with(kControl, faulty.what, faulty.instead));
     ASSERT_EQ(inspected.faults.size(), 1U);
-    EXPECT_EQ(inspected.faults[0].place, faulty.place);
+    EXPECT_EQ(inspected.faults[0].location, faulty.path);
     EXPECT_FALSE(inspected.faults[0].message.empty());
     EXPECT_FALSE(inspected.faults[0].remedy.empty());
 }
--- a/tests/simulation/poll_service.cpp
+++ b/tests/simulation/poll_service.cpp
@@ -33,9 +33,9 @@
     void onRequest(const std::string& bytes, Respond respond) override {
         const auto envelope = control::openEnvelope(bytes);
         if (!envelope) return respond({});
-        if (envelope.value().kind == control::RequestKind::share) {
-            const auto share = control::decodeShare(envelope.value().body);
-            if (share) onShare(share.value(), respond);
+        if (envelope.value().kind == control::RequestKind::peerUpdate) {
+            const auto peerUpdate = control::decodePeerUpdate(envelope.value().body);
+            if (peerUpdate) onPeerUpdate(peerUpdate.value(), respond);
             return;
         }
         auto request = control::decodePollRequest(envelope.value().body);
@@ -50,9 +50,9 @@
     bool waitsForFreshness() const override { return state_.waitsForFreshness(); }
 
 private:
-    void onShare(const control::Share& share, const Respond& respond) {
-        control::ShareReply reply;
-        control::ServiceActions actions = state_.onShare(port_.now(), &table_, share, reply);
+    void onPeerUpdate(const control::PeerUpdate& peerUpdate, const Respond& respond) {
+        control::PeerUpdateReply reply;
+        control::ServiceActions actions = state_.onPeerUpdate(port_.now(), &table_, peerUpdate, reply);
         respond(control::encode(reply));
         perform(std::move(actions));
     }
@@ -62,23 +62,23 @@
             auto node = replies_.extract(answer.ticket);
             if (!node.empty()) node.mapped()(control::encode(answer.reply));
         }
-        for (const control::ShareCall& call : actions.shares)
-            port_.callMember(call.address, control::encode(call.share), control::kShareTimeout,
-                             [this, member = call.member](const Bytes& bytes) { onShared(member, bytes); });
+        for (const control::PeerUpdateCall& call : actions.peerUpdates)
+            port_.callMember(call.address, control::encode(call.peerUpdate), control::kPeerUpdateTimeout,
+                             [this, member = call.member](const Bytes& bytes) { onPeerUpdateReply(member, bytes); });
     }
 
-    void onShared(const std::string& member, const Bytes& bytes) {
-        std::optional<control::ShareReply> reply;
+    void onPeerUpdateReply(const std::string& member, const Bytes& bytes) {
+        std::optional<control::PeerUpdateReply> reply;
         if (bytes) {
-            const auto decoded = control::decodeShareReply(*bytes);
+            const auto decoded = control::decodePeerUpdateReply(*bytes);
             if (decoded) reply = decoded.value();
         }
-        perform(state_.onShared(port_.now(), &table_, member, reply));
+        perform(state_.onPeerUpdateReply(port_.now(), &table_, member, reply));
     }
 
     ReplicaPort& port_;
     NoList list_;
-    control::ReplicaTable table_;
+    control::ReplicaTableSource table_;
     control::GatewayServiceState state_;
     std::map<control::PollTicket, Respond> replies_;
     control::PollTicket lastTicket_ = 0;
