--- a/src/admin/ban_file.cpp
+++ b/src/admin/ban_file.cpp
@@ -100,7 +100,8 @@
 void BanFile::read() {
     struct stat at {};
     if (path_.empty() || ::stat(path_.c_str(), &at) != 0) return;  // no file: nobody was ever taken out
-    std::string seen = fmt::format("{} {} {}.{}", at.st_ino, at.st_size, at.st_mtim.tv_sec, at.st_mtim.tv_nsec);
+    std::string seen =
+        fmt::format("{} {} {}.{}", at.st_ino, at.st_size, at.st_mtim.tv_sec, at.st_mtim.tv_nsec);
     if (seen == lastSeen_) return;
     lastSeen_ = std::move(seen);
     std::ifstream file(path_);
--- a/src/admin/ban_file.hpp
+++ b/src/admin/ban_file.hpp
@@ -10,8 +10,8 @@
 #include <optional>
 #include <string>
 
-#include "core/logger.hpp"
 #include "admin/host_bans.hpp"
+#include "core/logger.hpp"
 
 namespace beechpoint::admin {
 
@@ -46,7 +46,7 @@
     asio::steady_timer timer_;
     HostBans::Hosts current_;
     std::shared_ptr<char> alive_ = std::make_shared<char>();  // a call that waits for the lock asks for it
-    std::string lastSeen_;  // what tells this state of the file from others
+    std::string lastSeen_;                                    // what tells this state of the file from others
 };
 
 }  // namespace beechpoint::admin
--- a/src/admin/lifecycle.hpp
+++ b/src/admin/lifecycle.hpp
@@ -18,10 +18,10 @@
 namespace beechpoint::admin {
 
 struct LifecycleTimes {
-    Millis acceptAfterStop = 500;  // without a successor the front goes on sending newcomers for so long
+    Millis acceptAfterStop = 500;   // without a successor the front goes on sending newcomers for so long
     Millis idleWhileClosing = 700;  // a kept connection may still bring a request, which ends it in order
-    Millis answerWithin = 3050;    // then what is left is answered as given up
-    Millis stopWithin = 3200;      // then the rest is cut off; SIGKILL comes later
+    Millis answerWithin = 3050;     // then what is left is answered as given up
+    Millis stopWithin = 3200;       // then the rest is cut off; SIGKILL comes later
 };
 
 class Lifecycle {
@@ -46,10 +46,14 @@
     bool closing() const { return state_ == State::draining || state_ == State::stopping; }
     // From so long after the signal on nobody may: what came now could not have its whole time before SIGKILL.
     Millis mayIdle(Millis now) const {
-        return state_ == State::stopping && now >= stoppedAt_ + times_.idleWhileClosing ? 0 : times_.idleWhileClosing;
+        return state_ == State::stopping && now >= stoppedAt_ + times_.idleWhileClosing
+                   ? 0
+                   : times_.idleWhileClosing;
     }
     // Whether what is left has to have its answer now.
-    bool lastCall(Millis now) const { return state_ == State::stopping && now >= stoppedAt_ + times_.answerWithin; }
+    bool lastCall(Millis now) const {
+        return state_ == State::stopping && now >= stoppedAt_ + times_.answerWithin;
+    }
     // Whether to listen on: a drain is to be undone, and newcomers on their way are served. With a successor at
     // the same addresses newcomers are its own from the signal on.
     bool listening(Millis now, bool successor) const {
@@ -57,8 +61,8 @@
     }
     // Whether the process may end.
     bool over(Millis now, std::size_t connections, bool successor) const {
-        return state_ == State::stopping && ((connections == 0 && !listening(now, successor)) ||
-                                             now >= stoppedAt_ + times_.stopWithin);
+        return state_ == State::stopping &&
+               ((connections == 0 && !listening(now, successor)) || now >= stoppedAt_ + times_.stopWithin);
     }
 
 private:
--- a/src/admin/operator_endpoint.hpp
+++ b/src/admin/operator_endpoint.hpp
@@ -30,7 +30,7 @@
         std::uint64_t fencingToken = 0;
     };
     virtual void singletonRole(bool take, const std::string& name, const std::string& to,
-                      std::function<void(Settled)> later) = 0;
+                               std::function<void(Settled)> later) = 0;
     virtual void trackHost(const std::string& id, bool out, Later later) = 0;
 };
 
--- a/src/admin/overlap.hpp
+++ b/src/admin/overlap.hpp
@@ -14,7 +14,7 @@
 class Overlap {
 public:
     struct Process {
-        std::string id;  // of its record
+        std::string id;        // of its record
         Millis startedAt = 0;  // Unix time
         Lifecycle::State state = Lifecycle::State::starting;
         bool operator==(const Process&) const = default;
--- a/src/admin/overlap_record.hpp
+++ b/src/admin/overlap_record.hpp
@@ -7,8 +7,8 @@
 #include <functional>
 #include <string>
 
-#include "core/logger.hpp"
 #include "admin/overlap.hpp"
+#include "core/logger.hpp"
 
 namespace beechpoint::admin {
 
--- a/src/backend/frames.cpp
+++ b/src/backend/frames.cpp
@@ -37,7 +37,8 @@
         waiting_.pop_front();
         claimCall(std::move(parts));
     }
-    for (const std::string& frame : std::exchange(more_, {})) {  // behind the calls, one of which may have been given up above
+    for (const std::string& frame :
+         std::exchange(more_, {})) {  // behind the calls, one of which may have been given up above
         filled_.push_back({outgoing_.size(), outgoing_.size() + frame.size(), 0, {}, false});
         outgoing_ += frame;
     }
@@ -47,7 +48,8 @@
         writeSome();
     }
     if (state_ == State::closed) return;
-    if (!waiting_.empty() && clogged()) return shed();  // else they would wait for places that nobody gives back
+    if (!waiting_.empty() && clogged())
+        return shed();  // else they would wait for places that nobody gives back
     if (outgoing_.empty()) closeIfDone();
 }
 
@@ -79,7 +81,8 @@
     std::size_t written = 0;
     asio::error_code error;
     while (written < outgoing_.size() && !error)
-        written += socket_.write_some(asio::buffer(outgoing_.data() + written, outgoing_.size() - written), error);
+        written +=
+            socket_.write_some(asio::buffer(outgoing_.data() + written, outgoing_.size() - written), error);
     settle(written);
     if (error && error != asio::error::would_block) return close(End::broken);
     if (!error) return;
@@ -95,11 +98,13 @@
 void FrameConnection::settle(std::size_t written) {
     std::vector<Filled> cut;
     std::size_t keep = written;
-    for (Filled& f : filled_ | std::views::reverse) {  // from the last, so that calls taken back stay in order
+    for (Filled& f :
+         filled_ | std::views::reverse) {  // from the last, so that calls taken back stay in order
         if (f.end <= written) {
             for (const Attempt& a : f.parts) {
                 pool_.exchange().written(a.id);  // also where it was given up meanwhile
-                if (const auto part = out_.find(partId(*a.request, a.slice)); part != out_.end() && part->second.call == f.call)
+                if (const auto part = out_.find(partId(*a.request, a.slice));
+                    part != out_.end() && part->second.call == f.call)
                     part->second.written = true;
             }
         } else if (f.begun || f.begin < written) {
@@ -110,7 +115,8 @@
         } else {
             for (const Attempt& a : f.parts) out_.erase(partId(*a.request, a.slice));
             calls_.erase(f.call);
-            std::erase_if(givenUp_, [&](const auto& late) { return late.second == f.call; });  // in this very turn
+            std::erase_if(givenUp_,
+                          [&](const auto& late) { return late.second == f.call; });  // in this very turn
             waiting_.push_front(std::move(f.parts));
         }
     }
@@ -123,7 +129,8 @@
 bool FrameConnection::hopeless() const {
     if (filled_.empty() || filled_.front().parts.empty()) return false;
     const auto& parts = filled_.front().parts;
-    return std::none_of(parts.begin(), parts.end(), [&](const Attempt& a) { return pool_.exchange().wanted(a.id); });
+    return std::none_of(parts.begin(), parts.end(),
+                        [&](const Attempt& a) { return pool_.exchange().wanted(a.id); });
 }
 
 void FrameConnection::read() {
@@ -260,7 +267,8 @@
 }
 
 void FrameConnection::free(std::uint64_t call) {
-    if (const auto place = calls_.find(call); place != calls_.end() && --place->second == 0) calls_.erase(place);
+    if (const auto place = calls_.find(call); place != calls_.end() && --place->second == 0)
+        calls_.erase(place);
 }
 
 AttemptId FrameConnection::release(OutParts::iterator part) {
--- a/src/backend/frames.hpp
+++ b/src/backend/frames.hpp
@@ -34,7 +34,9 @@
         bool begun = false;  // some of it has gone
     };
     std::size_t callsOut() const override { return calls_.size(); }
-    bool partsOut() const override { return filling_ || !out_.empty(); }  // filling: some are between the two lists
+    bool partsOut() const override {
+        return filling_ || !out_.empty();
+    }  // filling: some are between the two lists
     void read() override;
     void fill() override;
     void askProbe() override;
@@ -61,8 +63,8 @@
     // Given up here, by the part's id, with the call's place: the host may still be at it, and reads nothing beyond the calls
     // of a connection, so the place stays taken until an answer comes or the connection closes.
     std::unordered_multimap<std::string, std::uint64_t> givenUp_;
-    std::string answered_;               // the last one in: a second copy may follow it
-    OutParts out_;                       // by the part's id on the wire
+    std::string answered_;                        // the last one in: a second copy may follow it
+    OutParts out_;                                // by the part's id on the wire
     std::map<std::uint64_t, std::size_t> calls_;  // places taken: parts not yet answered of each call
     std::uint64_t lastCall_ = 0;
     std::vector<std::string> more_;  // frames without a part
--- a/src/backend/pool.cpp
+++ b/src/backend/pool.cpp
@@ -231,7 +231,8 @@
         }
         asio::error_code ignored;
         self->socket_.set_option(tcp::no_delay(true), ignored);
-        self->socket_.set_option(asio::socket_base::send_buffer_size(self->pool_.limits().sendBuffer), ignored);
+        self->socket_.set_option(asio::socket_base::send_buffer_size(self->pool_.limits().sendBuffer),
+                                 ignored);
         self->socket_.non_blocking(true, ignored);  // writes and looks must not hold up the loop
         self->state_ = State::open;
         if (const auto host = self->pool_.hosts_.find(self->server_); host != self->pool_.hosts_.end())
@@ -352,7 +353,8 @@
     const auto host = pool_.hosts_.find(server_);
     if (host == pool_.hosts_.end()) return;
     for (const Pool::Connection& other : host->second.connections)
-        while (other.get() != this && !other->retired_ && !other->waiting_.empty() && load() < pool_.limits().calls) {
+        while (other.get() != this && !other->retired_ && !other->waiting_.empty() &&
+               load() < pool_.limits().calls) {
             for (const Attempt& a : other->waiting_.front()) pool_.at_[a.id] = weak_from_this();
             waiting_.push_back(std::move(other->waiting_.front()));
             other->waiting_.pop_front();
--- a/src/backend/pool.hpp
+++ b/src/backend/pool.hpp
@@ -26,7 +26,8 @@
     std::size_t bundle = 1;    // parts in a call
     std::size_t perHost = 16;  // connections to one host
     std::size_t total = 400;   // to all of them: descriptors are few
-    int sendBuffer = 128 * 1024;  // bytes: what stands there can't be taken back once nobody wants it any more
+    int sendBuffer =
+        128 * 1024;  // bytes: what stands there can't be taken back once nobody wants it any more
 };
 
 // "address:port"; nothing where it is malformed.
--- a/src/backend/search.cpp
+++ b/src/backend/search.cpp
@@ -93,7 +93,8 @@
     asio::error_code error;
     std::size_t written = 0;
     while (written < outgoing_.size() && !error)
-        written += socket_.write_some(asio::buffer(outgoing_.data() + written, outgoing_.size() - written), error);
+        written +=
+            socket_.write_some(asio::buffer(outgoing_.data() + written, outgoing_.size() - written), error);
     outgoing_.erase(0, written);
     if (error && error != asio::error::would_block) return close(End::broken);
     if (!error) {
@@ -113,20 +114,20 @@
 }
 
 void SearchConnection::read() {
-    socket_.async_read_some(
-        in_.prepare(kReadSize), [this, self = shared_from_this()](asio::error_code error, std::size_t got) {
-            if (state_ == State::closed) return;
-            if (!error) in_.commit(got);
-            used();
-            const auto state = error ? reader_.finish() : reader_.parse();
-            if (state == net::HttpReader::State::complete && callsOut() > 0) return onAnswer();
-            if (error) return close(End::broken);
-            if (state == net::HttpReader::State::more && (callsOut() > 0 || in_.size() == 0)) return read();
-            // An answer that is malformed, too large, or to nothing that was asked.
-            pool_.counters().add(Counter::badFrames);
-            pool_.log().seldom("answer", "host {} sent a bad answer: connection closed", field("host", server_));
-            close(End::broken);
-        });
+    socket_.async_read_some(in_.prepare(kReadSize), [this, self = shared_from_this()](asio::error_code error,
+                                                                                      std::size_t got) {
+        if (state_ == State::closed) return;
+        if (!error) in_.commit(got);
+        used();
+        const auto state = error ? reader_.finish() : reader_.parse();
+        if (state == net::HttpReader::State::complete && callsOut() > 0) return onAnswer();
+        if (error) return close(End::broken);
+        if (state == net::HttpReader::State::more && (callsOut() > 0 || in_.size() == 0)) return read();
+        // An answer that is malformed, too large, or to nothing that was asked.
+        pool_.counters().add(Counter::badFrames);
+        pool_.log().seldom("answer", "host {} sent a bad answer: connection closed", field("host", server_));
+        close(End::broken);
+    });
 }
 
 void SearchConnection::onAnswer() {
--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -57,7 +57,9 @@
 
 Group::Store::Store(asio::io_context& io, const Settings& settings, const std::string& self,
                     raft::ProcessIncarnation processIncarnation)
-    : folder(disk, settings.folder, settings.name, self), journal(settings.name, self, processIncarnation), thread(io) {}
+    : folder(disk, settings.folder, settings.name, self),
+      journal(settings.name, self, processIncarnation),
+      thread(io) {}
 
 Group::Group(asio::io_context& io, const Clock& clock, Counters& counters, Logger& log,
              const Settings& settings, const std::string& self)
@@ -71,7 +73,8 @@
       timer_(io),
       waitTimer_(io),
       processIncarnation_(chance() | 1) {
-    Core(optionsOf(settings, self), processIncarnation_, 0, clock.now());  // what can't work is said at the start
+    Core(optionsOf(settings, self), processIncarnation_, 0,
+         clock.now());  // what can't work is said at the start
     if (settings_.folder.empty()) return;
     lock_ = std::make_unique<Lock>(settings_.folder + "/" + self_ + ".lock");
     if (!lock_->there())
@@ -239,10 +242,11 @@
     if (!fencingToken || calls_.size() >= kMostCalls || (!to.empty() && !settings_.members.contains(to)))
         return then({true, false, 0});
     // The ledger's answer to a hand-over names the next one's number.
-    await(core_->holder().giveUp(singletonRole, to), [then = std::move(then), fencingToken = *fencingToken](Settled end) {
-        end.fencingToken = fencingToken;
-        then(end);
-    });
+    await(core_->holder().giveUp(singletonRole, to),
+          [then = std::move(then), fencingToken = *fencingToken](Settled end) {
+              end.fencingToken = fencingToken;
+              then(end);
+          });
 }
 void Group::answer() {
     for (const lease_sessions::Outcome& o : core_->holder().takeOutcomes()) {
@@ -251,7 +255,9 @@
         const auto then = std::move(call->second);
         calls_.erase(call);
         // Handed to one that is in no session: it is given up all the same, and free.
-        then({o.known, o.result.verdict == lease_sessions::Verdict::yes || o.result.verdict == lease_sessions::Verdict::wait,
+        then({o.known,
+              o.result.verdict == lease_sessions::Verdict::yes ||
+                  o.result.verdict == lease_sessions::Verdict::wait,
               o.result.fencingToken});
     }
 }
@@ -336,14 +342,17 @@
     }
     const auto& held = core_->holder().held();
     for (const auto& [singletonRole, fencingToken] : held)
-        if (const auto said = heldSaid_.find(singletonRole); said == heldSaid_.end() || said->second != fencingToken) {
+        if (const auto said = heldSaid_.find(singletonRole);
+            said == heldSaid_.end() || said->second != fencingToken) {
             counters_.add(Counter::groupDutiesTaken);
-            log_.info("group: holds duty {} under {}", field("duty", singletonRole), field("fence", fencingToken));
+            log_.info("group: holds duty {} under {}", field("duty", singletonRole),
+                      field("fence", fencingToken));
         }
     for (const auto& [singletonRole, fencingToken] : heldSaid_)
         if (!held.contains(singletonRole)) {
             counters_.add(Counter::groupDutiesEnded);
-            log_.info("group: no longer holds duty {} under {}", field("duty", singletonRole), field("fence", fencingToken));
+            log_.info("group: no longer holds duty {} under {}", field("duty", singletonRole),
+                      field("fence", fencingToken));
         }
     if (heldSaid_ != held) heldSaid_ = held;
     counters_.add(Counter::groupConflicts, core_->raft().counters().conflicts - conflictsSaid_);
--- a/src/cluster/cluster.hpp
+++ b/src/cluster/cluster.hpp
@@ -21,14 +21,14 @@
 #include <optional>
 #include <string>
 
+#include "cluster/core.hpp"
+#include "cluster/outbox.hpp"
+#include "cluster/settings.hpp"
 #include "core/clock.hpp"
 #include "core/counters.hpp"
 #include "core/logger.hpp"
 #include "durable_files/disk_thread.hpp"
 #include "durable_files/files.hpp"
-#include "cluster/core.hpp"
-#include "cluster/outbox.hpp"
-#include "cluster/settings.hpp"
 #include "raft/state_folder.hpp"
 
 namespace beechpoint::cluster {
@@ -71,7 +71,8 @@
 
 private:
     struct Store {  // where a folder lasts
-        Store(asio::io_context& io, const Settings& settings, const std::string& self, raft::ProcessIncarnation processIncarnation);
+        Store(asio::io_context& io, const Settings& settings, const std::string& self,
+              raft::ProcessIncarnation processIncarnation);
         durable_files::Disk disk;
         raft::Folder folder;
         raft::Journal journal;
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -40,13 +40,14 @@
       processIncarnation_(processIncarnation),
       raft_(options_.raft, options_.self, processIncarnation, options_.voters, seed, now, table_, kept),
       leaseManager_(options_.times, options_.self, processIncarnation, raft_, table_),
-      leaseClient_(options_.times, options_.self, processIncarnation, options_.voters, seed ^ 0x9E3779B97F4A7C15ULL, now,
-              options_.willing),
+      leaseClient_(options_.times, options_.self, processIncarnation, options_.voters,
+                   seed ^ 0x9E3779B97F4A7C15ULL, now, options_.willing),
       membership_(options_.membership, options_.self, options_.members, seed ^ 0xD1B54A32D192ED03ULL, now),
       prober_(options_.prober, options_.self) {}
 
 void Core::put(gossip::Channel room, const std::string& to, const std::string& body, Step& out) {
-    std::string bytes = gossip::seal(options_.group, {room, options_.self, processIncarnation_, raft_.number()}, body);
+    std::string bytes =
+        gossip::seal(options_.group, {room, options_.self, processIncarnation_, raft_.number()}, body);
     if (bytes.empty()) {
         ++traffic_.tooLong;
         return;
@@ -78,14 +79,16 @@
         }
         const lease_sessions::Message m = said[i];
         if (m.to != options_.self) continue;
-        if (std::holds_alternative<lease_sessions::Ask>(m.body) || std::holds_alternative<lease_sessions::Renew>(m.body))
+        if (std::holds_alternative<lease_sessions::Ask>(m.body) ||
+            std::holds_alternative<lease_sessions::Renew>(m.body))
             leaseManager_.receive(now, m, actions, said);
         else
             leaseClient_.receive(now, m, said);
     }
     for (const raft::Message& m : actions.send) put(gossip::Channel::raft, m.to, write(m.body), out);
     for (const lease_sessions::Message& m : said)
-        if (m.to != options_.self && !m.to.empty()) put(gossip::Channel::singletonRoles, m.to, write(m.body), out);
+        if (m.to != options_.self && !m.to.empty())
+            put(gossip::Channel::singletonRoles, m.to, write(m.body), out);
     out.keep = out.keep || actions.keep;
     out.notes.insert(out.notes.end(), actions.notes.begin(), actions.notes.end());
 }
@@ -121,7 +124,8 @@
         }
         if (h.number != raft_.number() || h.number == 0) return;
         const lease_sessions::Message m{h.sender, options_.self, h.processIncarnation, *body};
-        if (std::holds_alternative<lease_sessions::Ask>(*body) || std::holds_alternative<lease_sessions::Renew>(*body))
+        if (std::holds_alternative<lease_sessions::Ask>(*body) ||
+            std::holds_alternative<lease_sessions::Renew>(*body))
             leaseManager_.receive(now, m, actions, said);
         else
             leaseClient_.receive(now, m, said);
@@ -143,7 +147,8 @@
         std::vector<health_check::Message> words;
         prober_.receive(now, {h.sender, options_.self, *body},
                         leaseClient_.mayAct(now, options_.proberDuty).has_value(), words);
-        for (const health_check::Message& m : words) put(gossip::Channel::hostProber, m.to, write(m.body), out);
+        for (const health_check::Message& m : words)
+            put(gossip::Channel::hostProber, m.to, write(m.body), out);
         return;
     }
     settle(now, actions, said, out);
@@ -194,7 +199,8 @@
 bool Core::away(Millis now, const std::string& host, Step& out) {
     const lease_sessions::SingletonRole* singletonRole = table_.singletonRole(options_.proberDuty);
     std::vector<health_check::Message> words;
-    const auto advice = prober_.wanted(now, host, singletonRole != nullptr ? singletonRole->holder : std::string(), words);
+    const auto advice =
+        prober_.wanted(now, host, singletonRole != nullptr ? singletonRole->holder : std::string(), words);
     for (const health_check::Message& m : words) put(gossip::Channel::hostProber, m.to, write(m.body), out);
     return advice == health_check::Advice::away;
 }
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
+#include "gossip/datagram.hpp"
+#include "gossip/membership.hpp"
+#include "health_check/host_prober.hpp"
 #include "lease_sessions/lease_client.hpp"
 #include "lease_sessions/lease_manager.hpp"
-#include "health_check/host_prober.hpp"
 #include "raft/raft_consensus.hpp"
-#include "gossip/datagram.hpp"
-#include "gossip/membership.hpp"
 
 namespace beechpoint::cluster {
 
--- a/src/cluster/wire.cpp
+++ b/src/cluster/wire.cpp
@@ -32,7 +32,8 @@
 namespace beechpoint::lease_sessions {
 
 static auto fields(Command& x) {
-    return std::tie(x.op, x.member, x.processIncarnation, x.number, x.session, x.singletonRole, x.fencingToken, x.to);
+    return std::tie(x.op, x.member, x.processIncarnation, x.number, x.session, x.singletonRole,
+                    x.fencingToken, x.to);
 }
 static auto fields(Result& x) { return std::tie(x.verdict, x.fencingToken, x.session); }
 static auto fields(Ask& x) { return std::tie(x.command); }
@@ -81,11 +82,9 @@
         return e.data.size() > raft::kMaxEntryBytes || e.kind > raft::Kind::voters;
     };
     if (body) {
-        if (const auto* a = std::get_if<raft::Append>(&*body); a && senseless(a->entry))
-            return std::nullopt;
+        if (const auto* a = std::get_if<raft::Append>(&*body); a && senseless(a->entry)) return std::nullopt;
         if (const auto* t = std::get_if<raft::Tail>(&*body); t && senseless(t->entry)) return std::nullopt;
-        if (const auto* r = std::get_if<raft::StateReply>(&*body);
-            r && r->standing > raft::Standing::normal)
+        if (const auto* r = std::get_if<raft::StateReply>(&*body); r && r->standing > raft::Standing::normal)
             return std::nullopt;
     }
     return body;
@@ -93,7 +92,8 @@
 std::optional<lease_sessions::Body> readLeaseSessions(std::string_view bytes) {
     auto body = readAs(bytes, static_cast<const lease_sessions::Body*>(nullptr));
     if (!body) return body;
-    if (const auto* a = std::get_if<lease_sessions::Ask>(&*body); a && a->command.op > lease_sessions::Op::hand)
+    if (const auto* a = std::get_if<lease_sessions::Ask>(&*body);
+        a && a->command.op > lease_sessions::Op::hand)
         return std::nullopt;
     return body;
 }
--- a/src/cluster/wire.hpp
+++ b/src/cluster/wire.hpp
@@ -5,10 +5,10 @@
 #include <string>
 #include <string_view>
 
+#include "gossip/membership.hpp"
+#include "health_check/host_prober.hpp"
 #include "lease_sessions/messages.hpp"
 #include "raft/messages.hpp"
-#include "health_check/host_prober.hpp"
-#include "gossip/membership.hpp"
 
 namespace beechpoint::cluster {
 
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -8,8 +8,8 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "lease_sessions/messages.hpp"
 #include "coordinator/settings_json.hpp"
+#include "lease_sessions/messages.hpp"
 
 namespace beechpoint {
 
@@ -78,8 +78,8 @@
     if (!group.proberDuty.empty()) group.singletonRoles.push_back(group.proberDuty);
     for (const std::string& singletonRole : group.singletonRoles)
         if (singletonRole.empty() || singletonRole.size() > lease_sessions::kMaxRoleNameBytes)
-            throw BadConfig(
-                fmt::format("group: duty '{}' must have 1 to {} bytes", singletonRole, lease_sessions::kMaxRoleNameBytes));
+            throw BadConfig(fmt::format("group: duty '{}' must have 1 to {} bytes", singletonRole,
+                                        lease_sessions::kMaxRoleNameBytes));
     if (!group.members.contains(config.name))
         throw BadConfig(fmt::format("group: this gatherer, {}, is none of the members", config.name));
     return group;
--- a/src/config.hpp
+++ b/src/config.hpp
@@ -10,9 +10,9 @@
 #include <string>
 
 #include "backend/pool.hpp"
-#include "discovery/hostlist.hpp"
-#include "coordinator/coordinator.hpp"
 #include "cluster/settings.hpp"
+#include "coordinator/coordinator.hpp"
+#include "discovery/hostlist.hpp"
 
 namespace beechpoint {
 
--- a/src/configuration/document.hpp
+++ b/src/configuration/document.hpp
@@ -17,7 +17,7 @@
 template <class Value>
 struct Item {
     Value value;
-    std::string json;   // compact, members in the order sent
+    std::string json;  // compact, members in the order sent
     std::string path;  // JSON pointer into the body
 };
 
--- a/src/configuration/editing.cpp
+++ b/src/configuration/editing.cpp
@@ -5,13 +5,13 @@
 #include <charconv>
 #include <optional>
 
+#include "configuration/applied_operations.hpp"
 #include "configuration/body_revision.hpp"
 #include "configuration/document.hpp"
 #include "configuration/merge_patch.hpp"
+#include "configuration/replace_configuration.hpp"
 #include "configuration/stored_item.hpp"
 #include "configuration/table_ranges.hpp"
-#include "configuration/applied_operations.hpp"
-#include "configuration/replace_configuration.hpp"
 
 namespace beechpoint::configuration {
 namespace {
--- a/src/configuration/items.cpp
+++ b/src/configuration/items.cpp
@@ -7,8 +7,8 @@
 namespace beechpoint::configuration {
 namespace {
 
-using settings::kNoRule;
 using settings::FieldPath;
+using settings::kNoRule;
 using Reader = settings::DescribedReader<JsonSource>;
 
 // The weights must lead somewhere; a route without a split needs its one service.
--- a/src/control/codec.cpp
+++ b/src/control/codec.cpp
@@ -78,9 +78,10 @@
 template <>
 struct Fields<PeerUpdate> {
     static auto of(auto& peerUpdate) {
-        return std::tie(peerUpdate.member, peerUpdate.session, peerUpdate.epoch, peerUpdate.leases, peerUpdate.hostListVersion,
-                        peerUpdate.hostListAge, peerUpdate.hostList, peerUpdate.readsHosts, peerUpdate.renewals,
-                        peerUpdate.packedHostList, peerUpdate.packedHostChanges, peerUpdate.hostListReadAge);
+        return std::tie(peerUpdate.member, peerUpdate.session, peerUpdate.epoch, peerUpdate.leases,
+                        peerUpdate.hostListVersion, peerUpdate.hostListAge, peerUpdate.hostList,
+                        peerUpdate.readsHosts, peerUpdate.renewals, peerUpdate.packedHostList,
+                        peerUpdate.packedHostChanges, peerUpdate.hostListReadAge);
     }
 };
 template <>
@@ -198,11 +199,14 @@
     auto peerUpdate = rpc::unpack<PeerUpdate>(body);
     if (!peerUpdate) return peerUpdate;
     const auto takeChanges = [&](host_discovery::HostListChanges changes) {
-        peerUpdate.value().hostChanges = SharedHostChanges{std::move(changes), peerUpdate.value().hostListReadAge};
+        peerUpdate.value().hostChanges =
+            SharedHostChanges{std::move(changes), peerUpdate.value().hostListReadAge};
     };
     if (auto error = unpackHosts(peerUpdate.value(), takeChanges)) return *error;
     return peerUpdate;
 }
-Result<PeerUpdateReply> decodePeerUpdateReply(std::string_view bytes) { return rpc::unpack<PeerUpdateReply>(bytes); }
+Result<PeerUpdateReply> decodePeerUpdateReply(std::string_view bytes) {
+    return rpc::unpack<PeerUpdateReply>(bytes);
+}
 
 }  // namespace beechpoint::control
--- a/src/control/control.hpp
+++ b/src/control/control.hpp
@@ -45,7 +45,7 @@
 
     const replica::Replica* replica() const;  // null until the store is open
     bool readsHosts() const;                  // holds the duty of reading the platform's list
-    std::size_t pendingLongPolls() const;         // gateways' polls that wait for news
+    std::size_t pendingLongPolls() const;     // gateways' polls that wait for news
 
 private:
     class Impl;
--- a/src/control/gateway_service.cpp
+++ b/src/control/gateway_service.cpp
@@ -16,8 +16,9 @@
 // The poller as the state machine sees it.
 class PolledList final : public HostListSource {
 public:
-    PolledList(asio::io_context& io, const Clock& clock, Logger& logger, host_discovery::Poller::Settings settings,
-               std::uint64_t seed, host_discovery::Poller::OnReading onReading)
+    PolledList(asio::io_context& io, const Clock& clock, Logger& logger,
+               host_discovery::Poller::Settings settings, std::uint64_t seed,
+               host_discovery::Poller::OnReading onReading)
         : poller_(io, clock, logger, std::move(settings), seed, seed, std::move(onReading)) {}
 
     void start(std::uint64_t fencingToken, std::uint64_t lastNumber,
--- a/src/control/gateway_service_state.cpp
+++ b/src/control/gateway_service_state.cpp
@@ -55,8 +55,8 @@
     return actions;
 }
 
-ServiceActions GatewayServiceState::onPeerUpdate(Millis now, const CommittedTableSource* table, const PeerUpdate& peerUpdate,
-                                            PeerUpdateReply& reply) {
+ServiceActions GatewayServiceState::onPeerUpdate(Millis now, const CommittedTableSource* table,
+                                                 const PeerUpdate& peerUpdate, PeerUpdateReply& reply) {
     ServiceActions actions;
     leases_.merge(now, peerUpdate.leases);
     reply.unknownLeases = leases_.mergeRenewals(now, peerUpdate.renewals);
@@ -70,8 +70,9 @@
     return actions;
 }
 
-ServiceActions GatewayServiceState::onPeerUpdateReply(Millis, const CommittedTableSource*, const std::string& member,
-                                             const std::optional<PeerUpdateReply>& reply) {
+ServiceActions GatewayServiceState::onPeerUpdateReply(Millis, const CommittedTableSource*,
+                                                      const std::string& member,
+                                                      const std::optional<PeerUpdateReply>& reply) {
     const auto found = peers_.find(member);
     if (found == peers_.end()) return {};
     Peer& peer = found->second;
@@ -115,7 +116,8 @@
     lookAtHosts(now, table);
     wakeForCount(now, table, actions);
     answerDue(now, table, kServiceTick, actions);
-    if (updatePeersSoon_ || now - sharedAt_ >= kPeerUpdateInterval - kServiceTick / 2) updateAllPeers(now, table, actions);
+    if (updatePeersSoon_ || now - sharedAt_ >= kPeerUpdateInterval - kServiceTick / 2)
+        updateAllPeers(now, table, actions);
     return actions;
 }
 
@@ -141,8 +143,8 @@
 
 // A gateway that asks again has no use for the wait of its earlier poll; it is answered, since a call that times out costs
 // the gateway its connection, but without state that the poll that has come now is answered with.
-void GatewayServiceState::endEarlierPoll(Millis now, const CommittedTableSource* table, const std::string& gateway,
-                                         ServiceActions& actions) {
+void GatewayServiceState::endEarlierPoll(Millis now, const CommittedTableSource* table,
+                                         const std::string& gateway, ServiceActions& actions) {
     for (const LongPoll& poll : polls_.take(gateway)) {
         if (!mayAnswer(now, table)) {
             refuse(poll.ticket, PollStatus::notFresh, actions);
@@ -186,8 +188,8 @@
     actions.answers.push_back({ticket, std::move(reply)});
 }
 
-void GatewayServiceState::addSmallState(Millis now, const CommittedTableSource& table, const PollRequest& request,
-                                        PollReply& reply) {
+void GatewayServiceState::addSmallState(Millis now, const CommittedTableSource& table,
+                                        const PollRequest& request, PollReply& reply) {
     if (!directoryAt_ || now - *directoryAt_ >= kDirectoryRefresh) {
         directoryAt_ = now;
         directory_.take(leases_.live(now));
@@ -246,8 +248,8 @@
     return packed_[held] = packTable(*update);
 }
 
-void GatewayServiceState::answerAll(Millis now, const CommittedTableSource* table, std::vector<LongPoll> polls,
-                                    ServiceActions& actions) {
+void GatewayServiceState::answerAll(Millis now, const CommittedTableSource* table,
+                                    std::vector<LongPoll> polls, ServiceActions& actions) {
     for (const LongPoll& poll : polls) answer(now, table, poll.request, poll.ticket, actions);
 }
 
@@ -272,7 +274,8 @@
 }
 
 // More gateways share the budgets from now on: all must know soon.
-void GatewayServiceState::wakeForCount(Millis now, const CommittedTableSource* table, ServiceActions& actions) {
+void GatewayServiceState::wakeForCount(Millis now, const CommittedTableSource* table,
+                                       ServiceActions& actions) {
     if (!wakeForCountAt_ || now < *wakeForCountAt_) return;
     wakeForCountAt_.reset();
     const auto largest = leases_.largestLive(now);
@@ -283,7 +286,8 @@
 
 // --- what members tell each other
 
-GatewayServiceState::Peer* GatewayServiceState::peerOf(const CommittedTableSource* table, const std::string& member) {
+GatewayServiceState::Peer* GatewayServiceState::peerOf(const CommittedTableSource* table,
+                                                       const std::string& member) {
     if (!table || !table->view().find(member)) return nullptr;
     return &peers_[member];
 }
@@ -294,12 +298,14 @@
     hosts_.forget(isMember);
 }
 
-void GatewayServiceState::updatePeersSoon(Millis now, const CommittedTableSource* table, ServiceActions& actions) {
+void GatewayServiceState::updatePeersSoon(Millis now, const CommittedTableSource* table,
+                                          ServiceActions& actions) {
     updatePeersSoon_ = true;
     if (now - sharedAt_ >= kPeerUpdateGatherWindow) updateAllPeers(now, table, actions);
 }
 
-void GatewayServiceState::updateAllPeers(Millis now, const CommittedTableSource* table, ServiceActions& actions) {
+void GatewayServiceState::updateAllPeers(Millis now, const CommittedTableSource* table,
+                                         ServiceActions& actions) {
     if (!table || !table->inView()) return;
     sharedAt_ = now;
     updatePeersSoon_ = false;
@@ -313,7 +319,7 @@
 }
 
 void GatewayServiceState::updatePeer(Millis now, const replica::Member& member, PeerUpdate peerUpdate,
-                                    ServiceActions& actions) {
+                                     ServiceActions& actions) {
     if (peers_.size() >= kMaxPeers && !peers_.contains(member.name)) return;
     Peer& peer = peers_[member.name];
     if (peer.asked) {
@@ -323,7 +329,8 @@
     peer.asked = true;
     peer.askedAt = now;
     addLeases(now, peer, peerUpdate);
-    if (hosts_.isToTell(now, peer.hostList)) hosts_.tell(now, peer.hostList, peer.takesIncrements, peerUpdate);
+    if (hosts_.isToTell(now, peer.hostList))
+        hosts_.tell(now, peer.hostList, peer.takesIncrements, peerUpdate);
     actions.peerUpdates.push_back({member.name, member.internalAddress, std::move(peerUpdate)});
 }
 
--- a/src/control/gateway_service_state.hpp
+++ b/src/control/gateway_service_state.hpp
@@ -20,18 +20,18 @@
 #include <string>
 #include <vector>
 
+#include "control/committed_table_source.hpp"
 #include "control/directory_sample.hpp"
+#include "control/long_polls.hpp"
 #include "control/messages.hpp"
 #include "control/shared_hosts.hpp"
 #include "control/transfer_slots.hpp"
-#include "control/committed_table_source.hpp"
-#include "control/long_polls.hpp"
 #include "leases/lease_table.hpp"
 
 namespace beechpoint::control {
 
-inline constexpr Millis kServiceTick = 100;  // tick() is to be called so often
-inline constexpr Millis kPeerUpdateInterval = 500;   // to each other member of the view
+inline constexpr Millis kServiceTick = 100;             // tick() is to be called so often
+inline constexpr Millis kPeerUpdateInterval = 500;      // to each other member of the view
 inline constexpr Millis kPeerUpdateGatherWindow = 100;  // changes that come together travel together
 inline constexpr Millis kPeerUpdateTimeout = 1000;
 inline constexpr Millis kCountWindow =
@@ -61,11 +61,13 @@
 public:
     GatewayServiceState(leases::LeaseTable::Settings settings, Millis now, HostListSource& source);
 
-    ServiceActions onPoll(Millis now, const CommittedTableSource* table, PollRequest request, PollTicket ticket);
-    ServiceActions onPeerUpdate(Millis now, const CommittedTableSource* table, const PeerUpdate& peerUpdate, PeerUpdateReply& reply);
+    ServiceActions onPoll(Millis now, const CommittedTableSource* table, PollRequest request,
+                          PollTicket ticket);
+    ServiceActions onPeerUpdate(Millis now, const CommittedTableSource* table, const PeerUpdate& peerUpdate,
+                                PeerUpdateReply& reply);
     // The end of a PeerUpdateCall; nothing: no answer.
     ServiceActions onPeerUpdateReply(Millis now, const CommittedTableSource* table, const std::string& member,
-                            const std::optional<PeerUpdateReply>& reply);
+                                     const std::optional<PeerUpdateReply>& reply);
     ServiceActions onTableMoved(Millis now, const CommittedTableSource* table);
     ServiceActions onView(Millis now, const CommittedTableSource* table);
     // What the source has read.
@@ -84,7 +86,7 @@
 private:
     struct Peer {
         host_discovery::HostListVersion hostList;  // that it said it has
-        bool asked = false;                   // a share to it is out
+        bool asked = false;                        // a share to it is out
         Millis askedAt = 0;
         bool takesIncrements = false;
         Millis toldUntil = 0;          // leases granted before were told
@@ -100,7 +102,8 @@
     bool hasNews(const CommittedTableSource& table, const PollRequest& request) const;
     void answer(Millis now, const CommittedTableSource* table, const PollRequest& request, PollTicket ticket,
                 ServiceActions& actions);
-    void addSmallState(Millis now, const CommittedTableSource& table, const PollRequest& request, PollReply& reply);
+    void addSmallState(Millis now, const CommittedTableSource& table, const PollRequest& request,
+                       PollReply& reply);
     void addMembers(const CommittedTableSource& table, PollReply& reply) const;
     void limitLargeState(Millis now, const PollRequest& request, PollReply& reply);
     void answerAll(Millis now, const CommittedTableSource* table, std::vector<LongPoll> polls,
@@ -116,7 +119,8 @@
     void forgetPeers(const CommittedTableSource* table);
     void updatePeersSoon(Millis now, const CommittedTableSource* table, ServiceActions& actions);
     void updateAllPeers(Millis now, const CommittedTableSource* table, ServiceActions& actions);
-    void updatePeer(Millis now, const replica::Member& member, PeerUpdate peerUpdate, ServiceActions& actions);
+    void updatePeer(Millis now, const replica::Member& member, PeerUpdate peerUpdate,
+                    ServiceActions& actions);
     void addLeases(Millis now, Peer& peer, PeerUpdate& peerUpdate);
     void lookAtHosts(Millis now, const CommittedTableSource* table);
 
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -17,9 +17,9 @@
 namespace beechpoint::control {
 
 enum class RequestKind : std::uint8_t {
-    poll = 1,     // PollRequest -> PollReply
-    replica = 2,  // replica messages (replica_codec.hpp) -> those that answer them at once, if any
-    peerUpdate = 3,    // Share -> PeerUpdateReply
+    poll = 1,        // PollRequest -> PollReply
+    replica = 2,     // replica messages (replica_codec.hpp) -> those that answer them at once, if any
+    peerUpdate = 3,  // Share -> PeerUpdateReply
 };
 
 // A gateway asks what is new and thereby renews its lease. It is answered at once where something is, or after `waitMs`.
@@ -28,10 +28,10 @@
         gateway;        // name, session, place, front address, ready, draining, own load by host (optional)
     Position position;  // of the table held; {0, 0}: none
     host_discovery::HostListVersion hostList;  // held; {0, 0, 0}: none
-    Millis waitMs = 0;                    // at most; the member bounds it by kMaxPollWait
-    bool wantsLoad = false;               // send the other gateways' load by host
-    std::uint64_t directoryDigest = 0;    // of the gateways held for the directory; 0: none
-    bool takesHostChanges = false;        // understands PollReply::hostChanges; gateways of before don't
+    Millis waitMs = 0;                         // at most; the member bounds it by kMaxPollWait
+    bool wantsLoad = false;                    // send the other gateways' load by host
+    std::uint64_t directoryDigest = 0;         // of the gateways held for the directory; 0: none
+    bool takesHostChanges = false;             // understands PollReply::hostChanges; gateways of before don't
     bool takesPackedState = false;  // understands PollReply's packed fields and comes back after retryAfterMs
 };
 
@@ -65,7 +65,7 @@
     std::optional<TableUpdate> table;  // where newer than the position held
     std::string
         packedTable;  // the same on the wire (table_packing.hpp); a sender that has it leaves `table` out
-    std::optional<SharedHostList> hostList;      // where another than the one held
+    std::optional<SharedHostList> hostList;           // where another than the one held
     host_discovery::HostListVersion hostListVersion;  // the member's
     std::optional<Millis> hostListAge;          // since it was last read or confirmed; nothing: no list known
     std::optional<std::uint32_t> liveGateways;  // nothing: not known at the moment (keep the last)
@@ -101,8 +101,8 @@
 
 struct PeerUpdateReply {
     host_discovery::HostListVersion hostListVersion;  // that the receiver has now
-    bool takesIncrements = false;                // understands Share::renewals and the packed fields
-    std::vector<std::uint64_t> unknownLeases;    // renewed, and not known here: to be told whole
+    bool takesIncrements = false;                     // understands Share::renewals and the packed fields
+    std::vector<std::uint64_t> unknownLeases;         // renewed, and not known here: to be told whole
 };
 
 }  // namespace beechpoint::control
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -153,7 +153,8 @@
     }
     if (!vouched) return startBarrier(moment, pending);
     if (decision)
-        return answerTaken(moment, pending, std::get<configuration::AlreadyApplied>(decision.value()).revision);
+        return answerTaken(moment, pending,
+                           std::get<configuration::AlreadyApplied>(decision.value()).revision);
     const Error& error = decision.error();
     moment.actions.emplace_back(Note{fmt::format("refused {}: {}", pending->call.target, error.text())});
     answer(moment, pending, configuration::httpStatus(error.kind), configuration::renderError(error));
--- a/src/control/replica_codec.cpp
+++ b/src/control/replica_codec.cpp
@@ -35,9 +35,9 @@
 template <>
 struct Fields<replica::Status> {
     static auto of(auto& status) {
-        return std::tie(status.sealed, status.installed, status.diskFailing, status.syncedEpoch, status.chained,
-                        status.committed, status.reached, status.unheard, status.stalledAt, status.leaving,
-                        status.stored);
+        return std::tie(status.sealed, status.installed, status.diskFailing, status.syncedEpoch,
+                        status.chained, status.committed, status.reached, status.unheard, status.stalledAt,
+                        status.leaving, status.stored);
     }
 };
 template <>
@@ -59,8 +59,8 @@
 template <>
 struct Fields<replica::Promise> {
     static auto of(auto& message) {
-        return std::tie(message.proposal, message.target, message.accepted, message.value, message.syncedEpoch,
-                        message.position, message.diskFailing, message.folded);
+        return std::tie(message.proposal, message.target, message.accepted, message.value,
+                        message.syncedEpoch, message.position, message.diskFailing, message.folded);
     }
 };
 template <>
--- a/src/control/shared_hosts.cpp
+++ b/src/control/shared_hosts.cpp
@@ -21,7 +21,8 @@
     const bool isChanged = takeList(now, peerUpdate);
     if (peerUpdate.hostListAge) holder_.confirm(peerUpdate.hostListVersion, now - *peerUpdate.hostListAge);
     if (peerUpdate.readsHosts) readElsewhere_[peerUpdate.member] = now;
-    if (peerUpdate.hostListVersion.fencingToken == fencingToken_) source_.raiseNumber(peerUpdate.hostListVersion.number);
+    if (peerUpdate.hostListVersion.fencingToken == fencingToken_)
+        source_.raiseNumber(peerUpdate.hostListVersion.number);
     return isChanged;
 }
 
@@ -39,7 +40,8 @@
     std::erase_if(readElsewhere_, [&](const auto& entry) { return !isMember(entry.first); });
 }
 
-bool SharedHosts::offer(Millis now, std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt) {
+bool SharedHosts::offer(Millis now, std::shared_ptr<const host_discovery::HostList> list,
+                        Millis confirmedAt) {
     if (!holder_.offer(std::move(list), confirmedAt, now)) return false;
     history_.take(holder_.list());
     takenAt_ = now;
@@ -102,7 +104,8 @@
     return reads() || now - takenAt_ >= kRelayAfter;
 }
 
-void SharedHosts::tell(Millis now, const host_discovery::HostListVersion& held, bool packed, PeerUpdate& peerUpdate) {
+void SharedHosts::tell(Millis now, const host_discovery::HostListVersion& held, bool packed,
+                       PeerUpdate& peerUpdate) {
     if (!packed) {
         peerUpdate.hostList = whole(now);
         return;
--- a/src/control/shared_hosts.hpp
+++ b/src/control/shared_hosts.hpp
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
+#include "control/committed_table_source.hpp"
 #include "control/host_list_source.hpp"
 #include "control/messages.hpp"
-#include "control/committed_table_source.hpp"
 
 namespace beechpoint::control {
 
@@ -56,8 +56,9 @@
 private:
     bool takeList(Millis now, const PeerUpdate& peerUpdate);
     const std::string& packedList();
-    const std::string& packedChanges(const host_discovery::HostListVersion& held);  // empty: none, or not worth it
-    std::optional<SharedHostList> whole(Millis now) const;                     // nothing: none known
+    const std::string& packedChanges(
+        const host_discovery::HostListVersion& held);       // empty: none, or not worth it
+    std::optional<SharedHostList> whole(Millis now) const;  // nothing: none known
     bool isReadBefore(const std::vector<std::string>& order, std::size_t rank, Millis now) const;
     void read(std::uint64_t epoch);
     Millis readAge(Millis now) const;
@@ -65,9 +66,9 @@
     Millis startedAt_;
     HostListSource& source_;
     host_discovery::HostListConsumer holder_;
-    host_discovery::HostListHistory history_;                               // of holder_
-    Millis takenAt_ = 0;                                               // when holder_ took its list
-    std::string packedList_;                                           // of holder_; empty: not packed yet
+    host_discovery::HostListHistory history_;  // of holder_
+    Millis takenAt_ = 0;                       // when holder_ took its list
+    std::string packedList_;                   // of holder_; empty: not packed yet
     std::map<host_discovery::HostListVersion, std::string> packedChanges_;  // to holder_'s list, by the base
     std::map<std::string, Millis> readElsewhere_;  // when each other member last said that it reads
     std::uint64_t fencingToken_ = 0;
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -1,6 +1,7 @@
 // The coordinator, the decision module of the gatherer; its interface is coordinator/coordinator.hpp.
-// Ordinary path, after Zheng and Lyu, "A Distributed Replication Strategy Evaluation and Selection Framework for Fault Tolerant
-// Web Services", section 4: score s = t/t_user + f/f_user for each class and server; a part goes to one of
+// Ordinary path, after Zheng and Lyu, "A Distributed Replication Strategy Evaluation and Selection
+// Framework for Fault Tolerant Web Services", section 4: score s = t/t_user + f/f_user for each class
+// and server; a part goes to one of
 // its shard's replicas, drawn with odds that fall as s rises; width v by T(x-1) - T(x) >= t_user; failover by
 // the tree on |W|, b and c. Exceptions are marked E1, E2, ... here and in docs/design.md.
 #include <algorithm>
--- a/src/coordinator/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -218,7 +218,8 @@
     // Appends what to do to `out`. Ids no longer held, servers not listed and late outcomes are normal.
     void handle(Nanos now, const Event& event, std::vector<Action>& out);
 
-    // Whether a listed server gets no parts now: it drains, was taken out, or is cut off until a probe passes.
+    // Whether a listed server gets no parts now: it drains, was taken out, or is cut off until
+    // a probe passes.
     bool avoids(const std::string& server) const;
 
 private:
--- a/src/coordinator/sending.hpp
+++ b/src/coordinator/sending.hpp
@@ -1,8 +1,8 @@
 // First sends, copies and fail-over, within the budgets. Guards: E1, E9.
 #pragma once
 
-#include "coordinator/ranking.hpp"
 #include "coordinator/failure_tree.hpp"
+#include "coordinator/ranking.hpp"
 
 namespace beechpoint::coordinator {
 
--- a/src/coordinator/state.hpp
+++ b/src/coordinator/state.hpp
@@ -5,10 +5,10 @@
 #include <stdexcept>
 #include <utility>
 
-#include "core/splitmix.hpp"
 #include "coordinator/coordinator.hpp"
 #include "coordinator/record.hpp"
 #include "coordinator/score.hpp"
+#include "core/splitmix.hpp"
 
 namespace beechpoint::coordinator {
 
--- a/src/core/exchange.cpp
+++ b/src/core/exchange.cpp
@@ -8,7 +8,8 @@
 
 constexpr Millis kEndMargin = 30;  // the module ends what is not in by so long before its time
 constexpr Millis kIdRest = 3000;   // an id is new with every request: one used so lately is somebody else's
-constexpr Millis kLookAgain = 50;  // a client that has left is not served 300 ms later, however late the loop is
+constexpr Millis kLookAgain =
+    50;  // a client that has left is not served 300 ms later, however late the loop is
 constexpr double kShareSlack = 1e-4;  // sums of shares may fall so short, as the rules allow
 
 Counter counterOf(Outcome outcome) {
@@ -156,7 +157,9 @@
         const RequestId query = id;
         const coordinator::ClassSettings* klass = classOf(live.request->klass);
         Final final;
-        final.kind = !live.sent || (klass && klass->effect == coordinator::Effect::safe) ? Final::Kind::refused : Final::Kind::failed;
+        final.kind = !live.sent || (klass && klass->effect == coordinator::Effect::safe)
+                         ? Final::Kind::refused
+                         : Final::Kind::failed;
         finish(query, std::move(final));
         give(coordinator::QueryGone{query});
     }
@@ -206,7 +209,8 @@
 
 void Exchange::written(AttemptId attempt) {
     counters_.add(Counter::attemptsWritten);
-    if (const auto query = queryOf_.find(attempt.part); query != queryOf_.end()) queries_.at(query->second).sent = true;
+    if (const auto query = queryOf_.find(attempt.part); query != queryOf_.end())
+        queries_.at(query->second).sent = true;
 }
 
 void Exchange::ended(AttemptId attempt, Outcome outcome, std::string_view value, Load load) {
@@ -267,8 +271,8 @@
 }
 
 std::size_t Exchange::hostsDown() const {
-    return static_cast<std::size_t>(
-        std::count_if(listed_.begin(), listed_.end(), [&](const std::string& id) { return coordinator_.avoids(id); }));
+    return static_cast<std::size_t>(std::count_if(
+        listed_.begin(), listed_.end(), [&](const std::string& id) { return coordinator_.avoids(id); }));
 }
 
 // ---- the module
@@ -287,7 +291,8 @@
         events_.pop_front();
         actions.clear();
         coordinator_.handle(toNanos(clock_.now()), event, actions);
-        for (const coordinator::Action& action : actions) std::visit([this](const auto& a) { carry(a); }, action);
+        for (const coordinator::Action& action : actions)
+            std::visit([this](const auto& a) { carry(a); }, action);
     }
     pumping_ = false;
     hosts_->flush();
--- a/src/core/exchange.hpp
+++ b/src/core/exchange.hpp
@@ -16,11 +16,11 @@
 #include <unordered_set>
 #include <vector>
 
+#include "coordinator/coordinator.hpp"
 #include "core/clock.hpp"
 #include "core/counters.hpp"
 #include "core/figures.hpp"
 #include "core/logger.hpp"
-#include "coordinator/coordinator.hpp"
 
 namespace beechpoint {
 
@@ -121,8 +121,8 @@
 class Exchange {
 public:
     // `wake` is asked to bring tick() at or after a time; the last one asked for counts.
-    Exchange(const coordinator::Settings& settings, std::uint64_t seed, const Clock& clock, Counters& counters,
-             Logger& log, std::function<void(Millis)> wake);
+    Exchange(const coordinator::Settings& settings, std::uint64_t seed, const Clock& clock,
+             Counters& counters, Logger& log, std::function<void(Millis)> wake);
 
     void attach(TrackHosts& hosts) { hosts_ = &hosts; }
     void attach(HostProbes& hostProbes) { hostProbes_ = &hostProbes; }
--- a/src/core/logger.cpp
+++ b/src/core/logger.cpp
@@ -17,7 +17,8 @@
 constexpr std::size_t kMostKinds = 64;  // more only within one second
 // A pipe that is ready takes so much at once (PIPE_BUF), so a line of this size never blocks its writer.
 constexpr std::size_t kLongestLine = 4096;
-constexpr std::size_t kLongestText = 400;  // in JSON, where a line that is cut is none; each byte may take six
+constexpr std::size_t kLongestText =
+    400;  // in JSON, where a line that is cut is none; each byte may take six
 constexpr std::size_t kLongestField = 60;
 
 // Writes whole lines, or leaves them out where the reader does not keep up: the loop must not wait for
--- a/src/core/result.hpp
+++ b/src/core/result.hpp
@@ -21,13 +21,13 @@
 
 struct Error {
     ErrorKind kind = ErrorKind::invalid;
-    std::string location;    // JSON pointer, setting or peer that the error is about; may be empty
-    std::string message;  // what is wrong
-    std::string remedy;   // what to do about it
+    std::string location;  // JSON pointer, setting or peer that the error is about; may be empty
+    std::string message;   // what is wrong
+    std::string remedy;    // what to do about it
 
     std::string text() const {
-        return fmt::format("{}{}{}{}{}", location, location.empty() ? "" : ": ", message, remedy.empty() ? "" : "; ",
-                           remedy);
+        return fmt::format("{}{}{}{}{}", location, location.empty() ? "" : ": ", message,
+                           remedy.empty() ? "" : "; ", remedy);
     }
 };
 
--- a/src/discovery/hostlist.cpp
+++ b/src/discovery/hostlist.cpp
@@ -77,7 +77,7 @@
         const coordinator::ServerEntry& e = host.entry;
         const char* const state = e.state == coordinator::ServerState::up         ? "Ready"
                                   : e.state == coordinator::ServerState::draining ? "Terminating"
-                                                                              : "Gone";
+                                                                                  : "Gone";
         instances.push_back(
             {{"instanceId", e.id},
              {"hostPort", host.address},
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -174,8 +174,10 @@
     if (stopped_) return;
     counters_.add(Counter::watchesBroken);
     log_.seldom("watch", "discovery's watch broke, asking again: {}", field("error", why));
-    const Millis step = std::min(times_.again * static_cast<Millis>(1 << std::min(bad_, 10)), std::max(times_.again, times_.againBad));
-    again_.expires_after(micros(step * (1 + std::uniform_real_distribution<>(0, bad_ > 0 ? 0.2 : 1)(random_))));
+    const Millis step = std::min(times_.again * static_cast<Millis>(1 << std::min(bad_, 10)),
+                                 std::max(times_.again, times_.againBad));
+    again_.expires_after(
+        micros(step * (1 + std::uniform_real_distribution<>(0, bad_ > 0 ? 0.2 : 1)(random_))));
     again_.async_wait([this](asio::error_code error) {
         if (!error && !stopped_ && !live()) start();
     });
--- a/src/discovery/watch.hpp
+++ b/src/discovery/watch.hpp
@@ -20,8 +20,9 @@
     // The agent is on the own machine: from the dial until its answer begins. It may be silent and then back, and what it has
     // counts as told at once, while work may go to a draining host for 1 s at most: connect + 2 again stay below that.
     Millis connect = 500;
-    Millis again = 200;     // between two tries, and up to as much more by chance, so that gatherers don't ask in step
-    Millis againBad = 2000; // at most between two tries where what comes can't be used, time after time
+    Millis again =
+        200;  // between two tries, and up to as much more by chance, so that gatherers don't ask in step
+    Millis againBad = 2000;  // at most between two tries where what comes can't be used, time after time
     std::uint64_t seed = 1;
 };
 
@@ -43,8 +44,8 @@
         asio::ip::tcp::socket socket;
         net::Buffer buffer;
         std::unique_ptr<net::HttpReader> reader;
-        std::string request, object;  // so far: an object may be spread over lines
-        int depth = 0;                // of braces in it
+        std::string request, object;                         // so far: an object may be spread over lines
+        int depth = 0;                                       // of braces in it
         bool inText = false, escaped = false, blank = true;  // blank: nothing on this line yet
         bool answered = false, dead = false;
     };
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -6,20 +6,20 @@
 #include <unordered_map>
 #include <utility>
 
+#include "coordinator/failure_tree.hpp"
+#include "coordinator/width.hpp"
 #include "core/splitmix.hpp"
 #include "dispatch/action_list.hpp"
 #include "dispatch/admission.hpp"
 #include "dispatch/arrival.hpp"
 #include "dispatch/attempt_log.hpp"
 #include "dispatch/hedge_budget.hpp"
-#include "dispatch/timer_queue.hpp"
 #include "dispatch/host_health.hpp"
 #include "dispatch/route_table.hpp"
 #include "dispatch/selection.hpp"
 #include "dispatch/service_table.hpp"
 #include "dispatch/shared_load.hpp"
-#include "coordinator/failure_tree.hpp"
-#include "coordinator/width.hpp"
+#include "dispatch/timer_queue.hpp"
 
 namespace beechpoint::dispatch {
 
--- a/src/dispatch/host_table.hpp
+++ b/src/dispatch/host_table.hpp
@@ -7,10 +7,10 @@
 #include <unordered_map>
 #include <vector>
 
+#include "coordinator/record.hpp"
 #include "core/clock.hpp"
-#include "dispatch/slow_start_budget.hpp"
 #include "dispatch/messages.hpp"
-#include "coordinator/record.hpp"
+#include "dispatch/slow_start_budget.hpp"
 
 namespace beechpoint::dispatch {
 
--- a/src/dispatch/messages.hpp
+++ b/src/dispatch/messages.hpp
@@ -185,8 +185,9 @@
 
 struct Tick {};
 
-using Event = std::variant<RequestArrived, AttemptHead, AttemptFirstByte, AttemptEnded, ClientDisconnected, Hosts,
-                           Services, Evacuated, Fleet, WarmupSeen, ProbeEnded, PeerLoad, Closing, Tick>;
+using Event =
+    std::variant<RequestArrived, AttemptHead, AttemptFirstByte, AttemptEnded, ClientDisconnected, Hosts,
+                 Services, Evacuated, Fleet, WarmupSeen, ProbeEnded, PeerLoad, Closing, Tick>;
 
 // ---- actions
 
--- a/src/dispatch/predictor.hpp
+++ b/src/dispatch/predictor.hpp
@@ -5,10 +5,10 @@
 #include <algorithm>
 #include <string>
 
+#include "coordinator/score.hpp"
 #include "core/clock.hpp"
 #include "dispatch/host_table.hpp"
 #include "dispatch/prefill_rate.hpp"
-#include "coordinator/score.hpp"
 
 namespace beechpoint::dispatch {
 
--- a/src/dispatch/selection.hpp
+++ b/src/dispatch/selection.hpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
+#include "coordinator/score.hpp"
 #include "dispatch/dispatcher.hpp"
 #include "dispatch/host_table.hpp"
 #include "dispatch/predictor.hpp"
 #include "dispatch/request.hpp"
-#include "coordinator/score.hpp"
 
 namespace beechpoint::dispatch {
 
@@ -26,7 +26,7 @@
     // Of these the ones that may be sent to now, best first: not full, within the cold allowance, not cut off (unless all
     // are), and without an attempt of this request out.
     std::vector<coordinator::policy::Scored> ranked(const Request& request, const RouteRecord& route,
-                                                ServiceState& service, Millis now) const;
+                                                    ServiceState& service, Millis now) const;
     // Prompt tokens that the host is expected to have to read.
     double tokensToRead(const Request& request, const ServiceState& service, int host) const;
 
--- a/src/dispatch/service_state.hpp
+++ b/src/dispatch/service_state.hpp
@@ -2,10 +2,10 @@
 #pragma once
 
 #include "core/clock.hpp"
-#include "dispatch/slow_start_budget.hpp"
 #include "dispatch/messages.hpp"
 #include "dispatch/predictor.hpp"
 #include "dispatch/retry_budget.hpp"
+#include "dispatch/slow_start_budget.hpp"
 
 namespace beechpoint::dispatch {
 
@@ -16,7 +16,7 @@
     RetryBudget budget;
     SlowStartShare slowStartShare;
     ServiceLoad load;
-    bool configured = false;      // in the configuration in force
+    bool configured = false;           // in the configuration in force
     bool slowStartShareBlind = false;  // made while an earlier process may still count
     Millis usedAt = 0;
 
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -205,7 +205,8 @@
         const ClassSpec& c = scenario_.classes[static_cast<std::size_t>(q.klass)];
         q.took = now - q.at;
         q.result = q.took <= c.aim ? Result::inAim : Result::late;
-        q.earned = (q.result == Result::inAim ? 1 : c.lateWorth) * (share < 1 - 1e-6 ? c.shortWorth * share : 1);
+        q.earned =
+            (q.result == Result::inAim ? 1 : c.lateWorth) * (share < 1 - 1e-6 ? c.shortWorth * share : 1);
         return true;
     }
     const bool honours = unitOf(t->query, Purpose::honours) < scenario_.clients.honourShare;
--- a/src/emulator/group_director.cpp
+++ b/src/emulator/group_director.cpp
@@ -165,7 +165,8 @@
 }
 void GroupDirector::operate(Millis now) {
     if (healed_) return;
-    const int singletonRole = static_cast<int>(unit() * scenario_.singletonRoles), by = stage_.holds(singletonRole);
+    const int singletonRole = static_cast<int>(unit() * scenario_.singletonRoles),
+              by = stage_.holds(singletonRole);
     const int other = static_cast<int>(unit() * scenario_.members);
     if (by >= 0 && unit() < 0.6)
         stage_.giveDuty(by, singletonRole, unit() < 0.5 && other != by ? other : -1);
--- a/src/emulator/group_director.hpp
+++ b/src/emulator/group_director.hpp
@@ -34,9 +34,9 @@
     virtual void delay(Millis more) = 0;  // three datagrams in ten, by up to so much
     virtual void replayOld() = 0;
     virtual bool runs(int member) const = 0;
-    virtual bool whole(int member) const = 0;  // a voter with its memory, or no voter
-    virtual int leads() const = 0;             // -1: nobody that is known
-    virtual int holds(int singletonRole) const = 0;     // who may act on it now; -1: nobody
+    virtual bool whole(int member) const = 0;        // a voter with its memory, or no voter
+    virtual int leads() const = 0;                   // -1: nobody that is known
+    virtual int holds(int singletonRole) const = 0;  // who may act on it now; -1: nobody
     virtual std::string roleOf(int member) const = 0;
     // An operation of an operator at a member: takes the duty, or gives it up (to: -1: to whoever is next).
     virtual void takeDuty(int member, int singletonRole) = 0;
--- a/src/emulator/group_real.cpp
+++ b/src/emulator/group_real.cpp
@@ -151,7 +151,8 @@
     Json all, voters = Json::array(), singletonRoles = Json::array();
     for (int j = 0; j < scenario_.members; ++j) all[nameOf(j)] = j == i ? host(i) + ":7101" : relay_.at(i, j);
     for (int j = 0; j < scenario_.voters; ++j) voters.push_back(nameOf(j));
-    for (int d = 0; d < scenario_.singletonRoles; ++d) singletonRoles.push_back(GroupWorld::singletonRoleName(d));
+    for (int d = 0; d < scenario_.singletonRoles; ++d)
+        singletonRoles.push_back(GroupWorld::singletonRoleName(d));
     Json group = {{"listen", host(i) + ":7101"},
                   {"members", all},
                   {"voters", voters},
@@ -290,7 +291,8 @@
     Act& last = acts_[singletonRole];
     // Another's act under a higher number was heard of before this one was even asked about.
     if (fencingToken < last.fencingToken && asked > last.heard)
-        violate("two holders", fmt::format("{}: g{} may act under {} after {}", singletonRole, i, fencingToken, last.fencingToken));
+        violate("two holders", fmt::format("{}: g{} may act under {} after {}", singletonRole, i,
+                                           fencingToken, last.fencingToken));
     if (fencingToken == last.fencingToken && last.by != i)
         violate("one number, two holders", fmt::format("{}: g{} and g{}", singletonRole, last.by, i));
     if (fencingToken == last.fencingToken) last.last = now();
@@ -302,16 +304,17 @@
     op.member = nameOf(i);
     op.from = now();
     ++calls_;
-    call(i, newest(i)->port, "PUT", path, [this, singletonRole, op](int status, const std::string& body) mutable {
-        --calls_;
-        op.to = now();
-        op.known = status == 200 || status == 409;
-        op.yes = status == 200;
-        if (const Json json = Json::parse(body, nullptr, false); op.yes && json.is_object())
-            op.fencingToken = json.value("fence", op.fencingToken);
-        ++report_.outcomes[!op.known ? "not known" : op.yes ? "yes" : "no"];
-        history_[singletonRole].push_back(op);
-    });
+    call(i, newest(i)->port, "PUT", path,
+         [this, singletonRole, op](int status, const std::string& body) mutable {
+             --calls_;
+             op.to = now();
+             op.known = status == 200 || status == 409;
+             op.yes = status == 200;
+             if (const Json json = Json::parse(body, nullptr, false); op.yes && json.is_object())
+                 op.fencingToken = json.value("fence", op.fencingToken);
+             ++report_.outcomes[!op.known ? "not known" : op.yes ? "yes" : "no"];
+             history_[singletonRole].push_back(op);
+         });
 }
 void GroupReal::takeDuty(int i, int singletonRole) {
     const std::string name = GroupWorld::singletonRoleName(singletonRole);
@@ -397,7 +400,8 @@
     report_.met = director_->times().met;
     for (const auto& [singletonRole, ops] : history_)
         if (!linearizable(ops))
-            violate("not linearizable", fmt::format("{}: {} operations\n{}", singletonRole, ops.size(), textOf(ops)));
+            violate("not linearizable",
+                    fmt::format("{}: {} operations\n{}", singletonRole, ops.size(), textOf(ops)));
     return report_;
 }
 
--- a/src/emulator/group_run.cpp
+++ b/src/emulator/group_run.cpp
@@ -39,11 +39,15 @@
         return role == raft::Role::learner || role >= raft::Role::follower;
     }
     int leads() const override { return world_.leader(); }
-    int holds(int singletonRole) const override { return world_.holder(GroupWorld::singletonRoleName(singletonRole)); }
+    int holds(int singletonRole) const override {
+        return world_.holder(GroupWorld::singletonRoleName(singletonRole));
+    }
     std::string roleOf(int m) const override {
         return world_.alive(m) ? nameOf(world_.core(m).raft().role()) : "";
     }
-    void takeDuty(int m, int singletonRole) override { world_.take(m, GroupWorld::singletonRoleName(singletonRole)); }
+    void takeDuty(int m, int singletonRole) override {
+        world_.take(m, GroupWorld::singletonRoleName(singletonRole));
+    }
     void giveDuty(int m, int singletonRole, int to) override {
         world_.giveUp(m, GroupWorld::singletonRoleName(singletonRole), to >= 0 ? GroupWorld::name(to) : "");
     }
@@ -69,7 +73,8 @@
 
 GroupPlan planOf(const GroupScenario& s) {
     GroupPlan plan;
-    plan.members = s.members, plan.voters = s.voters, plan.willing = s.willing, plan.singletonRoles = s.singletonRoles;
+    plan.members = s.members, plan.voters = s.voters, plan.willing = s.willing,
+    plan.singletonRoles = s.singletonRoles;
     plan.length = s.length, plan.quiet = s.quiet;
     plan.faultEvery = 0;
     plan.lasting = s.folder;
--- a/src/emulator/group_world.cpp
+++ b/src/emulator/group_world.cpp
@@ -86,13 +86,15 @@
                 if (m.stopped) {
                     if (m.buffer.size() < kBuffer) m.buffer.push_back(e.bytes);
                 } else {
-                    step(e.member,
-                         [&](cluster::Core& c, Millis at, cluster::Step& out) { c.receive(at, e.bytes, out); });
+                    step(e.member, [&](cluster::Core& c, Millis at, cluster::Step& out) {
+                        c.receive(at, e.bytes, out);
+                    });
                 }
                 break;
             case Event::Kind::wake:
                 if (e.epoch == m.epoch)
-                    step(e.member, [](cluster::Core& c, Millis at, cluster::Step& out) { c.advance(at, out); });
+                    step(e.member,
+                         [](cluster::Core& c, Millis at, cluster::Step& out) { c.advance(at, out); });
                 break;
             case Event::Kind::act: {
                 if (e.epoch != m.processIncarnation) break;
--- a/src/emulator/group_world.hpp
+++ b/src/emulator/group_world.hpp
@@ -17,8 +17,8 @@
 #include <string>
 #include <vector>
 
-#include "emulator/linear.hpp"
 #include "cluster/core.hpp"
+#include "emulator/linear.hpp"
 
 namespace beechpoint::emulator {
 
@@ -48,7 +48,8 @@
     std::vector<std::string> violations;  // the first of each kind
     std::map<std::string, std::uint64_t> broken;
     std::map<std::string, std::uint64_t> faults;  // by kind
-    std::map<std::string, std::uint64_t> met;     // faults that met a vote, a renewal, a hand-over, a snapshot, ...
+    std::map<std::string, std::uint64_t>
+        met;  // faults that met a vote, a renewal, a hand-over, a snapshot, ...
     std::map<std::string, std::uint64_t> outcomes;
     std::map<std::string, std::uint64_t> folders;  // what restarts found in theirs
     std::uint64_t acts = 0, lateActs = 0, handOvers = 0, commits = 0, leaders = 0, terms = 0, datagrams = 0;
@@ -90,7 +91,7 @@
     void replayOld();
     bool stopped(int member) const;
     void quietBegins();
-    int leader() const;                         // -1: none that is ready
+    int leader() const;                                  // -1: none that is ready
     int holder(const std::string& singletonRole) const;  // who acts on it now; -1: nobody
     cluster::Core& core(int member);
     const cluster::Core& core(int member) const;
--- a/src/emulator/group_world_checks.cpp
+++ b/src/emulator/group_world_checks.cpp
@@ -77,7 +77,8 @@
     if (!m.core->holder().inSession(m.local(now_)) || m.local(now_) < m.wantAt) return;
     m.wantAt = m.local(now_) + cluster::kWantAgain;
     for (int d = 0; d < plan_.singletonRoles; ++d)
-        if (m.core->table().singletonRole(singletonRoleName(d)) == nullptr) m.core->holder().want(singletonRoleName(d));
+        if (m.core->table().singletonRole(singletonRoleName(d)) == nullptr)
+            m.core->holder().want(singletonRoleName(d));
 }
 
 void GroupWorld::act(int member) {
@@ -99,11 +100,12 @@
     Resource& r = resources_[singletonRole];
     if (fencingToken < r.fencingToken) {
         if (!late)
-            violate("two holders",
-                    fmt::format("{}: g{} acts under {} after {}", singletonRole, member, fencingToken, r.fencingToken));
+            violate("two holders", fmt::format("{}: g{} acts under {} after {}", singletonRole, member,
+                                               fencingToken, r.fencingToken));
         ++report_.lateActs;
         if (plan_.fencesChecked) return;  // turned away
-        violate("fence went back", fmt::format("{}: g{} under {} after {}", singletonRole, member, fencingToken, r.fencingToken));
+        violate("fence went back", fmt::format("{}: g{} under {} after {}", singletonRole, member,
+                                               fencingToken, r.fencingToken));
     }
     ++report_.acts;
     if (fencingToken > r.fencingToken) {
@@ -135,11 +137,12 @@
     }
     for (int d = 0; d < plan_.singletonRoles; ++d)
         if (holder(singletonRoleName(d)) < 0) {
-            const lease_sessions::SingletonRole* singletonRole = core(lead).table().singletonRole(singletonRoleName(d));
+            const lease_sessions::SingletonRole* singletonRole =
+                core(lead).table().singletonRole(singletonRoleName(d));
             return why(fmt::format("nobody acts on {}; the leader g{} has: {}", singletonRoleName(d), lead,
                                    singletonRole == nullptr        ? "no such duty"
                                    : singletonRole->holder.empty() ? "free"
-                                                          : "held by " + singletonRole->holder));
+                                                                   : "held by " + singletonRole->holder));
         }
     report_.rested = true;
 }
@@ -168,7 +171,8 @@
         }
     for (const auto& [singletonRole, ops] : history_)
         if (!linearizable(ops))
-            violate("not linearizable", fmt::format("{}: {} operations\n{}", singletonRole, ops.size(), textOf(ops)));
+            violate("not linearizable",
+                    fmt::format("{}: {} operations\n{}", singletonRole, ops.size(), textOf(ops)));
 }
 
 }  // namespace beechpoint::emulator
--- a/src/emulator/group_world_members.cpp
+++ b/src/emulator/group_world_members.cpp
@@ -118,7 +118,8 @@
     if (!m.core || m.stopped) return;
     // At the worst moment: between the check and the act.
     for (const auto& [singletonRole, fencingToken] : m.core->holder().held())
-        if (m.core->holder().mayAct(m.local(now_), singletonRole)) m.begun.emplace_back(singletonRole, fencingToken);
+        if (m.core->holder().mayAct(m.local(now_), singletonRole))
+            m.begun.emplace_back(singletonRole, fencingToken);
     m.stopped = true;
 }
 
@@ -126,7 +127,8 @@
     Member& m = *members_[static_cast<std::size_t>(member)];
     if (!m.core || !m.stopped) return;
     m.stopped = false;
-    for (const auto& [singletonRole, fencingToken] : std::exchange(m.begun, {})) land(member, singletonRole, fencingToken, true);
+    for (const auto& [singletonRole, fencingToken] : std::exchange(m.begun, {}))
+        land(member, singletonRole, fencingToken, true);
     act(member);  // its first thought after waking, before it has read anything
     for (const std::string& bytes : std::exchange(m.buffer, {}))
         step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) { c.receive(t, bytes, out); });
@@ -149,7 +151,8 @@
     step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) {
         DutyOp op;
         op.kind = DutyOp::Kind::take, op.member = name(member), op.from = now_;
-        members_[static_cast<std::size_t>(member)]->calls[c.holder().take(singletonRole)] = {singletonRole, op};
+        members_[static_cast<std::size_t>(member)]->calls[c.holder().take(singletonRole)] = {singletonRole,
+                                                                                             op};
         c.advance(t, out);
     });
 }
@@ -159,8 +162,10 @@
         const auto held = c.holder().held().find(singletonRole);
         if (held == c.holder().held().end()) return;
         DutyOp op;
-        op.kind = DutyOp::Kind::giveUp, op.member = name(member), op.from = now_, op.fencingToken = held->second;
-        members_[static_cast<std::size_t>(member)]->calls[c.holder().giveUp(singletonRole, to)] = {singletonRole, op};
+        op.kind = DutyOp::Kind::giveUp, op.member = name(member), op.from = now_,
+        op.fencingToken = held->second;
+        members_[static_cast<std::size_t>(member)]->calls[c.holder().giveUp(singletonRole, to)] = {
+            singletonRole, op};
         c.advance(t, out);
     });
 }
@@ -175,8 +180,9 @@
         op.to = now_;
         op.known = o.known;
         // Handed to one that was not in session: it is free, which is a yes to giving up.
-        op.yes = o.known && (o.result.verdict == lease_sessions::Verdict::yes ||
-                             (op.kind == DutyOp::Kind::giveUp && o.result.verdict == lease_sessions::Verdict::wait));
+        op.yes = o.known &&
+                 (o.result.verdict == lease_sessions::Verdict::yes ||
+                  (op.kind == DutyOp::Kind::giveUp && o.result.verdict == lease_sessions::Verdict::wait));
         if (op.kind == DutyOp::Kind::take) op.fencingToken = o.result.fencingToken;
         history_[singletonRole].push_back(op);
         ++report_.outcomes[!o.known ? "not known" : op.yes ? "yes" : "no"];
--- a/src/emulator/linear.cpp
+++ b/src/emulator/linear.cpp
@@ -24,7 +24,8 @@
         if (op.fencingToken <= s.fencingToken) return false;
         return after = {op.member, op.fencingToken}, true;
     }
-    const bool held = s.fencingToken == op.fencingToken ? s.holder == op.member : s.fencingToken < op.fencingToken;
+    const bool held =
+        s.fencingToken == op.fencingToken ? s.holder == op.member : s.fencingToken < op.fencingToken;
     if (op.yes) {
         if (!held) return false;
         return after = {"", op.fencingToken}, true;
--- a/src/emulator/main.cpp
+++ b/src/emulator/main.cpp
@@ -139,20 +139,22 @@
 int main(int argc, char** argv) {
     Given given;
     try {
-        cxxopts::Options options(
-            "beechpoint-emulate",
-            "Rehearses a scenario against gatherers: beechpoint-emulate run|check|describe|group SCENARIO; try\n");
-        options.add_options()("command", "run, check, describe, or group: faults among the members of one", cxxopts::value<std::string>())(
-            "scenario", "the scenario's file", cxxopts::value<std::string>())(
+        cxxopts::Options options("beechpoint-emulate",
+                                 "Rehearses a scenario against gatherers: beechpoint-emulate "
+                                 "run|check|describe|group SCENARIO; try\n");
+        options.add_options()("command", "run, check, describe, or group: faults among the members of one",
+                              cxxopts::value<std::string>())("scenario", "the scenario's file",
+                                                             cxxopts::value<std::string>())(
             "virtual", "in virtual time, in this process")("seed", "in place of the scenario's",
                                                            cxxopts::value<std::uint64_t>())(
             "out", "the folder for the results; emulated-NAME where absent", cxxopts::value<std::string>())(
             "gatherer", "the gatherer's program; the beechpoint beside this one where absent",
             cxxopts::value<std::string>())("log-format", "what the script does as log lines: text or json",
-                                           cxxopts::value<std::string>())("seeds", "group: so many seeds in virtual time, and their sums",
-                                                                        cxxopts::value<std::uint64_t>())(
-            "once", "try: ends by itself")("break", "group, in virtual time: leaves a safeguard out, to see it found", cxxopts::value<std::string>())(
-            "h,help", "print this");
+                                           cxxopts::value<std::string>())(
+            "seeds", "group: so many seeds in virtual time, and their sums", cxxopts::value<std::uint64_t>())(
+            "once", "try: ends by itself")("break",
+                                           "group, in virtual time: leaves a safeguard out, to see it found",
+                                           cxxopts::value<std::string>())("h,help", "print this");
         options.parse_positional({"command", "scenario"});
         options.positional_help("COMMAND SCENARIO");
         const auto parsed = options.parse(argc, argv);
@@ -185,8 +187,10 @@
         }
         if (parsed.count("seeds")) given.seeds = parsed["seeds"].as<std::uint64_t>();
         if (parsed.count("break")) given.broken = parsed["break"].as<std::string>();
-        if (!given.broken.empty() && std::find(kBreakable.begin(), kBreakable.end(), given.broken) == kBreakable.end()) {
-            std::cerr << "beechpoint-emulate: --break must be one of " << fmt::format("{}", fmt::join(kBreakable, ", ")) << '\n';
+        if (!given.broken.empty() &&
+            std::find(kBreakable.begin(), kBreakable.end(), given.broken) == kBreakable.end()) {
+            std::cerr << "beechpoint-emulate: --break must be one of "
+                      << fmt::format("{}", fmt::join(kBreakable, ", ")) << '\n';
             return kUsage;
         }
         if (parsed.count("gatherer")) given.gatherer = parsed["gatherer"].as<std::string>();
--- a/src/emulator/real_hosts.cpp
+++ b/src/emulator/real_hosts.cpp
@@ -173,7 +173,8 @@
     stage_.enter([&](Millis now) {
         backend::Frame frame;
         backend::FrameState state;
-        while (!line->over && (state = backend::readFrame(line->in.view(), frame)) != backend::FrameState::more) {
+        while (!line->over &&
+               (state = backend::readFrame(line->in.view(), frame)) != backend::FrameState::more) {
             if (state == backend::FrameState::bad || !onFrame(line, frame.letter, frame.rest, now)) {
                 std::string refusal;
                 backend::writeFrame(refusal, 'F', "the frame could not be used");
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -112,8 +112,7 @@
     for (const auto& [slice, value] : event.parts) in.insert(slice);
     std::size_t missing = 0;
     double share = 0;
-    for (const TryPart& part : open.request->parts)
-        in.contains(part.slice) ? share += part.share : ++missing;
+    for (const TryPart& part : open.request->parts) in.contains(part.slice) ? share += part.share : ++missing;
     if (missing > 0 && (event.whole || share < classOf(open).leastShare - 1e-6))
         breach(Rule::honestWhole, event,
                fmt::format("{} with {} of {} parts missing", event.whole ? "called whole" : "answered",
@@ -147,7 +146,8 @@
     if (!classOf(found->second).repeats) {
         check(Rule::once);
         if (count > 1 && found->second.turnedAway[event.slice] < count - 1)
-            breach(Rule::once, event, fmt::format("slice {}: sent again though it may have run", event.slice));
+            breach(Rule::once, event,
+                   fmt::format("slice {}: sent again though it may have run", event.slice));
     }
     if (count > scenario_.maxAttempts)
         breach(Rule::attempts, event, fmt::format("slice {}: attempt number {}", event.slice, count));
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -32,10 +32,10 @@
     Millis handshakeWork = 0.8;   // work that a new connection costs
     Millis handshakeTime = 1.0;   // and the time until it carries a request
     Millis probeWork = 0.4;
-    Range speed{0.95, 1.05};  // of each host, against the work as stated
-    double olderShare = 0;    // of the hosts are of an older kind,
+    Range speed{0.95, 1.05};     // of each host, against the work as stated
+    double olderShare = 0;       // of the hosts are of an older kind,
     Range olderSpeed{0.7, 0.8};  // whose speed is this
-    double coldFrom = 0.3;    // share of its capacity right after a start
+    double coldFrom = 0.3;       // share of its capacity right after a start
     Millis coldTime = 12'000;
     bool warmByWork = false;  // else by time alone
     Range pauseEvery{3'400, 9'000};
@@ -137,8 +137,8 @@
     Range sameSite{0.15, 0.34};   // one way
     Range crossSite{0.42, 0.78};  // one way
     int slicesPerHost = 2;
-    int copies = 2;              // hosts that hold a slice
-    bool sets = false;           // the hosts of a set hold the same slices; else a ring
+    int copies = 2;               // hosts that hold a slice
+    bool sets = false;            // the hosts of a set hold the same slices; else a ring
     bool reportsByProbe = false;  // else with every answer
     HostKind host;
     CancelPolicy cancel;
--- a/src/emulator/try_out.cpp
+++ b/src/emulator/try_out.cpp
@@ -87,7 +87,9 @@
 };
 
 int freeUdpPort(asio::io_context& io) {
-    return asio::ip::udp::socket(io, asio::ip::udp::endpoint(asio::ip::address_v4::loopback(), 0)).local_endpoint().port();
+    return asio::ip::udp::socket(io, asio::ip::udp::endpoint(asio::ip::address_v4::loopback(), 0))
+        .local_endpoint()
+        .port();
 }
 // Ports that gatherers are about to listen on. Bound here and not listened on, they are given to nobody who asks for any port
 // meanwhile; who names one and asks to share its address, as a gatherer's listeners do, still gets it.
@@ -201,7 +203,8 @@
         const auto body = shown.find("\r\n\r\n");
         const Json j =
             body == std::string::npos ? Json() : Json::parse(shown.substr(body + 4), nullptr, false);
-        if (!j.is_object() || !j.contains("duties") || j["duties"].size() != singletonRoles.size()) return false;
+        if (!j.is_object() || !j.contains("duties") || j["duties"].size() != singletonRoles.size())
+            return false;
         for (const Json& d : j["duties"])
             if (d["holder"] == "") return false;
         return true;
@@ -225,8 +228,8 @@
         gatherers[1]->pid());
     for (int g = 0; g < kTryGatherers; ++g)
         std::cout << fmt::format("  {} group show --door 127.0.0.1:{}    (g{})\n", program, operators[g], g);
-    std::cout << fmt::format("  {} group give looker-on --door 127.0.0.1:{}\nlogs: {}\n", program, operators[0],
-                             folder)
+    std::cout << fmt::format("  {} group give looker-on --door 127.0.0.1:{}\nlogs: {}\n", program,
+                             operators[0], folder)
               << std::flush;
     if (stay) {
         std::cout << "Press Enter to end all of it.\n" << std::flush;
--- a/src/emulator/virtual_run.cpp
+++ b/src/emulator/virtual_run.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 #include <optional>
 
+#include "coordinator/settings_json.hpp"
 #include "core/counters.hpp"
 #include "core/exchange.hpp"
 #include "core/logger.hpp"
 #include "emulator/gatherer_settings.hpp"
 #include "emulator/virtual_pool.hpp"
-#include "coordinator/settings_json.hpp"
 
 namespace beechpoint::emulator {
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -74,9 +74,7 @@
     return found == byName_.end() ? -1 : found->second;
 }
 
-bool World::holds(int host, int slice) const {
-    return scenario_.holds(at(host).place, slice);
-}
+bool World::holds(int host, int slice) const { return scenario_.holds(at(host).place, slice); }
 
 std::size_t World::hostsUp() const {
     return static_cast<std::size_t>(
--- a/src/frontend/opensearch.cpp
+++ b/src/frontend/opensearch.cpp
@@ -105,25 +105,26 @@
     multi->began = clock_.now();
     for (std::size_t i = 0; i < searches.size(); ++i) {
         const Search search = searches[i];
-        multi->tickets.push_back(begin(search, connection, [this, search, multi, connection, i](const Final& final) {
-            multi->handedOver.push_back(final.handedOver());
-            try {
-                if (final.kind != Final::Kind::answered || !final.whole) throw errorOf(final);
-                std::string body = mergedBody(search, final, clock_.now() - multi->began);
-                multi->bodies[i] = body.substr(0, body.size() - 1) + R"(,"status":200})";
-            } catch (const SearchError& e) {
-                multi->bodies[i] = searchErrorBody(e);
-            }
-            if (--multi->left > 0) return;
-            std::string all = fmt::format(R"({{"took":{},"responses":[)",
-                                          static_cast<long long>(clock_.now() - multi->began));
-            for (std::size_t k = 0; k < multi->bodies.size(); ++k)
-                all.append(k > 0 ? "," : "").append(multi->bodies[k]);
-            connection->respond(200, kJson, all + "]}", {}, [multi] {
-                for (const auto& handedOver : multi->handedOver)
-                    if (handedOver) handedOver();
-            });
-        }));
+        multi->tickets.push_back(
+            begin(search, connection, [this, search, multi, connection, i](const Final& final) {
+                multi->handedOver.push_back(final.handedOver());
+                try {
+                    if (final.kind != Final::Kind::answered || !final.whole) throw errorOf(final);
+                    std::string body = mergedBody(search, final, clock_.now() - multi->began);
+                    multi->bodies[i] = body.substr(0, body.size() - 1) + R"(,"status":200})";
+                } catch (const SearchError& e) {
+                    multi->bodies[i] = searchErrorBody(e);
+                }
+                if (--multi->left > 0) return;
+                std::string all = fmt::format(R"({{"took":{},"responses":[)",
+                                              static_cast<long long>(clock_.now() - multi->began));
+                for (std::size_t k = 0; k < multi->bodies.size(); ++k)
+                    all.append(k > 0 ? "," : "").append(multi->bodies[k]);
+                connection->respond(200, kJson, all + "]}", {}, [multi] {
+                    for (const auto& handedOver : multi->handedOver)
+                        if (handedOver) handedOver();
+                });
+            }));
     }
     connection->whenGone([this, multi] {
         for (const Ticket ticket : multi->tickets) exchange_.gone(ticket);
--- a/src/frontend/platform.cpp
+++ b/src/frontend/platform.cpp
@@ -87,7 +87,8 @@
 
 }  // namespace
 
-Request readPlatformRequest(const net::HttpMessage& m, const coordinator::Settings& settings, Millis received) {
+Request readPlatformRequest(const net::HttpMessage& m, const coordinator::Settings& settings,
+                            Millis received) {
     Request r;
     const std::string_view path = m.path().substr(1);
     const auto slash = path.find('/');
@@ -135,7 +136,7 @@
         if (m.method != "GET") return connection->respond(405, kText, "use GET\n", "Allow: GET\r\n");
         if (path == "/counters") return connection->respond(200, kText, counters_.line() + "\n");
         return up_() ? connection->respond(200, kText, "up\n")
-                      : connection->respond(503, kText, "not taking queries\n");
+                     : connection->respond(503, kText, "not taking queries\n");
     }
     const std::string_view klass = path.size() > 1 ? path.substr(1, path.find('/', 1) - 1) : path;
     if (m.method != "POST") {
@@ -154,24 +155,27 @@
             400, kText, std::string(e.what()) + "\n", {},
             Figures::ending(exchange_.turnedDown(std::string(klass)), Figures::End::failed));
     }
-    const Ticket ticket = exchange_.take(std::move(request), [connection](const Final& final) {
-        if (final.kind == Final::Kind::answered) {
-            try {
-                return connection->respond(200, kJson, platformBody(final), {}, final.handedOver());
-            } catch (const Json::exception&) {  // the back takes no such value
-                return connection->respond(500, kText, "a value was not text\n", {},
-                                           Figures::ending(final.place, Figures::End::failed));
+    const Ticket ticket = exchange_.take(
+        std::move(request),
+        [connection](const Final& final) {
+            if (final.kind == Final::Kind::answered) {
+                try {
+                    return connection->respond(200, kJson, platformBody(final), {}, final.handedOver());
+                } catch (const Json::exception&) {  // the back takes no such value
+                    return connection->respond(500, kText, "a value was not text\n", {},
+                                               Figures::ending(final.place, Figures::End::failed));
+                }
             }
-        }
-        if (final.kind == Final::Kind::refused)
-            return connection->respond(
-                429, kText, "refused\n",
-                final.retryAfter > 0 ? net::retryAfterHeader(final.retryAfter) : std::string(),
-                final.handedOver());
-        const bool inUse = final.why == Final::Why::duplicateId;
-        connection->respond(inUse ? 400 : 500, kText, inUse ? "X-Trace-Id is in use\n" : "failed\n", {},
-                            final.handedOver());
-    }, [connection] { return connection->left(); });
+            if (final.kind == Final::Kind::refused)
+                return connection->respond(
+                    429, kText, "refused\n",
+                    final.retryAfter > 0 ? net::retryAfterHeader(final.retryAfter) : std::string(),
+                    final.handedOver());
+            const bool inUse = final.why == Final::Why::duplicateId;
+            connection->respond(inUse ? 400 : 500, kText, inUse ? "X-Trace-Id is in use\n" : "failed\n", {},
+                                final.handedOver());
+        },
+        [connection] { return connection->left(); });
     if (ticket != 0) connection->whenGone([this, ticket] { exchange_.gone(ticket); });
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -103,10 +103,11 @@
       control_(io, clock, log, settings_.nodeName, drawSeed(),
                {[this] { return pollRequest(); },
                 [this](const control::PollReply& reply, Millis sentAt) { onPollReply(reply, sentAt); }}),
-      platform_(io, clock, log, platformSettings(settings_), drawSeed(), session_,
-                [this](const std::shared_ptr<const host_discovery::HostList>& list, Millis confirmedAt, bool) {
-                    if (hosts_.offer(list, confirmedAt, clock_.now())) tellHosts();
-                }),
+      platform_(
+          io, clock, log, platformSettings(settings_), drawSeed(), session_,
+          [this](const std::shared_ptr<const host_discovery::HostList>& list, Millis confirmedAt, bool) {
+              if (hosts_.offer(list, confirmedAt, clock_.now())) tellHosts();
+          }),
       directory_(
           clock, [this] { return knownGateways(); }, directoryTtl(settings_)),
       front_(io, clock, log, clientConnections(settings_),
@@ -305,7 +306,7 @@
         one.region = settings_.regionOf(host.zone);
         one.capacity = static_cast<int>(std::max<std::uint32_t>(host.capacity, 1));
         one.state = host.state == host_discovery::HostState::draining ? dispatch::HostState::draining
-                                                                 : dispatch::HostState::serving;
+                                                                      : dispatch::HostState::serving;
         one.warmupLeft = std::max(host.warmupLeft - age, 0.0);
         if (host.remaining) one.remaining = std::max(*host.remaining - age, 0.0);
         event.hosts.push_back(std::move(one));
--- a/src/gateway/host_list_copy.cpp
+++ b/src/gateway/host_list_copy.cpp
@@ -24,7 +24,8 @@
     return holder_.offer(std::move(list), now - reply.hostListAge.value_or(shared.readAge), now);
 }
 
-bool HostListCopy::offer(std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt, Millis now) {
+bool HostListCopy::offer(std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt,
+                         Millis now) {
     return holder_.offer(std::move(list), confirmedAt, now);
 }
 
--- a/src/gateway/load_datagram.hpp
+++ b/src/gateway/load_datagram.hpp
@@ -23,7 +23,8 @@
                                  kMostSpeeds = 60;  // within 1,200 bytes, which fit one packet
 
     LoadKind kind = LoadKind::gateway;
-    std::uint64_t source = 0;    // of a gateway its session, of a zone the hash of that of its speaker and its name
+    std::uint64_t source =
+        0;  // of a gateway its session, of a zone the hash of that of its speaker and its name
     std::uint32_t sequence = 0;  // of the source; rises
     bool whole = false;          // hosts that are not named have nothing waiting
     std::vector<dispatch::HostLoad> hosts;
--- a/src/gatherer.cpp
+++ b/src/gatherer.cpp
@@ -91,7 +91,7 @@
             io, log, config.stateFolder, config.name,
             [this](admin::HostBans::Hosts out) { exchange_.list(bans_.take(std::move(out))); });
         record_ = std::make_unique<admin::OverlapRecord>(io, log, config.stateFolder, config.name, overlap_,
-                                                       [this] { shareLimits(); });
+                                                         [this] { shareLimits(); });
         operatorEndpoint_ = std::make_unique<admin::OperatorEndpoint>(io, clock, log, *this);
     }
     if (config.snmp)
@@ -248,7 +248,7 @@
 }
 
 void Gatherer::singletonRole(bool take, const std::string& name, const std::string& to,
-                    std::function<void(Settled)> later) {
+                             std::function<void(Settled)> later) {
     const auto then = [later = std::move(later)](cluster::Group::Settled end) {
         later({end.known, end.yes, end.fencingToken});
     };
--- a/src/gatherer.hpp
+++ b/src/gatherer.hpp
@@ -5,19 +5,19 @@
 #include <asio/steady_timer.hpp>
 #include <functional>
 
+#include "admin/ban_file.hpp"
+#include "admin/host_bans.hpp"
+#include "admin/lifecycle.hpp"
+#include "admin/operator_endpoint.hpp"
+#include "admin/overlap_record.hpp"
 #include "backend/pool.hpp"
+#include "cluster/cluster.hpp"
 #include "config.hpp"
 #include "core/exchange.hpp"
 #include "discovery/watch.hpp"
 #include "frontend/opensearch.hpp"
 #include "frontend/platform.hpp"
-#include "cluster/cluster.hpp"
 #include "net/server.hpp"
-#include "admin/ban_file.hpp"
-#include "admin/host_bans.hpp"
-#include "admin/lifecycle.hpp"
-#include "admin/operator_endpoint.hpp"
-#include "admin/overlap_record.hpp"
 #include "snmp/agent.hpp"
 
 namespace beechpoint {
@@ -48,7 +48,7 @@
     std::string group() const override { return group_ ? group_->show() : std::string(); }
     bool foundGroup(std::uint64_t number) override { return group_ && group_->found(number); }
     void singletonRole(bool take, const std::string& name, const std::string& to,
-              std::function<void(Settled)> later) override;
+                       std::function<void(Settled)> later) override;
     bool away(const std::string& server) override { return group_->away(server); }
     void saw(const std::string& server, bool there) override { group_->saw(server, there); }
     void lifecycleChanged();
--- a/src/gossip/datagram.cpp
+++ b/src/gossip/datagram.cpp
@@ -73,7 +73,8 @@
     const std::string_view rest = bytes.substr(kHead);
     const auto room = static_cast<std::uint8_t>(bytes[3]);
     if (sum != hashOf(rest, room)) return no(Refusal::checksum);
-    if (room < static_cast<std::uint8_t>(Channel::membership) || room > static_cast<std::uint8_t>(Channel::hostProber))
+    if (room < static_cast<std::uint8_t>(Channel::membership) ||
+        room > static_cast<std::uint8_t>(Channel::hostProber))
         return no(Refusal::header);
     try {
         std::size_t offset = 0;
--- a/src/gossip/datagram.hpp
+++ b/src/gossip/datagram.hpp
@@ -23,8 +23,8 @@
 struct Header {
     Channel room = Channel::raft;
     std::string sender;
-    std::uint64_t processIncarnation = 0;    // one start of its process
-    std::uint64_t number = 0;  // of its group; 0: not founded
+    std::uint64_t processIncarnation = 0;  // one start of its process
+    std::uint64_t number = 0;              // of its group; 0: not founded
 };
 
 // Empty where it would be longer than kMostBytes: the caller counts that, and sends nothing.
--- a/src/host_discovery/poller.cpp
+++ b/src/host_discovery/poller.cpp
@@ -96,7 +96,8 @@
 
 Poller::~Poller() { impl_->stop(); }
 
-void Poller::start(std::uint64_t fencingToken, std::uint64_t lastNumber, std::shared_ptr<const HostList> held) {
+void Poller::start(std::uint64_t fencingToken, std::uint64_t lastNumber,
+                   std::shared_ptr<const HostList> held) {
     impl_->start(fencingToken, lastNumber, std::move(held));
 }
 void Poller::stop() { impl_->stop(); }
--- a/src/layout/store.cpp
+++ b/src/layout/store.cpp
@@ -194,9 +194,12 @@
     sqlite3* db_ = nullptr;
 };
 
-LayoutStore::LayoutStore(const std::string& file, const std::string& controller, std::uint64_t fence, Millis now,
-                         const LayoutPtr& first, StoreOptions options)
-    : options_(std::move(options)), db_(std::make_unique<Db>(file)), changes_(first, options_.limits), fence_(fence) {
+LayoutStore::LayoutStore(const std::string& file, const std::string& controller, std::uint64_t fence,
+                         Millis now, const LayoutPtr& first, StoreOptions options)
+    : options_(std::move(options)),
+      db_(std::make_unique<Db>(file)),
+      changes_(first, options_.limits),
+      fence_(fence) {
     takeOver(controller);
     load(first);
     last_ = std::max(last_, now);
@@ -209,8 +212,8 @@
         const auto rows = db_->run("SELECT name, fence FROM controller");
         const std::uint64_t seen = rows.empty() ? 0 : std::stoull(rows[0].cells[1]);
         if (seen > fence_ || (seen == fence_ && !rows.empty() && rows[0].cells[0] != controller))
-            throw LeaseLost(fmt::format("{} has written under {}: {} under {} is too late", rows[0].cells[0], seen,
-                                        controller, fence_));
+            throw LeaseLost(fmt::format("{} has written under {}: {} under {} is too late", rows[0].cells[0],
+                                        seen, controller, fence_));
         db_->run("INSERT OR REPLACE INTO controller VALUES (1, ?, ?)", {controller, std::to_string(fence_)});
     });
 }
--- a/src/lease_sessions/lease_client.cpp
+++ b/src/lease_sessions/lease_client.cpp
@@ -12,8 +12,8 @@
 constexpr std::size_t kRenewalsOut = 8;
 }  // namespace
 
-LeaseClient::LeaseClient(Times times, std::string self, ProcessIncarnation processIncarnation, std::vector<std::string> members, std::uint64_t seed,
-               Millis now, bool willing)
+LeaseClient::LeaseClient(Times times, std::string self, ProcessIncarnation processIncarnation,
+                         std::vector<std::string> members, std::uint64_t seed, Millis now, bool willing)
     : times_(times),
       self_(std::move(self)),
       processIncarnation_(processIncarnation),
@@ -76,7 +76,8 @@
     if (const auto done = done_.find(singletonRole); done != done_.end() && fencingToken <= done->second) {
         // The ledger has not heard of it, and nobody else can have the duty: where the request came to nothing, it is made anew.
         if (std::none_of(requests_.begin(), requests_.end(), [&](const Request& r) {
-                return r.command.singletonRole == singletonRole && (r.command.op == Op::giveUp || r.command.op == Op::hand);
+                return r.command.singletonRole == singletonRole &&
+                       (r.command.op == Op::giveUp || r.command.op == Op::hand);
             })) {
             Command c;
             c.op = Op::giveUp, c.singletonRole = singletonRole, c.fencingToken = fencingToken;
@@ -191,7 +192,8 @@
         return;
     }
     if (const auto* granted = std::get_if<Granted>(&m.body)) {
-        if (granted->session == session_ && inSession(now) && !closing_) hold(granted->singletonRole, granted->fencingToken);
+        if (granted->session == session_ && inSession(now) && !closing_)
+            hold(granted->singletonRole, granted->fencingToken);
         return;
     }
     const auto* answer = std::get_if<Answer>(&m.body);
--- a/src/lease_sessions/lease_client.hpp
+++ b/src/lease_sessions/lease_client.hpp
@@ -29,8 +29,8 @@
 public:
     // `members`: whom to ask for the leader.
     // `willing`: to hold duties; who is not opens no session, and costs nobody anything.
-    LeaseClient(Times times, std::string self, ProcessIncarnation processIncarnation, std::vector<std::string> members, std::uint64_t seed,
-           Millis now, bool willing = true);
+    LeaseClient(Times times, std::string self, ProcessIncarnation processIncarnation,
+                std::vector<std::string> members, std::uint64_t seed, Millis now, bool willing = true);
 
     void receive(Millis now, const Message& message, std::vector<Message>& out);
     void advance(Millis now, std::vector<Message>& out);
--- a/src/lease_sessions/lease_manager.cpp
+++ b/src/lease_sessions/lease_manager.cpp
@@ -14,30 +14,43 @@
 constexpr std::size_t kGranting = 32;  // grants on their way at once: a thousand free duties make no burst
 }  // namespace
 
-LeaseManager::LeaseManager(Times times, std::string self, ProcessIncarnation processIncarnation, raft::RaftConsensus& raft, const Table& table)
-    : times_(times), self_(std::move(self)), processIncarnation_(processIncarnation), raft_(raft), table_(table) {}
+LeaseManager::LeaseManager(Times times, std::string self, ProcessIncarnation processIncarnation,
+                           raft::RaftConsensus& raft, const Table& table)
+    : times_(times),
+      self_(std::move(self)),
+      processIncarnation_(processIncarnation),
+      raft_(raft),
+      table_(table) {}
 
-void LeaseManager::receive(Millis now, const Message& m, raft::Actions& raftActions, std::vector<Message>& out) {
+void LeaseManager::receive(Millis now, const Message& m, raft::Actions& raftActions,
+                           std::vector<Message>& out) {
     look(now);
     if (const auto* ask = std::get_if<Ask>(&m.body)) {
         const Command& c = ask->command;
-        if (c.member != m.from || c.processIncarnation != m.processIncarnation || c.number == 0 || c.singletonRole.size() > kMaxRoleNameBytes ||
-            c.to.size() > raft::kMaxMemberNameBytes)
+        if (c.member != m.from || c.processIncarnation != m.processIncarnation || c.number == 0 ||
+            c.singletonRole.size() > kMaxRoleNameBytes || c.to.size() > raft::kMaxMemberNameBytes)
             return;
-        if (const auto known = table_.answer(c.member, c.processIncarnation, c.number); known && raft_.ready())
-            return out.push_back({self_, m.from, processIncarnation_, Answer{c.processIncarnation, c.number, *known, self_}});
-        if (!raft_.ready() || waiting_.size() >= kMostWaiting)
+        if (const auto known = table_.answer(c.member, c.processIncarnation, c.number);
+            known && raft_.ready())
             return out.push_back(
-                {self_, m.from, processIncarnation_,
-                 Answer{c.processIncarnation, c.number, {Verdict::wait, 0, 0}, raft_.leads() ? "" : raft_.leader()}});
+                {self_, m.from, processIncarnation_, Answer{c.processIncarnation, c.number, *known, self_}});
+        if (!raft_.ready() || waiting_.size() >= kMostWaiting)
+            return out.push_back({self_, m.from, processIncarnation_,
+                                  Answer{c.processIncarnation,
+                                         c.number,
+                                         {Verdict::wait, 0, 0},
+                                         raft_.leads() ? "" : raft_.leader()}});
         for (const Waiting& w : waiting_)
-            if (w.member == c.member && w.processIncarnation == c.processIncarnation && w.number == c.number) return;  // on its way
+            if (w.member == c.member && w.processIncarnation == c.processIncarnation && w.number == c.number)
+                return;  // on its way
         // Who opens the session it has anew counts from now: so does its end here.
         const Session* own = table_.session(c.member);
-        if (const auto kept = sessions_.find(c.member);
-            c.op == Op::open && kept != sessions_.end() && own != nullptr && own->processIncarnation == c.processIncarnation)
+        if (const auto kept = sessions_.find(c.member); c.op == Op::open && kept != sessions_.end() &&
+                                                        own != nullptr &&
+                                                        own->processIncarnation == c.processIncarnation)
             kept->second.until = std::max(kept->second.until, now + runs());
-        if (raft_.propose(now, write(c), raftActions)) waiting_.push_back({c.member, c.processIncarnation, c.number, now});
+        if (raft_.propose(now, write(c), raftActions))
+            waiting_.push_back({c.member, c.processIncarnation, c.number, now});
         answerSettled(now, out);
     } else if (const auto* renew = std::get_if<Renew>(&m.body)) {
         if (!raft_.ready() || renewals_.size() >= kMostWaiting)
@@ -50,10 +63,11 @@
                                           {}}});
         const Session* s = table_.session(m.from);
         const auto kept = sessions_.find(m.from);
-        if (s == nullptr || s->number != renew->session || s->processIncarnation != m.processIncarnation || kept == sessions_.end() ||
-            kept->second.ending)
-            return out.push_back({self_, m.from, processIncarnation_,
-                                  Renewed{m.processIncarnation, renew->number, Verdict::gone, renew->session, self_, {}}});
+        if (s == nullptr || s->number != renew->session || s->processIncarnation != m.processIncarnation ||
+            kept == sessions_.end() || kept->second.ending)
+            return out.push_back(
+                {self_, m.from, processIncarnation_,
+                 Renewed{m.processIncarnation, renew->number, Verdict::gone, renew->session, self_, {}}});
         // Counted at once, though the asker may never hear of it: that only makes its end later here.
         kept->second.until = std::max(kept->second.until, now + runs());
         renewals_[++token_] = {m.from, m.processIncarnation, renew->number, renew->session, now};
@@ -151,7 +165,9 @@
 void LeaseManager::answerSettled(Millis now, std::vector<Message>& out) {
     std::erase_if(waiting_, [&](const Waiting& w) {
         const auto result = table_.answer(w.member, w.processIncarnation, w.number);
-        if (result) out.push_back({self_, w.member, processIncarnation_, Answer{w.processIncarnation, w.number, *result, self_}});
+        if (result)
+            out.push_back({self_, w.member, processIncarnation_,
+                           Answer{w.processIncarnation, w.number, *result, self_}});
         return result || now > w.since + kStale;
     });
 }
@@ -163,8 +179,9 @@
     grant(now, raftActions);
     for (const std::string& name : std::exchange(granted_, {}))
         if (const SingletonRole* d = table_.singletonRole(name); d != nullptr && !d->holder.empty())
-            out.push_back({self_, d->holder, processIncarnation_,
-                           Granted{table_.session(d->holder)->processIncarnation, d->session, name, d->fencingToken}});
+            out.push_back(
+                {self_, d->holder, processIncarnation_,
+                 Granted{table_.session(d->holder)->processIncarnation, d->session, name, d->fencingToken}});
     answerSettled(now, out);
     for (const auto& [member, s] : sessions_) {
         if (!s.ending) nextAt_ = std::min(nextAt_, s.until);
--- a/src/lease_sessions/lease_manager.hpp
+++ b/src/lease_sessions/lease_manager.hpp
@@ -33,7 +33,8 @@
 
 class LeaseManager {
 public:
-    LeaseManager(Times times, std::string self, ProcessIncarnation processIncarnation, raft::RaftConsensus& raft, const Table& table);
+    LeaseManager(Times times, std::string self, ProcessIncarnation processIncarnation,
+                 raft::RaftConsensus& raft, const Table& table);
 
     void receive(Millis now, const Message& message, raft::Actions& raftActions, std::vector<Message>& out);
     void confirmed(Millis now, std::uint64_t token, std::vector<Message>& out);
@@ -80,7 +81,7 @@
     std::map<std::string, Kept> sessions_;
     std::map<std::string, Millis> freeSince_;
     std::map<std::string, raft::Index> granting_;  // duty: the entry on its way
-    std::vector<std::string> granted_;               // to be told
+    std::vector<std::string> granted_;             // to be told
     std::vector<Waiting> waiting_;
     std::map<std::uint64_t, Renewal> renewals_;
     std::uint64_t token_ = 0, expired_ = 0;
--- a/src/lease_sessions/session_table.cpp
+++ b/src/lease_sessions/session_table.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-using Wire = std::tuple<std::uint8_t, std::string, ProcessIncarnation, std::uint64_t, Index, std::string, std::uint64_t,
-                        std::string>;
+using Wire = std::tuple<std::uint8_t, std::string, ProcessIncarnation, std::uint64_t, Index, std::string,
+                        std::uint64_t, std::string>;
 
 }  // namespace
 
 std::string write(const Command& c) {
     msgpack::sbuffer out;
-    msgpack::pack(out, Wire{static_cast<std::uint8_t>(c.op), c.member, c.processIncarnation, c.number, c.session, c.singletonRole,
-                            c.fencingToken, c.to});
+    msgpack::pack(out, Wire{static_cast<std::uint8_t>(c.op), c.member, c.processIncarnation, c.number,
+                            c.session, c.singletonRole, c.fencingToken, c.to});
     return {out.data(), out.size()};
 }
 std::optional<Command> readCommand(const std::string& data) {
@@ -44,7 +44,8 @@
     const auto found = sessions_.find(member);
     return found == sessions_.end() ? nullptr : &found->second;
 }
-std::optional<Result> Table::answer(const std::string& member, ProcessIncarnation processIncarnation, std::uint64_t number) const {
+std::optional<Result> Table::answer(const std::string& member, ProcessIncarnation processIncarnation,
+                                    std::uint64_t number) const {
     const auto found = answers_.find({member, processIncarnation});
     if (found == answers_.end() || found->second.number != number) return std::nullopt;
     return found->second.result;
@@ -55,7 +56,8 @@
     return found == held_.end() ? none : found->second;
 }
 // `member` empty: it becomes free. Both lists of duties by holder follow.
-void Table::hold(const std::string& name, SingletonRole& singletonRole, const std::string& member, Index session) {
+void Table::hold(const std::string& name, SingletonRole& singletonRole, const std::string& member,
+                 Index session) {
     if (const auto before = held_.find(singletonRole.holder); before != held_.end()) {
         before->second.erase(name);
         if (before->second.empty()) held_.erase(before);
@@ -86,7 +88,9 @@
     ++evicted_;
 }
 
-std::uint64_t Table::raise(SingletonRole& d) const { return d.fencingToken = std::max(d.fencingToken, base_) + 1; }
+std::uint64_t Table::raise(SingletonRole& d) const {
+    return d.fencingToken = std::max(d.fencingToken, base_) + 1;
+}
 
 Result Table::carryOut(Index index, const Command& c) {
     const auto s = sessions_.find(c.member);
@@ -94,8 +98,9 @@
     switch (c.op) {
         case Op::open: {
             if (s != sessions_.end())  // an earlier life's may still be acted on: it has to run out first
-                return s->second.processIncarnation == c.processIncarnation ? Result{Verdict::yes, 0, s->second.number}
-                                                : Result{Verdict::wait, 0, 0};
+                return s->second.processIncarnation == c.processIncarnation
+                           ? Result{Verdict::yes, 0, s->second.number}
+                           : Result{Verdict::wait, 0, 0};
             if (sessions_.size() >= kMostSessions) return {Verdict::no, 0, 0};
             sessions_[c.member] = {index, c.processIncarnation};
             return {Verdict::yes, 0, index};
@@ -124,8 +129,8 @@
         case Op::hand: {
             const auto d = singletonRoles_.find(c.singletonRole);
             if (!known) return {Verdict::gone, 0, 0};
-            if (d == singletonRoles_.end() || d->second.holder != c.member || d->second.session != c.session ||
-                d->second.fencingToken != c.fencingToken)
+            if (d == singletonRoles_.end() || d->second.holder != c.member ||
+                d->second.session != c.session || d->second.fencingToken != c.fencingToken)
                 return {Verdict::no, d == singletonRoles_.end() ? 0 : d->second.fencingToken, c.session};
             release(c.singletonRole, d->second, false);
             if (c.op == Op::giveUp) return {Verdict::yes, c.fencingToken, c.session};
@@ -148,7 +153,8 @@
 namespace {
 using SavedRole = std::tuple<std::string, std::string, Index, std::uint64_t, std::string, bool>;
 using SavedSession = std::tuple<std::string, Index, ProcessIncarnation>;
-using SavedAnswer = std::tuple<std::string, ProcessIncarnation, std::uint64_t, std::uint8_t, std::uint64_t, Index, Index>;
+using SavedAnswer =
+    std::tuple<std::string, ProcessIncarnation, std::uint64_t, std::uint8_t, std::uint64_t, Index, Index>;
 using Saved = std::tuple<std::vector<SavedRole>, std::vector<SavedSession>, std::vector<SavedAnswer>>;
 }  // namespace
 
@@ -179,9 +185,11 @@
         d.fencingToken = fencingToken, d.last = last, d.lost = lost;
         hold(name, d, holder, session);
     }
-    for (const auto& [name, number, processIncarnation] : std::get<1>(s)) sessions_[name] = {number, processIncarnation};
+    for (const auto& [name, number, processIncarnation] : std::get<1>(s))
+        sessions_[name] = {number, processIncarnation};
     for (const auto& [name, processIncarnation, number, verdict, fencingToken, session, at] : std::get<2>(s))
-        answers_[{name, processIncarnation}] = {number, {static_cast<Verdict>(verdict), fencingToken, session}, at};
+        answers_[{name, processIncarnation}] = {
+            number, {static_cast<Verdict>(verdict), fencingToken, session}, at};
     return true;
 }
 
--- a/src/lease_sessions/session_table.hpp
+++ b/src/lease_sessions/session_table.hpp
@@ -77,7 +77,8 @@
     const SingletonRole* singletonRole(const std::string& name) const;
     const Session* session(const std::string& member) const;
     // The answer to a request that was settled; nothing: not here (yet).
-    std::optional<Result> answer(const std::string& member, ProcessIncarnation processIncarnation, std::uint64_t number) const;
+    std::optional<Result> answer(const std::string& member, ProcessIncarnation processIncarnation,
+                                 std::uint64_t number) const;
     const std::set<std::string>& heldBy(const std::string& member) const;
     const std::set<std::string>& free() const { return free_; }  // duties that nobody holds
     // Rises with each change, so that who looks at the whole table need not do so again for nothing.
@@ -89,7 +90,8 @@
     Result carryOut(Index index, const Command& c);
     std::uint64_t raise(SingletonRole& singletonRole) const;
     void release(const std::string& name, SingletonRole& singletonRole, bool lost);
-    void hold(const std::string& name, SingletonRole& singletonRole, const std::string& member, Index session);
+    void hold(const std::string& name, SingletonRole& singletonRole, const std::string& member,
+              Index session);
     struct Answered {
         std::uint64_t number = 0;
         Result result;
--- a/src/leases/lease_table.hpp
+++ b/src/leases/lease_table.hpp
@@ -84,7 +84,7 @@
     // To be called every few hundred ms: ends leases, notes the count, notices a late wake.
     void look(Millis now);
 
-    std::vector<Gateway> live(Millis now) const;            // by name
+    std::vector<Gateway> live(Millis now) const;              // by name
     std::vector<ReportedLease> liveLeases(Millis now) const;  // the same, with their ages
     bool isLive(const std::string& name, Millis now) const { return find(name, now) != nullptr; }
     // What a gateway said last, while its lease runs; else nullptr. Holds until the next call that is not const.
--- a/src/raft/log_catch_up.cpp
+++ b/src/raft/log_catch_up.cpp
@@ -36,19 +36,20 @@
 void RaftConsensus::sendSnapshotChunk(const std::string& to, std::uint32_t offset, Actions& out) {
     if (offset > saved_.size()) return;
     SnapshotChunk p{term_,
-            base_,
-            baseTerm_,
-            baseDigest_,
-            XXH3_64bits(saved_.data(), saved_.size()),
-            offset,
-            static_cast<std::uint32_t>(saved_.size()),
-            saved_.substr(offset, kSnapshotChunkBytes)};
+                    base_,
+                    baseTerm_,
+                    baseDigest_,
+                    XXH3_64bits(saved_.data(), saved_.size()),
+                    offset,
+                    static_cast<std::uint32_t>(saved_.size()),
+                    saved_.substr(offset, kSnapshotChunkBytes)};
     send(to, std::move(p), out);
 }
 
 void RaftConsensus::on(Millis now, const Message& message, const SnapshotChunk& body, Actions& out) {
     if (number_ == 0 || role_ == Role::leader || body.total > (1U << 24) || body.offset > body.total) return;
-    if (body.index <= commit_) return send(message.from, SnapshotChunkReply{term_, body.index, body.total}, out);
+    if (body.index <= commit_)
+        return send(message.from, SnapshotChunkReply{term_, body.index, body.total}, out);
     if (incoming_.index != body.index || incoming_.digest != body.digest || incoming_.sum != body.sum)
         incoming_ = {body.index, body.digest, body.sum, ""};
     if (body.offset == incoming_.bytes.size() && body.offset + body.bytes.size() <= body.total)
@@ -59,8 +60,8 @@
         incoming_ = {};
         return send(message.from, SnapshotChunkReply{term_, body.index, done ? body.total : 0}, out);
     }
-    send(message.from, SnapshotChunkReply{term_, body.index, static_cast<std::uint32_t>(incoming_.bytes.size())},
-         out);
+    send(message.from,
+         SnapshotChunkReply{term_, body.index, static_cast<std::uint32_t>(incoming_.bytes.size())}, out);
 }
 
 // The first line of what is saved names the voters at that point; the rest is the machine's.
--- a/src/raft/messages.hpp
+++ b/src/raft/messages.hpp
@@ -8,15 +8,16 @@
 
 namespace beechpoint::raft {
 
-using Index = std::uint64_t;   // of an entry, from 1; 0: before the first
-using Term = std::uint64_t;    // a leader's time in office, from 1
-using Digest = std::uint64_t;  // over all entries up to one, in order
-using ProcessIncarnation = std::uint64_t;    // one start of a process; never used twice
+using Index = std::uint64_t;               // of an entry, from 1; 0: before the first
+using Term = std::uint64_t;                // a leader's time in office, from 1
+using Digest = std::uint64_t;              // over all entries up to one, in order
+using ProcessIncarnation = std::uint64_t;  // one start of a process; never used twice
 
-inline constexpr std::size_t kMaxEntryBytes = 140;  // bytes of an entry: with all that goes with it, one datagram
+inline constexpr std::size_t kMaxEntryBytes =
+    140;  // bytes of an entry: with all that goes with it, one datagram
 inline constexpr std::size_t kMaxVoters = 7;
-inline constexpr std::size_t kMaxMemberNameBytes = 19;  // bytes of a member's name
-inline constexpr std::size_t kSnapshotChunkBytes = 130;    // bytes of a snapshot in one message
+inline constexpr std::size_t kMaxMemberNameBytes = 19;   // bytes of a member's name
+inline constexpr std::size_t kSnapshotChunkBytes = 130;  // bytes of a snapshot in one message
 
 enum class Kind : std::uint8_t {
     begin,    // a leader's first; means nothing
@@ -119,8 +120,8 @@
 
 struct Message {
     std::string from, to;
-    ProcessIncarnation processIncarnation = 0;             // of the sender
-    std::uint64_t number = 0;  // of the sender's group; 0: not founded
+    ProcessIncarnation processIncarnation = 0;  // of the sender
+    std::uint64_t number = 0;                   // of the sender's group; 0: not founded
     Body body;
 };
 
--- a/src/raft/raft_consensus.cpp
+++ b/src/raft/raft_consensus.cpp
@@ -31,8 +31,9 @@
     return "?";
 }
 
-RaftConsensus::RaftConsensus(Options options, std::string self, ProcessIncarnation processIncarnation, std::vector<std::string> voters,
-               std::uint64_t seed, Millis now, Machine& machine, const std::optional<PersistentState>& kept)
+RaftConsensus::RaftConsensus(Options options, std::string self, ProcessIncarnation processIncarnation,
+                             std::vector<std::string> voters, std::uint64_t seed, Millis now,
+                             Machine& machine, const std::optional<PersistentState>& kept)
     : options_(options),
       self_(std::move(self)),
       processIncarnation_(processIncarnation),
@@ -69,7 +70,8 @@
 }
 
 PersistentState RaftConsensus::kept() const {
-    PersistentState k{number_, term_, promised_, vote_, base_, baseTerm_, baseDigest_, saved_, baseVoters_, {}};
+    PersistentState k{number_,   term_,       promised_, vote_,       base_,
+                      baseTerm_, baseDigest_, saved_,    baseVoters_, {}};
     for (const Held& h : log_) k.entries.push_back(h.entry);
     return k;
 }
@@ -128,9 +130,10 @@
 }
 
 void RaftConsensus::receive(Millis now, const Message& message, Actions& out) {
-    const bool opening =
-        std::holds_alternative<StateRequest>(message.body) || std::holds_alternative<StateReply>(message.body) ||
-        std::holds_alternative<Found>(message.body) || std::holds_alternative<Pull>(message.body);
+    const bool opening = std::holds_alternative<StateRequest>(message.body) ||
+                         std::holds_alternative<StateReply>(message.body) ||
+                         std::holds_alternative<Found>(message.body) ||
+                         std::holds_alternative<Pull>(message.body);
     if (message.from == self_) return;
     if (!opening && number_ != 0 && message.number != number_) return;
     recordIncarnation(message);
--- a/src/raft/raft_consensus.hpp
+++ b/src/raft/raft_consensus.hpp
@@ -96,14 +96,16 @@
 };
 
 struct Counters {
-    std::uint64_t elections = 0, led = 0, stepsDown = 0, conflicts = 0, processIncarnations = 0, snapshots = 0;
+    std::uint64_t elections = 0, led = 0, stepsDown = 0, conflicts = 0, processIncarnations = 0,
+                  snapshots = 0;
 };
 
 class RaftConsensus {
 public:
     // `voters`: the set that a new group begins with, the same at all members. `kept`: from a folder that lasts.
-    RaftConsensus(Options options, std::string self, ProcessIncarnation processIncarnation, std::vector<std::string> voters, std::uint64_t seed,
-           Millis now, Machine& machine, const std::optional<PersistentState>& kept = std::nullopt);
+    RaftConsensus(Options options, std::string self, ProcessIncarnation processIncarnation,
+                  std::vector<std::string> voters, std::uint64_t seed, Millis now, Machine& machine,
+                  const std::optional<PersistentState>& kept = std::nullopt);
 
     void receive(Millis now, const Message& message, Actions& out);
     void advance(Millis now, Actions& out);
--- a/src/raft/state_recovery.cpp
+++ b/src/raft/state_recovery.cpp
@@ -43,7 +43,8 @@
     r.leads = leads(), r.last = last(), r.number = number_, r.voter = isVoter(message.from);
     if (role_ == Role::learner && number_ == 0) r.standing = Standing::empty;
     send(message.from, r, out);
-    if (const auto f = foundedAt_.find(message.from); f != foundedAt_.end() && f->second == message.processIncarnation)
+    if (const auto f = foundedAt_.find(message.from);
+        f != foundedAt_.end() && f->second == message.processIncarnation)
         send(message.from, Found{number_, message.processIncarnation}, out);  // the first was lost
 }
 
@@ -103,7 +104,9 @@
 }
 
 void RaftConsensus::on(Millis now, const Message&, const Found& body, Actions& out) {
-    if (body.processIncarnation != processIncarnation_ || body.number == 0 || (role_ != Role::empty && role_ != Role::recovering)) return;
+    if (body.processIncarnation != processIncarnation_ || body.number == 0 ||
+        (role_ != Role::empty && role_ != Role::recovering))
+        return;
     if (number_ != 0 && number_ != body.number) return;
     if (last() > 0 && !isVoter(self_)) return;
     joins(body.number);
--- a/src/replica/messages.hpp
+++ b/src/replica/messages.hpp
@@ -21,7 +21,7 @@
 
 // What a process says of itself. Other processes are named by their internal addresses.
 struct Status {
-    bool sealed = false;   // has promised for the next epoch
+    bool sealed = false;     // has promised for the next epoch
     bool installed = false;  // knows that all members of the epoch hold its starting state
     bool diskFailing = false;
     std::uint64_t syncedEpoch = 0;
--- a/src/replica/view_agreement.cpp
+++ b/src/replica/view_agreement.cpp
@@ -41,13 +41,15 @@
 
 bool Proposer::onPromise(const std::string& acceptor, const Member& from, const Promise& promise,
                          bool votes) {
-    if (phase_ != Phase::preparing || promise.target != target_ || promise.proposal != proposal_) return false;
+    if (phase_ != Phase::preparing || promise.target != target_ || promise.proposal != proposal_)
+        return false;
     promises_.insert_or_assign(acceptor, ReceivedPromise{from, promise, votes});
     return true;
 }
 
 bool Proposer::onAccepted(const std::string& acceptor, const Accepted& accepted, bool votes) {
-    if (phase_ != Phase::accepting || accepted.target != target_ || accepted.proposal != proposal_) return false;
+    if (phase_ != Phase::accepting || accepted.target != target_ || accepted.proposal != proposal_)
+        return false;
     accepted_[acceptor] = votes;
     return true;
 }
--- a/src/replica/view_change.cpp
+++ b/src/replica/view_change.cpp
@@ -241,7 +241,8 @@
 
 void ViewChange::sendRequest(const std::string& address) {
     if (proposer_.phase() == Proposer::Phase::preparing)
-        outbox_.send(address, Prepare{proposer_.proposal(), membership_.view, membership_.founders, observed_});
+        outbox_.send(address,
+                     Prepare{proposer_.proposal(), membership_.view, membership_.founders, observed_});
     else
         outbox_.send(address,
                      Accept{proposer_.proposal(), membership_.view, membership_.founders, proposer_.value()});
--- a/src/routing/routing_table.hpp
+++ b/src/routing/routing_table.hpp
@@ -36,7 +36,7 @@
 
 struct RouteEntry {
     configuration::Route route;
-    std::string host;                  // lower case, as compared with Host headers
+    std::string host;                   // lower case, as compared with Host headers
     std::vector<BackendWeight> shares;  // without those of weight 0; never empty
     Digest digest{};
 
--- a/src/settings/described.hpp
+++ b/src/settings/described.hpp
@@ -153,8 +153,8 @@
 
     // Types with named values: parseName(text, out) is found beside the type.
     template <class Enum>
-    requires(std::is_enum_v<Enum>) void read(const Source& source, const FieldPath& path, const FieldRule& rule,
-                                             Enum& out) {
+    requires(std::is_enum_v<Enum>) void read(const Source& source, const FieldPath& path,
+                                             const FieldRule& rule, Enum& out) {
         const std::optional<std::string_view> text = source.text();
         if (!text) return tolerate(rule, path, "a text");
         parseName(*text, out);
--- a/tests/admin/figures_test.cpp
+++ b/tests/admin/figures_test.cpp
@@ -1,16 +1,17 @@
 // At all times, and whatever comes in whatever order: taken = served + refused + failed + left + in flight.
+#include "core/figures.hpp"
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <vector>
 
-#include "core/figures.hpp"
-
 using beechpoint::Figures;
 
 namespace {
 
-RC_GTEST_PROP(Figures, EachRequestStandsInOnePlace, (const std::vector<std::pair<unsigned, unsigned>>& steps)) {
+RC_GTEST_PROP(Figures, EachRequestStandsInOnePlace,
+              (const std::vector<std::pair<unsigned, unsigned>>& steps)) {
     Figures figures;
     figures.know("a");
     figures.know("b");
--- a/tests/admin/host_bans_test.cpp
+++ b/tests/admin/host_bans_test.cpp
@@ -1,8 +1,8 @@
 // Hosts taken out by hand, against whatever discovery says of them.
-#include <gtest/gtest.h>
-
 #include "admin/host_bans.hpp"
 
+#include <gtest/gtest.h>
+
 using namespace beechpoint;
 using beechpoint::admin::HostBans;
 using coordinator::ListKind;
@@ -10,7 +10,8 @@
 
 namespace {
 
-HostList say(ListKind kind, ServerState state, const std::string& id = "a", coordinator::Nanos startedAt = 0) {
+HostList say(ListKind kind, ServerState state, const std::string& id = "a",
+             coordinator::Nanos startedAt = 0) {
     HostEntry host;
     host.entry.id = id;
     host.entry.state = state;
@@ -18,7 +19,9 @@
     return {kind, {host}};
 }
 
-ServerState told(HostBans& bans, const HostList& list) { return bans.overlay(list).entries.at(0).entry.state; }
+ServerState told(HostBans& bans, const HostList& list) {
+    return bans.overlay(list).entries.at(0).entry.state;
+}
 
 TEST(HostBans, OutWhateverDiscoverySays) {
     HostBans bans;
@@ -39,7 +42,7 @@
     HostBans bans;
     bans.overlay(say(ListKind::complete, ServerState::up));
     bans.take({"a"});
-    EXPECT_TRUE(bans.take({"a"}).entries.empty());  // out twice is as once
+    EXPECT_TRUE(bans.take({"a"}).entries.empty());                   // out twice is as once
     bans.overlay(say(ListKind::changes, ServerState::up, "a", 77));  // restarted meanwhile
     const HostList back = bans.take({});
     ASSERT_EQ(back.entries.size(), 1u);
--- a/tests/admin/lifecycle_test.cpp
+++ b/tests/admin/lifecycle_test.cpp
@@ -1,8 +1,8 @@
 // The lifecycle's table, state by state, and what holds in each.
-#include <gtest/gtest.h>
-
 #include "admin/lifecycle.hpp"
 
+#include <gtest/gtest.h>
+
 using beechpoint::admin::Lifecycle;
 using State = Lifecycle::State;
 
--- a/tests/admin/overlap_test.cpp
+++ b/tests/admin/overlap_test.cpp
@@ -1,8 +1,8 @@
 // What the processes of an upgrade may use, and who the successor is.
-#include <gtest/gtest.h>
-
 #include "admin/overlap.hpp"
 
+#include <gtest/gtest.h>
+
 using beechpoint::admin::Lifecycle;
 using beechpoint::admin::Overlap;
 using State = Lifecycle::State;
@@ -41,7 +41,8 @@
     EXPECT_FALSE(both(State::serving, State::serving)[1].successor());
     for (const State young : {State::starting, State::draining, State::stopping})
         EXPECT_FALSE(both(State::serving, young)[0].successor());
-    EXPECT_TRUE(views({{"a", 1, State::serving}, {"b", 1, State::serving}})[0].successor());  // one of them, surely
+    EXPECT_TRUE(
+        views({{"a", 1, State::serving}, {"b", 1, State::serving}})[0].successor());  // one of them, surely
 }
 
 TEST(Overlap, WhoDiesFreesItsShare) {
--- a/tests/cluster/net.hpp
+++ b/tests/cluster/net.hpp
@@ -33,8 +33,9 @@
         const auto n = static_cast<std::size_t>(i);
         machines[n] = std::make_unique<Text>();
         ++processIncarnation;
-        ledgers[n] = std::make_unique<RaftConsensus>(options, names[n], processIncarnation, names, processIncarnation, now, *machines[n],
-                                              lasting ? kept[n] : std::nullopt);
+        ledgers[n] =
+            std::make_unique<RaftConsensus>(options, names[n], processIncarnation, names, processIncarnation,
+                                            now, *machines[n], lasting ? kept[n] : std::nullopt);
     }
     void kill(int i) { ledgers[static_cast<std::size_t>(i)].reset(); }
     RaftConsensus& at(int i) { return *ledgers[static_cast<std::size_t>(i)]; }
--- a/tests/cluster/properties_test.cpp
+++ b/tests/cluster/properties_test.cpp
@@ -96,10 +96,12 @@
     for (const Step& s : *steps(8, 4)) {
         lease_sessions::Command c;
         c.op = static_cast<lease_sessions::Op>(s.what % 6);
-        c.member = member(s.a), c.singletonRole = singletonRole(s.b), c.processIncarnation = 1, c.to = member(s.wait);
+        c.member = member(s.a), c.singletonRole = singletonRole(s.b), c.processIncarnation = 1,
+        c.to = member(s.wait);
         const lease_sessions::Session* in = table.session(c.member);
         c.session = in != nullptr ? in->number : 0;
-        if (const lease_sessions::SingletonRole* d = table.singletonRole(c.singletonRole)) c.fencingToken = s.a % 7 == 0 ? d->fencingToken - 1 : d->fencingToken;
+        if (const lease_sessions::SingletonRole* d = table.singletonRole(c.singletonRole))
+            c.fencingToken = s.a % 7 == 0 ? d->fencingToken - 1 : d->fencingToken;
         c.number = s.what >= 6 ? 0 : ++numbers[c.member];
         const std::string data = lease_sessions::write(c);
         std::map<std::string, std::string> before;
@@ -144,7 +146,8 @@
         for (std::size_t i = from; i < out.size(); ++i) {
             if (const auto* r = std::get_if<lease_sessions::Renew>(&out[i].body)) {
                 renewals[r->number] = now;
-                lease_sessions::Renewed yes{1, r->number, lease_sessions::Verdict::yes, r->session, "l", {{"d", fencingToken}}};
+                lease_sessions::Renewed yes{1,          r->number, lease_sessions::Verdict::yes,
+                                            r->session, "l",       {{"d", fencingToken}}};
                 words.push_back({"l", "a", 9, yes});
                 yes.verdict = lease_sessions::Verdict::gone;
                 words.push_back({"l", "a", 9, yes});
@@ -153,9 +156,11 @@
                 if (renewals[1000 + a->command.number] == 0) renewals[1000 + a->command.number] = now + 1e-9;
                 words.push_back(
                     {"l", "a", 9,
-                     lease_sessions::Answer{1, a->command.number, {lease_sessions::Verdict::yes, ++fencingToken, 7}, "l"}});
+                     lease_sessions::Answer{
+                         1, a->command.number, {lease_sessions::Verdict::yes, ++fencingToken, 7}, "l"}});
                 words.push_back(
-                    {"l", "a", 9, lease_sessions::Answer{1, a->command.number, {lease_sessions::Verdict::no, 0, 7}, "l"}});
+                    {"l", "a", 9,
+                     lease_sessions::Answer{1, a->command.number, {lease_sessions::Verdict::no, 0, 7}, "l"}});
             }
         }
     };
@@ -180,7 +185,9 @@
         } else if (s.what == 4 && s.a < 200) {
             holder.resume();
         } else if (s.what == 5) {
-            words.push_back({"l", "a", 9, lease_sessions::Granted{1, 7, "d", s.a % 2 == 0 ? fencingToken : ++fencingToken}});
+            words.push_back(
+                {"l", "a", 9,
+                 lease_sessions::Granted{1, 7, "d", s.a % 2 == 0 ? fencingToken : ++fencingToken}});
         } else {
             holder.advance(now, out);
         }
--- a/tests/cluster/raft_consensus_test.cpp
+++ b/tests/cluster/raft_consensus_test.cpp
@@ -146,7 +146,7 @@
     ASSERT_EQ(std::get<AppendReply>(reply.send.at(0).body).match, 10u);
     const std::string whole = "s1 s2 s3\n1;2;3;4;5;";
     s2.hears(SnapshotChunk{5, 5, 5, l.digestAt(5), XXH3_64bits(whole.data(), whole.size()), 0,
-                   static_cast<std::uint32_t>(whole.size()), whole});
+                           static_cast<std::uint32_t>(whole.size()), whole});
     EXPECT_EQ(l.last(), 10u);
     EXPECT_EQ(l.commit(), 5u);
     EXPECT_EQ(s2.machine.all, "1;2;3;4;5;");
--- a/tests/cluster/scenario_test.cpp
+++ b/tests/cluster/scenario_test.cpp
@@ -1,9 +1,9 @@
 // Scenarios of faults as files: read strictly, and played in virtual time with the state machines that the processes run.
 #include <gtest/gtest.h>
 
-#include "emulator/group_run.hpp"
 #include "cluster/outbox.hpp"
 #include "cluster/wire.hpp"
+#include "emulator/group_run.hpp"
 
 namespace beechpoint {
 namespace {
@@ -88,14 +88,16 @@
     for (std::size_t bytes = 0; (bytes += 3 + name.size() + 5 + 5) <= gossip::kRumourBytes;)
         longest.rumours.push_back({name, gossip::Presence::suspect, (1ull << 32) - 1, 0xffffffffull});
     const std::string body = cluster::write(gossip::Body(longest));
-    const std::string sealed = gossip::seal("group", {gossip::Channel::membership, name, ~0ull, 0x7fffffff}, body);
+    const std::string sealed =
+        gossip::seal("group", {gossip::Channel::membership, name, ~0ull, 0x7fffffff}, body);
     EXPECT_FALSE(sealed.empty());
     EXPECT_LE(sealed.size(), 256u);
     const auto read = cluster::readMembership(body);
     ASSERT_TRUE(read);
     EXPECT_EQ(std::get<gossip::PingAsk>(*read).rumours.back().member, name);
     longest.rumours.assign(gossip::kRumours + 1, {"g", gossip::Presence::alive, 1, 0});
-    EXPECT_FALSE(cluster::readMembership(cluster::write(gossip::Body(longest))));  // more than the rule allows
+    EXPECT_FALSE(
+        cluster::readMembership(cluster::write(gossip::Body(longest))));  // more than the rule allows
     EXPECT_FALSE(cluster::readMembership(body.substr(1)));
 }
 
--- a/tests/cluster/state_folder_test.cpp
+++ b/tests/cluster/state_folder_test.cpp
@@ -27,7 +27,7 @@
         kept.number = 9;
         options.mostEntries = mostEntries;
         raft.emplace(options, "s2", 77, std::vector<std::string>{"s1", "s2", "s3"}, seed, 0, machine,
-                       from ? from : kept);
+                     from ? from : kept);
         term = raft->term() + 1;
     }
     // True: something is to be kept.
@@ -43,15 +43,15 @@
         const Index prev = low + (l.last() > low ? random() % (l.last() - low + 1) : 0);
         const Index settled = random() % 3 == 0 ? prev + 1 : l.commit();
         raft->receive(now += 10,
-                        {"s1", "s2", 5, 9,
-                         Append{term,
-                                prev,
-                                l.digestAt(prev),
-                                settled,
-                                ++round,
-                                true,
-                                {term, Kind::command, std::to_string(random() % 1000)}}},
-                        out);
+                      {"s1", "s2", 5, 9,
+                       Append{term,
+                              prev,
+                              l.digestAt(prev),
+                              settled,
+                              ++round,
+                              true,
+                              {term, Kind::command, std::to_string(random() % 1000)}}},
+                      out);
         return out.keep;
     }
     std::mt19937_64 random;
--- a/tests/cluster/virtual_test.cpp
+++ b/tests/cluster/virtual_test.cpp
@@ -204,7 +204,8 @@
         for (int i = 0; i < 200; ++i) {
             world.until(world.now() + 5);
             const auto& held = world.core(old).holder().held();
-            if (const auto h = held.find(singletonRole); h != held.end() && world.holder(singletonRole) == old) {
+            if (const auto h = held.find(singletonRole);
+                h != held.end() && world.holder(singletonRole) == old) {
                 ASSERT_GT(h->second, fencingToken) << seed;
             }
         }
@@ -271,11 +272,14 @@
     for (Millis t = 8200; t < 9000 && !h.inSession(t); t += 200) {
         h.advance(t, out);
         for (const lease_sessions::Message& m : std::vector<lease_sessions::Message>(out))
-            if (const auto* a = std::get_if<lease_sessions::Ask>(&m.body); a && a->command.op == lease_sessions::Op::open)
-                says(t, lease_sessions::Answer{1, a->command.number, {lease_sessions::Verdict::yes, 0, 5}, "l"});
+            if (const auto* a = std::get_if<lease_sessions::Ask>(&m.body);
+                a && a->command.op == lease_sessions::Op::open)
+                says(t,
+                     lease_sessions::Answer{1, a->command.number, {lease_sessions::Verdict::yes, 0, 5}, "l"});
     }
     ASSERT_TRUE(h.inSession(9000));
-    says(9000, lease_sessions::Renewed{1, newestRenewal(), lease_sessions::Verdict::yes, 5, "l", {{"d", 77}, {"e", 78}}});
+    says(9000, lease_sessions::Renewed{
+                   1, newestRenewal(), lease_sessions::Verdict::yes, 5, "l", {{"d", 77}, {"e", 78}}});
     EXPECT_FALSE(h.mayAct(9001, "d"));
     EXPECT_EQ(h.mayAct(9001, "e"), 78u);
     // Its asking came to nothing, so it is given up anew: else nobody would ever have it.
@@ -293,12 +297,16 @@
     lease_sessions::LeaseClient h({}, "a", 2, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     h.advance(0, out);
-    h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}}, out);
+    h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}},
+              out);
     EXPECT_FALSE(h.inSession(11));
-    h.receive(12, {"l", "a", 9, lease_sessions::Answer{2, 1, {lease_sessions::Verdict::yes, 0, 6}, "l"}}, out);
+    h.receive(12, {"l", "a", 9, lease_sessions::Answer{2, 1, {lease_sessions::Verdict::yes, 0, 6}, "l"}},
+              out);
     ASSERT_TRUE(h.inSession(13));
     h.receive(14, {"l", "a", 9, lease_sessions::Granted{1, 6, "d", 80}}, out);
-    h.receive(14, {"l", "a", 9, lease_sessions::Renewed{1, 1, lease_sessions::Verdict::yes, 6, "l", {{"d", 80}}}}, out);
+    h.receive(14,
+              {"l", "a", 9, lease_sessions::Renewed{1, 1, lease_sessions::Verdict::yes, 6, "l", {{"d", 80}}}},
+              out);
     EXPECT_FALSE(h.mayAct(15, "d"));
 }
 // Found over 10,000 seeds (1179): two renewals lost in a row, and from then on it asked everybody but the leader until its lease
@@ -308,7 +316,8 @@
     std::vector<lease_sessions::Message> out;
     h.leaderIs("l");
     h.advance(0, out);
-    h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}}, out);
+    h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}},
+              out);
     std::size_t seen = out.size();
     int lost = 2, toLeader = 0;
     for (Millis t = 20; t < 1900; t += 10) {
@@ -321,12 +330,16 @@
                 if (lost-- > 0) continue;
                 ++toLeader;
             }
-            h.receive(
-                t + 5,
-                {m.to, "a", 9,
-                 lease_sessions::Renewed{
-                     1, r->number, m.to == "l" ? lease_sessions::Verdict::yes : lease_sessions::Verdict::no, 5, "l", {}}},
-                out);
+            h.receive(t + 5,
+                      {m.to, "a", 9,
+                       lease_sessions::Renewed{
+                           1,
+                           r->number,
+                           m.to == "l" ? lease_sessions::Verdict::yes : lease_sessions::Verdict::no,
+                           5,
+                           "l",
+                           {}}},
+                      out);
         }
     }
     EXPECT_GE(toLeader, 1);
@@ -337,7 +350,8 @@
     lease_sessions::LeaseClient h({}, "a", 1, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     h.advance(0, out);
-    h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}}, out);
+    h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}},
+              out);
     const std::uint64_t request = h.take("d");
     h.advance(20, out);
     EXPECT_TRUE(h.takeOutcomes().empty());
@@ -350,7 +364,8 @@
 // A request goes on to whom the asked one names, not to the next in turn.
 TEST(LeaseClient, ARequestFollowsTheLeadersName) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-        lease_sessions::LeaseClient h({}, "a", 1, {"m", "n", "o"}, seed, 0);  // the leader is none of those it knows
+        lease_sessions::LeaseClient h({}, "a", 1, {"m", "n", "o"}, seed,
+                                      0);  // the leader is none of those it knows
         std::vector<lease_sessions::Message> out;
         std::size_t seen = 0;
         for (Millis t = 0; t < 400 && !h.inSession(t); t += 10) {
@@ -364,7 +379,10 @@
                 h.receive(t + 5,
                           {m.to, "a", 9,
                            lease_sessions::Answer{
-                               1, number, {leads ? lease_sessions::Verdict::yes : lease_sessions::Verdict::wait, 0, 5}, "l"}},
+                               1,
+                               number,
+                               {leads ? lease_sessions::Verdict::yes : lease_sessions::Verdict::wait, 0, 5},
+                               "l"}},
                           out);
             }
         }
--- a/tests/cluster/wire_test.cpp
+++ b/tests/cluster/wire_test.cpp
@@ -25,7 +25,8 @@
             StateRequest{kBig},
             StateReply{kBig, Standing::normal, kIndex, kIndex, true, kIndex, kIndex, true},
             Found{kIndex, kBig},
-            SnapshotChunk{kIndex, kIndex, kIndex, kBig, kBig, 1U << 24, 1U << 24, std::string(kSnapshotChunkBytes, '\xff')},
+            SnapshotChunk{kIndex, kIndex, kIndex, kBig, kBig, 1U << 24, 1U << 24,
+                          std::string(kSnapshotChunkBytes, '\xff')},
             SnapshotChunkReply{kIndex, kIndex, 1U << 24},
             Pull{kIndex, kBig},
             Tail{kIndex, kBig, kIndex, true, entry}};
--- a/tests/control/gateway_service_state_test.cpp
+++ b/tests/control/gateway_service_state_test.cpp
@@ -176,7 +176,8 @@
             carried = call.peerUpdate;
             PeerUpdateReply reply;
             second().onPeerUpdate(now, &tables[1], call.peerUpdate, reply);
-            first.onPeerUpdateReply(now, &tables[0], call.member, answered ? std::optional(reply) : std::nullopt);
+            first.onPeerUpdateReply(now, &tables[0], call.member,
+                                    answered ? std::optional(reply) : std::nullopt);
         }
         return carried;
     }
--- a/tests/control/waiting_polls_test.cpp
+++ b/tests/control/waiting_polls_test.cpp
@@ -1,8 +1,8 @@
 // Which waiting polls are due.
-#include "control/long_polls.hpp"
-
 #include <gtest/gtest.h>
 
+#include "control/long_polls.hpp"
+
 namespace beechpoint::control {
 namespace {
 
--- a/tests/coordinator/coordinator_fixture.hpp
+++ b/tests/coordinator/coordinator_fixture.hpp
@@ -47,7 +47,8 @@
 
 class CoordinatorFixture {
 public:
-    explicit CoordinatorFixture(Settings s = basic(), std::vector<std::string> ids = {"a", "b", "c"}, std::uint64_t seed = 1)
+    explicit CoordinatorFixture(Settings s = basic(), std::vector<std::string> ids = {"a", "b", "c"},
+                                std::uint64_t seed = 1)
         : settings(s), unit(s, seed, 0) {
         ServerList list;
         list.kind = ListKind::remembered;
--- a/tests/coordinator/decisions_test.cpp
+++ b/tests/coordinator/decisions_test.cpp
@@ -45,7 +45,8 @@
     fixture.warm(40, [](const std::string&) { return 50 * kMs; });
     fixture.query(10, 2);  // whoever got these parts answers none of them
     std::set<std::string> silent;
-    for (std::size_t i = fixture.sent.size() - 2; i < fixture.sent.size(); ++i) silent.insert(fixture.sent[i].server);
+    for (std::size_t i = fixture.sent.size() - 2; i < fixture.sent.size(); ++i)
+        silent.insert(fixture.sent[i].server);
     for (int i = 0; i < 80; ++i) {  // the third one answers
         fixture.pass(10 * kMs);
         for (std::size_t k = 0; k < fixture.sent.size(); ++k)
@@ -167,7 +168,8 @@
     fixture.warm(
         40, [](const std::string& id) { return id == "a" ? 500 * kMs : 50 * kMs; }, 200000);
     toA = 0;
-    for (std::size_t i = fixture.sent.size() - 20; i < fixture.sent.size(); ++i) toA += fixture.sent[i].server == "a";
+    for (std::size_t i = fixture.sent.size() - 20; i < fixture.sent.size(); ++i)
+        toA += fixture.sent[i].server == "a";
     EXPECT_LE(toA, 5);
 }
 
--- a/tests/coordinator/deployments_test.cpp
+++ b/tests/coordinator/deployments_test.cpp
@@ -76,8 +76,7 @@
     EXPECT_TRUE(letIn(plovdiv(), kPlovdivMix, busy, kPlovdivMix[1]));
     EXPECT_TRUE(letIn(plovdiv(), kPlovdivMix, busy, kPlovdivMix[2]));
     for (const Nanos took : {idle, busy})
-        for (const Mix& m : kTrentsideMix)
-            EXPECT_TRUE(letIn(trentside(), kTrentsideMix, took, m)) << m.klass;
+        for (const Mix& m : kTrentsideMix) EXPECT_TRUE(letIn(trentside(), kTrentsideMix, took, m)) << m.klass;
 }
 
 }  // namespace beechpoint::coordinator::test
--- a/tests/coordinator/fleet_test.cpp
+++ b/tests/coordinator/fleet_test.cpp
@@ -27,7 +27,7 @@
         sent.ended = true;
         const bool b = sent.server == "b";
         fixture.give(AttemptEnded{sent.part, sent.attempt, sent.server, b ? outcome : Outcome::served,
-                              fixture.now - sent.at, true, b ? load : std::vector<LoadValue>{}});
+                                  fixture.now - sent.at, true, b ? load : std::vector<LoadValue>{}});
         if (b) break;
     }
     return fixture;
@@ -50,7 +50,8 @@
 // 100 coordinators send a host half a part a second each: its own answers tell one of them of a queue seconds
 // later than the report of the first answer does.
 TEST(Reports, AQueueThatOthersBuiltIsLeftAloneWhileItLasts) {
-    CoordinatorFixture plain = told({}), queued = told(report(36, 10)), full = told(report(36, 10), Outcome::turnedAway);
+    CoordinatorFixture plain = told({}), queued = told(report(36, 10)),
+                       full = told(report(36, 10), Outcome::turnedAway);
     EXPECT_GT(toB(plain), 10);
     EXPECT_LE(toB(queued), 1);
     EXPECT_LE(toB(full), 1);
@@ -60,7 +61,8 @@
     CoordinatorFixture brief = told(report(3, 150));
     brief.pass(200 * kMs);
     EXPECT_GT(toB(brief), 10);
-    CoordinatorFixture idle = told(report(1.5, 1));  // one part there by chance, at a host that is asked little
+    CoordinatorFixture idle =
+        told(report(1.5, 1));  // one part there by chance, at a host that is asked little
     EXPECT_GT(toB(idle), 10);
     CoordinatorFixture old = told(report(36, 10));
     old.pass(8 * kS);
--- a/tests/coordinator/later_test.cpp
+++ b/tests/coordinator/later_test.cpp
@@ -82,7 +82,8 @@
             fixture.pass(100 * kMs);
             for (std::size_t i = from; i < fixture.sent.size(); ++i) {
                 if (round >= 5) ++(fixture.sent[i].server == "s0" ? cold : warm);
-                const bool full = round >= 5 && fixture.sent[i].server != "s0";  // so that all want the cold one
+                const bool full =
+                    round >= 5 && fixture.sent[i].server != "s0";  // so that all want the cold one
                 fixture.end(i, full ? Outcome::turnedAway : Outcome::served);
             }
         }
@@ -128,7 +129,8 @@
     EXPECT_EQ(fixture.all<Fail>().size(), 1u);
     fixture.pass(kS);
     EXPECT_EQ(fixture.sent.size(), 4u);
-    for (const std::size_t i : {0, 1}) fixture.give(ProbeEnded{fixture.sent[i].server, Outcome::served, kMs, {}});
+    for (const std::size_t i : {0, 1})
+        fixture.give(ProbeEnded{fixture.sent[i].server, Outcome::served, kMs, {}});
     for (const std::size_t i : {2, 3}) fixture.end(i, Outcome::cancelled);
     fixture.pass(10 * kS - 1100 * kMs);
     fixture.give(keyed(101, 4, "k", fixture.now));
@@ -174,7 +176,8 @@
         return n;
     };
     RequestId id = 1;
-    for (int i = 0; i < 50 && (fixture.sent.empty() || fixture.sent.back().server != "a"); ++i) fixture.query(id += 10);
+    for (int i = 0; i < 50 && (fixture.sent.empty() || fixture.sent.back().server != "a"); ++i)
+        fixture.query(id += 10);
     ASSERT_EQ(fixture.sent.back().server, "a");
     fixture.end(fixture.sent.size() - 1, Outcome::noConnection);
     const std::size_t from = fixture.sent.size();
@@ -279,7 +282,8 @@
                     fixture.query(id, 1 + pick(100), pick(20) ? "get" : "none", pick(10) ? 3 * kS : -kS);
                     id += 200;
                 } else if (what < 3) {
-                    ServerEntry e = CoordinatorFixture::up(server, pick(2) ? fixture.now : 0, static_cast<ServerState>(pick(3)));
+                    ServerEntry e = CoordinatorFixture::up(server, pick(2) ? fixture.now : 0,
+                                                           static_cast<ServerState>(pick(3)));
                     e.cell = pick(static_cast<std::uint32_t>(size));
                     up[server] = e.state == ServerState::up;
                     fixture.change(e);
--- a/tests/coordinator/rules_test.cpp
+++ b/tests/coordinator/rules_test.cpp
@@ -268,7 +268,8 @@
     std::size_t from = fixture.sent.size();
     fixture.query(10, 2);
     // Every attempt but one fails, time and again; then the drained fleet leaves nothing to send to.
-    for (const char* id : {"a", "b", "c"}) fixture.change(CoordinatorFixture::up(id, 0, ServerState::draining));
+    for (const char* id : {"a", "b", "c"})
+        fixture.change(CoordinatorFixture::up(id, 0, ServerState::draining));
     std::map<RequestId, std::size_t> last;
     for (std::size_t i = from; i < fixture.sent.size(); ++i) last[fixture.sent[i].part] = i;
     for (std::size_t i = from; i < fixture.sent.size(); ++i)
--- a/tests/dispatch/cold_allowance_test.cpp
+++ b/tests/dispatch/cold_allowance_test.cpp
@@ -1,11 +1,10 @@
-#include "dispatch/slow_start_budget.hpp"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <vector>
 
 #include "core/splitmix.hpp"
+#include "dispatch/slow_start_budget.hpp"
 
 namespace beechpoint::dispatch {
 namespace {
--- a/tests/dispatch/policy_test.cpp
+++ b/tests/dispatch/policy_test.cpp
@@ -3,9 +3,9 @@
 
 #include <map>
 
-#include "core/splitmix.hpp"
 #include "coordinator/failure_tree.hpp"
 #include "coordinator/width.hpp"
+#include "core/splitmix.hpp"
 
 namespace beechpoint::coordinator::policy {
 namespace {
--- a/tests/emulator/virtual_test.cpp
+++ b/tests/emulator/virtual_test.cpp
@@ -199,7 +199,8 @@
             const Results r = runVirtual(shipped(name), seed, options);
             EXPECT_EQ(r.broken, 0U) << name << "\n" << r.rules;
             for (const ClassSummary& c : r.classes)
-                EXPECT_GT(c.service(), c.name == "label-lookup" ? 0.3 : least) << name << seed << "\n" << summary(r);
+                EXPECT_GT(c.service(), c.name == "label-lookup" ? 0.3 : least) << name << seed << "\n"
+                                                                               << summary(r);
         }
 }
 
@@ -256,13 +257,18 @@
 }
 
 TEST(RulesChecker, NamesEachRuleThatIsBrokenOnPurposeTheQueryAndTheTime) {
-    const std::vector<std::pair<Fault, Rule>> table = {
-        {Fault::silent, Rule::oneAnswer},       {Fault::twice, Rule::oneAnswer},
-        {Fault::late, Rule::oneAnswer},         {Fault::drains, Rule::drainsKept},
-        {Fault::attempts, Rule::attempts},      {Fault::floods, Rule::coldHosts},
-        {Fault::callsWhole, Rule::honestWhole}, {Fault::invents, Rule::values},
-        {Fault::oldValue, Rule::values},        {Fault::wrongHost, Rule::asked},
-        {Fault::again, Rule::once},             {Fault::tooShort, Rule::honestWhole}};
+    const std::vector<std::pair<Fault, Rule>> table = {{Fault::silent, Rule::oneAnswer},
+                                                       {Fault::twice, Rule::oneAnswer},
+                                                       {Fault::late, Rule::oneAnswer},
+                                                       {Fault::drains, Rule::drainsKept},
+                                                       {Fault::attempts, Rule::attempts},
+                                                       {Fault::floods, Rule::coldHosts},
+                                                       {Fault::callsWhole, Rule::honestWhole},
+                                                       {Fault::invents, Rule::values},
+                                                       {Fault::oldValue, Rule::values},
+                                                       {Fault::wrongHost, Rule::asked},
+                                                       {Fault::again, Rule::once},
+                                                       {Fault::tooShort, Rule::honestWhole}};
     for (const auto& [fault, rule] : table) {
         Violation first;
         const std::set<Rule> broken = brokenBy(fault, first);
--- a/tests/golden/control/control_messages_test.cpp
+++ b/tests/golden/control/control_messages_test.cpp
@@ -11,11 +11,11 @@
 namespace beechpoint::golden {
 namespace {
 
+using control::PeerUpdate;
+using control::PeerUpdateReply;
 using control::PollReply;
 using control::PollRequest;
 using control::RequestKind;
-using control::PeerUpdate;
-using control::PeerUpdateReply;
 
 class ControlMessagesTest : public ::testing::Test {
 protected:
--- a/tests/golden/control/equality.hpp
+++ b/tests/golden/control/equality.hpp
@@ -39,8 +39,9 @@
                     reply.hostListReadAge, reply.retryAfterMs, reply.memberRegions);
 }
 inline auto tied(const PeerUpdate& peerUpdate) {
-    return std::tie(peerUpdate.member, peerUpdate.session, peerUpdate.epoch, peerUpdate.leases, peerUpdate.hostListVersion,
-                    peerUpdate.hostListAge, peerUpdate.hostList, peerUpdate.readsHosts, peerUpdate.renewals, peerUpdate.packedHostList,
+    return std::tie(peerUpdate.member, peerUpdate.session, peerUpdate.epoch, peerUpdate.leases,
+                    peerUpdate.hostListVersion, peerUpdate.hostListAge, peerUpdate.hostList,
+                    peerUpdate.readsHosts, peerUpdate.renewals, peerUpdate.packedHostList,
                     peerUpdate.packedHostChanges, peerUpdate.hostListReadAge, peerUpdate.hostChanges);
 }
 inline auto tied(const PeerUpdateReply& reply) {
@@ -78,7 +79,9 @@
     return std::tie(message.proposal, message.target, message.accepted, message.value, message.syncedEpoch,
                     message.position, message.folded, message.diskFailing);
 }
-inline auto tied(const Refuse& message) { return std::tie(message.proposal, message.target, message.promised); }
+inline auto tied(const Refuse& message) {
+    return std::tie(message.proposal, message.target, message.promised);
+}
 inline auto tied(const Accept& message) {
     return std::tie(message.proposal, message.base, message.founders, message.value);
 }
--- a/tests/golden/gatherer/duties_table_test.cpp
+++ b/tests/golden/gatherer/duties_table_test.cpp
@@ -3,8 +3,8 @@
 #include <utility>
 #include <vector>
 
-#include "lease_sessions/session_table.hpp"
 #include "golden_file.hpp"
+#include "lease_sessions/session_table.hpp"
 #include "message_fields.hpp"
 
 namespace beechpoint::golden {
@@ -29,7 +29,8 @@
                                                                   {"command_hand", commandOf(Op::hand)}};
     for (const auto& [name, command] : samples) {
         SCOPED_TRACE(name);
-        const auto read = lease_sessions::readCommand(expectGolden("duties_table", name, lease_sessions::write(command)));
+        const auto read =
+            lease_sessions::readCommand(expectGolden("duties_table", name, lease_sessions::write(command)));
         ASSERT_TRUE(read);
         EXPECT_EQ(members(*read), members(command));
     }
@@ -40,7 +41,9 @@
     Table table;
     table.begin(9);
     raft::Index index = 0;
-    const auto apply = [&](const Command& command) { table.apply(++index, 5, lease_sessions::write(command)); };
+    const auto apply = [&](const Command& command) {
+        table.apply(++index, 5, lease_sessions::write(command));
+    };
     apply({Op::open, "g1", 101, 1, 0, "", 0, ""});
     apply({Op::open, "g2", 102, 1, 0, "", 0, ""});
     apply({Op::open, "g3", 103, 1, 0, "", 0, ""});
--- a/tests/golden/gatherer/group_datagrams_test.cpp
+++ b/tests/golden/gatherer/group_datagrams_test.cpp
@@ -4,10 +4,10 @@
 #include <utility>
 #include <vector>
 
-#include "golden_file.hpp"
 #include "cluster/wire.hpp"
-#include "message_fields.hpp"
+#include "golden_file.hpp"
 #include "gossip/datagram.hpp"
+#include "message_fields.hpp"
 
 namespace beechpoint::golden {
 namespace {
@@ -62,8 +62,10 @@
             {"state_reply_recovering", StateReply{41, Standing::recovering, 42, 43, false, 44, 45, true}},
             {"state_reply_normal", StateReply{41, Standing::normal, 42, 43, false, 44, 45, false}},
             {"found", Found{46, 0xe1e2e3e4e5e6e7e8}},
-            {"piece", SnapshotChunk{47, 48, 49, 0xf1f2f3f4f5f6f7f8, 50, 260, 300, "the last bytes of a snapshot"}},
-            {"piece_longest", SnapshotChunk{47, 48, 49, 51, 52, 130, 390, std::string(kSnapshotChunkBytes, '\x01')}},
+            {"piece",
+             SnapshotChunk{47, 48, 49, 0xf1f2f3f4f5f6f7f8, 50, 260, 300, "the last bytes of a snapshot"}},
+            {"piece_longest",
+             SnapshotChunk{47, 48, 49, 51, 52, 130, 390, std::string(kSnapshotChunkBytes, '\x01')}},
             {"piece_reply", SnapshotChunkReply{53, 54, 260}}};
 }
 
@@ -134,7 +136,8 @@
 
 // Each sample as a datagram: as it was written before, and read back from those bytes.
 template <class Body, class Read>
-void checkDatagrams(gossip::Channel room, const std::string& prefix, const Samples<Body>& samples, Read read) {
+void checkDatagrams(gossip::Channel room, const std::string& prefix, const Samples<Body>& samples,
+                    Read read) {
     const gossip::Header header = headerOf(room);
     for (const auto& [name, body] : samples) {
         SCOPED_TRACE(name);
@@ -191,9 +194,9 @@
 
 // A member that has joined no group yet seals under number 0.
 TEST(GroupDatagrams, HeaderOfAMemberWithoutAGroup) {
-    const std::string bytes =
-        expectGolden("group_datagrams", "header.without_a_group",
-                     gossip::seal("g", {gossip::Channel::raft, "a", 1, 0}, cluster::write(raft::StateRequest{2})));
+    const std::string bytes = expectGolden(
+        "group_datagrams", "header.without_a_group",
+        gossip::seal("g", {gossip::Channel::raft, "a", 1, 0}, cluster::write(raft::StateRequest{2})));
     gossip::Refusal why = gossip::Refusal::none;
     const auto opened = gossip::open("g", bytes, why);
     ASSERT_TRUE(opened) << gossip::nameOf(why);
--- a/tests/golden/gatherer/ledger_folder_test.cpp
+++ b/tests/golden/gatherer/ledger_folder_test.cpp
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "lease_sessions/session_table.hpp"
 #include "golden_file.hpp"
+#include "lease_sessions/session_table.hpp"
 #include "raft/state_folder.hpp"
 
 namespace beechpoint::golden {
@@ -14,8 +14,8 @@
 using lease_sessions::Op;
 using raft::Append;
 using raft::Entry;
-using raft::PersistentState;
 using raft::Kind;
+using raft::PersistentState;
 
 constexpr const char* kFamily = "ledger_folder";
 constexpr const char* kGroup = "beech.group 1";  // with characters that file names leave out
@@ -84,7 +84,8 @@
     voter.append(3, 1, {3, Kind::command, openSession("g1", 101)}, 1);
     voter.append(3, 2, {3, Kind::voters, "s1 s2 s3 s4"}, 2);
     voter.append(3, 3, {3, Kind::command, openSession("g2", 102)}, 4);
-    voter.append(3, 4, {3, Kind::command, lease_sessions::write({Op::want, "g1", 101, 2, 1, "layout", 0, ""})}, 5);
+    voter.append(3, 4,
+                 {3, Kind::command, lease_sessions::write({Op::want, "g1", 101, 2, 1, "layout", 0, ""})}, 5);
     voter.append(3, 5, {3, Kind::voters, "s1 s2 s3"}, 5);
     voter.append(3, 6, {3, Kind::command, "replaced"}, 5);
     voter.append(4, 6, {4, Kind::begin, ""}, 5);
--- a/tests/golden/gatherer/ledger_journal_test.cpp
+++ b/tests/golden/gatherer/ledger_journal_test.cpp
@@ -9,8 +9,8 @@
 namespace beechpoint::golden {
 namespace {
 
-using raft::PersistentState;
 using raft::Kind;
+using raft::PersistentState;
 
 constexpr const char* kFamily = "ledger_journal";
 
@@ -61,8 +61,7 @@
 // A ledger with a journal, whose first writing is the whole.
 struct Journaled {
     explicit Journaled(const std::optional<PersistentState>& kept)
-        : raft({}, "s2", 77, {"s1", "s2", "s3"}, 1, 0, machine, kept),
-          whole(journal.changes(raft).bytes) {}
+        : raft({}, "s2", 77, {"s1", "s2", "s3"}, 1, 0, machine, kept), whole(journal.changes(raft).bytes) {}
     // Receives one message and returns the record of what it changed.
     std::string record(const std::string& from, raft::Body body) {
         raft::Actions actions;
--- a/tests/golden/gatherer/message_fields.hpp
+++ b/tests/golden/gatherer/message_fields.hpp
@@ -5,10 +5,10 @@
 #include <variant>
 #include <vector>
 
-#include "lease_sessions/messages.hpp"
+#include "gossip/membership.hpp"
 #include "health_check/host_prober.hpp"
+#include "lease_sessions/messages.hpp"
 #include "raft/messages.hpp"
-#include "gossip/membership.hpp"
 
 namespace beechpoint::raft {
 
@@ -37,7 +37,8 @@
 namespace beechpoint::lease_sessions {
 
 inline auto members(const Command& x) {
-    return std::tie(x.op, x.member, x.processIncarnation, x.number, x.session, x.singletonRole, x.fencingToken, x.to);
+    return std::tie(x.op, x.member, x.processIncarnation, x.number, x.session, x.singletonRole,
+                    x.fencingToken, x.to);
 }
 inline auto members(const Ask& x) { return members(x.command); }
 inline auto members(const Answer& x) { return std::tie(x.to, x.number, x.result, x.leader); }
--- a/tests/golden/names/gatherer_keys_test.cpp
+++ b/tests/golden/names/gatherer_keys_test.cpp
@@ -2,8 +2,8 @@
 #include <fmt/format.h>
 
 #include "config.hpp"
-#include "json_keys.hpp"
 #include "coordinator/settings_json.hpp"
+#include "json_keys.hpp"
 
 namespace beechpoint::golden {
 namespace {
--- a/tests/golden/names/gatherer_refusals_test.cpp
+++ b/tests/golden/names/gatherer_refusals_test.cpp
@@ -104,7 +104,8 @@
     bool drain(bool) override { return yes; }
     std::string group() const override { return inGroup ? "{}" : ""; }
     bool foundGroup(std::uint64_t) override { return yes; }
-    void singletonRole(bool, const std::string&, const std::string&, std::function<void(Settled)> later) override {
+    void singletonRole(bool, const std::string&, const std::string&,
+                       std::function<void(Settled)> later) override {
         later({known, yes, 7});
     }
     void trackHost(const std::string&, bool, Later later) override { later(reply); }
--- a/tests/layout/store_test.cpp
+++ b/tests/layout/store_test.cpp
@@ -1,6 +1,5 @@
 // The layout's store: one writer, whatever two controllers believe, and no step half done, wherever the
 // process dies.
-#include "lease_sessions/session_table.hpp"
 #include "layout/store.hpp"
 
 #include <gtest/gtest.h>
@@ -11,6 +10,8 @@
 #include <filesystem>
 #include <fstream>
 
+#include "lease_sessions/session_table.hpp"
+
 namespace beechpoint::layout {
 namespace {
 
@@ -91,18 +92,21 @@
     raft::Index entry = 0;
     const auto settle = [&](lease_sessions::Op op, const std::string& member, raft::Index session) {
         lease_sessions::Command c;
-        c.op = op, c.member = member, c.singletonRole = "layout", c.session = session, c.processIncarnation = 1;
+        c.op = op, c.member = member, c.singletonRole = "layout", c.session = session,
+        c.processIncarnation = 1;
         table.apply(++entry, 1, lease_sessions::write(c));
         return entry;
     };
     settle(lease_sessions::Op::want, "", 0);
-    const raft::Index s1 = settle(lease_sessions::Op::open, "g1", 0), s2 = settle(lease_sessions::Op::open, "g2", 0);
+    const raft::Index s1 = settle(lease_sessions::Op::open, "g1", 0),
+                      s2 = settle(lease_sessions::Op::open, "g2", 0);
     settle(lease_sessions::Op::grant, "g1", s1);
     const std::uint64_t f1 = table.singletonRole("layout")->fencingToken;
     Folder folder;
     LayoutStore one(folder.file(), "g1", f1, 1'000, first());
     one.step(2'000, BeginStep{Move{1, "a", "c"}});
-    EXPECT_THROW(LayoutStore(folder.file(), "g2", f1, 2'000, first()), LeaseLost);  // the same number, another holder
+    EXPECT_THROW(LayoutStore(folder.file(), "g2", f1, 2'000, first()),
+                 LeaseLost);                      // the same number, another holder
     settle(lease_sessions::Op::close, "g1", s1);  // it stands still, and its session has run out
     settle(lease_sessions::Op::grant, "g2", s2);
     const std::uint64_t f2 = table.singletonRole("layout")->fencingToken;
@@ -110,7 +114,8 @@
     LayoutStore two(folder.file(), "g2", f2, 9'001, first());
     EXPECT_EQ(two.changes().underWay(), 1U);
     const auto epoch = one.changes().layout()->epoch();
-    EXPECT_THROW(one.step(9'100, CopiedStep{1}), LeaseLost);  // it comes back, and believes that it is the one
+    EXPECT_THROW(one.step(9'100, CopiedStep{1}),
+                 LeaseLost);  // it comes back, and believes that it is the one
     EXPECT_THROW(LayoutStore(folder.file(), "g1", f1, 9'150, first()), LeaseLost);  // nor by opening it anew
     EXPECT_EQ(one.changes().layout()->epoch(), epoch);
     EXPECT_FALSE(two.step(9'200, CopiedStep{1}).empty());
--- a/tests/leases/duty_test.cpp
+++ b/tests/leases/duty_test.cpp
@@ -1,10 +1,10 @@
-#include "leases/role_assignment.hpp"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <map>
 
+#include "leases/role_assignment.hpp"
+
 namespace beechpoint::leases {
 namespace {
 
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -30,9 +30,7 @@
     client.peer->close();
 }
 
-void searchFront(Config& c) {
-    c.search = Config::Search{kAnyPort, {{"pallets", "pallet-lookup"}}};
-}
+void searchFront(Config& c) { c.search = Config::Search{kAnyPort, {{"pallets", "pallet-lookup"}}}; }
 
 // What a sound host of the query API says.
 constexpr const char* kFound = R"({"timed_out":false,"_shards":{"failed":0},"hits":{"hits":[]}})";
@@ -43,7 +41,9 @@
                          R"({"query":{"term":{"n":")" + mark + R"("}}})")
                   : query(mark.size() < 40 ? mark : "long", {0}, 10'000'000, mark);
 }
-tcp::endpoint to(Rig& rig, bool search) { return search ? rig.gatherer->searchEndpoint() : rig.gatherer->endpoint(); }
+tcp::endpoint to(Rig& rig, bool search) {
+    return search ? rig.gatherer->searchEndpoint() : rig.gatherer->endpoint();
+}
 
 // One client for each way of leaving on each front; each one's query carries a mark that no other has.
 struct Leavers {
@@ -57,11 +57,13 @@
         sendAll();
         until(rig.io, [&] { return rig.gatherer->exchange().live() == before + all.size(); });
     }
-    Leavers(Rig& r, std::optional<std::pair<bool, Leave>> one) : rig(r), before(r.gatherer->exchange().live()) {
+    Leavers(Rig& r, std::optional<std::pair<bool, Leave>> one)
+        : rig(r), before(r.gatherer->exchange().live()) {
         for (const bool search : {false, true})
             for (const Leave how : kLeaves) {
                 if (one && *one != std::pair(search, how)) continue;
-                all.push_back({std::make_unique<Client>(rig.io, to(rig, search)), how, "leaver" + std::to_string(all.size()) + "x", search});
+                all.push_back({std::make_unique<Client>(rig.io, to(rig, search)), how,
+                               "leaver" + std::to_string(all.size()) + "x", search});
             }
     }
     void sendAll() {
@@ -77,8 +79,9 @@
         CHECK(rig.count(Counter::clientsGone) == all.size() && rig.gatherer->exchange().live() == before);
     }
     std::size_t sentIn(const std::string& seen) const {
-        return static_cast<std::size_t>(
-            std::count_if(all.begin(), all.end(), [&](const One& one) { return seen.find(one.mark) != std::string::npos; }));
+        return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const One& one) {
+            return seen.find(one.mark) != std::string::npos;
+        }));
     }
     Rig& rig;
     std::size_t before;
@@ -238,7 +241,8 @@
     held[0].answer(200, kFound);
     after.send(query("after", {0}, 3000, "after"));
     until(rig.io, [&] { return held.size() == 2; });
-    CHECK(held[1].body == "after" && first.answers.size() == 1 && leavers.sentIn(seen) == 0 && host.peers.size() == 1);
+    CHECK(held[1].body == "after" && first.answers.size() == 1 && leavers.sentIn(seen) == 0 &&
+          host.peers.size() == 1);
 }
 
 // The connection under those that wait is lost, as they leave or after it: what waited there goes to a further one.
@@ -246,7 +250,9 @@
     for (const bool atOnce : {true, false}) {
         FrameHost host(Rig::loop());
         std::vector<FrameHost::Part> held;
-        host.onPart = [&](const FrameHost::Part& p) { held.empty() ? held.push_back(p) : p.answer("done", "v"); };
+        host.onPart = [&](const FrameHost::Part& p) {
+            held.empty() ? held.push_back(p) : p.answer("done", "v");
+        };
         Rig rig({host.address()}, [](Config& c) {
             oneHost(c);
             c.connections.calls = 1;
@@ -276,7 +282,8 @@
         Rig rig({host.address()}, [](Config& c) {
             oneHost(c);
             c.settings.openCap = 100'000;
-            for (auto& k : c.settings.classes) k.aim = k.deadline = 10'000'000'000'000;  // all of them are let in
+            for (auto& k : c.settings.classes)
+                k.aim = k.deadline = 10'000'000'000'000;  // all of them are let in
             c.connections.calls = 1000;
             c.sockets = 4096;
         });
@@ -285,9 +292,11 @@
             CHECK(clients.size() < 100);
             const std::string n = std::to_string(clients.size());
             clients.push_back(std::make_unique<Client>(rig.io, rig.gatherer->endpoint()));
-            clients.back()->send(query("big" + n, {0, 1, 2, 3}, 10'000'000, std::string(60'000, 'x') + "end" + n + "x"));
+            clients.back()->send(
+                query("big" + n, {0, 1, 2, 3}, 10'000'000, std::string(60'000, 'x') + "end" + n + "x"));
             until(rig.io, [&] {
-                return rig.gatherer->exchange().live() == clients.size() && rig.count(Counter::attemptsWritten) > 0;
+                return rig.gatherer->exchange().live() == clients.size() &&
+                       rig.count(Counter::attemptsWritten) > 0;
             });
         }
         const std::string cut = "end" + std::to_string(clients.size() - 1) + "x";
@@ -326,13 +335,16 @@
     for (std::size_t i = 0; i < 8; ++i) {
         clients.push_back(std::make_unique<Client>(rig.io, rig.gatherer->endpoint()));
         clients.back()->send(query("big" + std::to_string(i), {0}, 10'000'000, std::string(60'000, 'x')));
-        until(rig.io, [&] { return rig.gatherer->exchange().live() == i + 1 && rig.count(Counter::attemptsWritten) > 0; });
+        until(rig.io, [&] {
+            return rig.gatherer->exchange().live() == i + 1 && rig.count(Counter::attemptsWritten) > 0;
+        });
     }
     Leavers leavers(rig);
     const std::size_t all = clients.size() + leavers.all.size();
     CHECK(rig.count(Counter::attemptsSent) < clients.size());
     std::string some(8192, '\0');
-    while (rig.count(Counter::attemptsSent) < all) host.peers[0]->socket.read_some(asio::buffer(some)), settle(rig.io);
+    while (rig.count(Counter::attemptsSent) < all)
+        host.peers[0]->socket.read_some(asio::buffer(some)), settle(rig.io);
     CHECK(rig.count(Counter::attemptsWritten) < clients.size());
     leavers.leaveAll();
     leavers.noticed();
@@ -352,7 +364,8 @@
         Rig rig({host.address()}, oneHost);
         Leavers leavers(rig, {});
         for (auto& one : leavers.all)
-            if (one.how == Leave::whilePaused) one.how = Leave::behindBytes;  // nothing is in hand that could pause its reading
+            if (one.how == Leave::whilePaused)
+                one.how = Leave::behindBytes;  // nothing is in hand that could pause its reading
         if (accepted) until(rig.io, [&] { return rig.gatherer->clients() == leavers.all.size(); });
         leavers.sendAll();
         leavers.leaveAll();
@@ -381,7 +394,8 @@
             host.held[0].answer("done", kFound);  // handled first
             leave(rig, client, how);
             settle(rig.io);
-            CHECK(rig.count(Counter::answeredWhole) == 1 && host.held.size() == 1 && rig.count(Counter::attemptsSent) == 1);
+            CHECK(rig.count(Counter::answeredWhole) == 1 && host.held.size() == 1 &&
+                  rig.count(Counter::attemptsSent) == 1);
             // A reset ends the answer as well, and nothing behind it is taken.
             const auto taken = rig.count(Counter::queriesTaken);
             CHECK((how == Leave::reset || taken == 2) && rig.count(Counter::goneBeforeSent) == taken - 1);
@@ -404,7 +418,9 @@
     Client first(rig.io, rig.gatherer->endpoint()), after(rig.io, rig.gatherer->endpoint());
     if (cut || way == "place") {
         first.send(query("first", {0}, 10'000'000, std::string(cut ? 60'000 : 1, 'x')));
-        until(rig.io, [&] { return cut ? rig.count(Counter::attemptsSent) == 1 : host.held.size() + other.held.size() == 1; });
+        until(rig.io, [&] {
+            return cut ? rig.count(Counter::attemptsSent) == 1 : host.held.size() + other.held.size() == 1;
+        });
         settle(rig.io);
     }
     Leavers leavers(rig, std::pair(search, how));
@@ -415,20 +431,23 @@
         return rig.gatherer->exchange().live() == (cut || way == "place" ? 2 : 1);
     });
     const auto sent = rig.count(Counter::attemptsSent);
-    CHECK(sent == (way == "dial" ? 0 : 1) && rig.count(Counter::attemptsWritten) == (cut || way == "dial" ? 0 : 1));
+    CHECK(sent == (way == "dial" ? 0 : 1) &&
+          rig.count(Counter::attemptsWritten) == (cut || way == "dial" ? 0 : 1));
     auto& held = host.held.empty() ? other.held : host.held;
     if (again || way == "place") held[0].answer(again ? "failed" : "done", "v");
     if (cut) CHECK(raw.readAllNow() > 0);
     leavers.leaveAll();
     rig.clock.set(rig.clock.now() + 400);
     settle(rig.io);
-    CHECK(rig.count(again ? Counter::goneAfterSent : Counter::goneBeforeSent) == 1 && rig.count(Counter::attemptsSent) == sent);
+    CHECK(rig.count(again ? Counter::goneAfterSent : Counter::goneBeforeSent) == 1 &&
+          rig.count(Counter::attemptsSent) == sent);
     if (again) CHECK(rig.count(Counter::attemptsError) == 1);
     if (way == "place") CHECK(first.answers.size() == 1);
     if (way == "dial") CHECK(rig.count(Counter::dials) == 1);
     if (cut) raw.read(0);
     after.send(query("after", {0}, 10'000'000, "after"));
-    until(rig.io, [&] { return (all(host.got) + all(other.got) + raw.seen).find("after") != std::string::npos; });
+    until(rig.io,
+          [&] { return (all(host.got) + all(other.got) + raw.seen).find("after") != std::string::npos; });
     CHECK(leavers.sentIn(all(host.got) + all(other.got) + raw.seen) == (again ? 1 : 0));
     CHECK(host.held.size() + other.held.size() == (cut ? 0 : way == "dial" ? 1 : 2));
 }
@@ -499,11 +518,13 @@
         const auto passUntil = [&](auto done) {  // a millisecond a turn; the hosts are heard all the time
             for (int i = 0; !done(); ++i) {
                 CHECK(i < 5000);
-                if (other.answers.size() == asked) other.send(query("o" + std::to_string(asked++), {static_cast<int>(asked % 4)}));
+                if (other.answers.size() == asked)
+                    other.send(query("o" + std::to_string(asked++), {static_cast<int>(asked % 4)}));
                 rig.clock.set(rig.clock.now() + 1);
                 rig.gatherer->exchange().tick();
                 settle(rig.io);
-                for (; !due.empty() && due.front().first <= rig.clock.now(); due.pop_front()) due.front().second.answer("done", "v");
+                for (; !due.empty() && due.front().first <= rig.clock.now(); due.pop_front())
+                    due.front().second.answer("done", "v");
                 settle(rig.io);
             }
         };
@@ -516,9 +537,12 @@
         leavers.noticed(Counter::goneAfterSent);
         passUntil([&] { return held.size() == leavers.all.size() + 2; });
         CHECK(held.back().starts_with("stay.0") && rig.count(Counter::attemptsTimedOut) == (copies ? 0 : 1));
-        passUntil([&] { return stays.answers.size() == 1; });  // what they would have had, they would have had before
-        CHECK(std::count_if(held.begin(), held.end(), [](const std::string& h) { return !h.starts_with("stay"); }) ==
-              static_cast<std::ptrdiff_t>(leavers.all.size()));
+        passUntil([&] {
+            return stays.answers.size() == 1;
+        });  // what they would have had, they would have had before
+        CHECK(std::count_if(held.begin(), held.end(), [](const std::string& h) {
+                  return !h.starts_with("stay");
+              }) == static_cast<std::ptrdiff_t>(leavers.all.size()));
     }
 }
 
@@ -541,7 +565,9 @@
 void sendsFarAheadOfItsAnswersEnd() {
     FrameHost host(Rig::loop());
     std::vector<FrameHost::Part> held;
-    host.onPart = [&](const FrameHost::Part& p) { p.id.starts_with("t.") ? held.push_back(p) : p.answer("done", "v"); };
+    host.onPart = [&](const FrameHost::Part& p) {
+        p.id.starts_with("t.") ? held.push_back(p) : p.answer("done", "v");
+    };
     Rig rig({host.address()}, [](Config& c) {
         oneHost(c);
         c.settings.shards = 64;
@@ -575,7 +601,8 @@
         CHECK(!error || error == asio::error::would_block || error == asio::error::eof);
         settle(rig.io);
     }
-    CHECK(answers.starts_with("HTTP/1.1 200") && answers.find("HTTP/1.1", 1) == std::string::npos && answers.ends_with("\"whole\":true}"));
+    CHECK(answers.starts_with("HTTP/1.1 200") && answers.find("HTTP/1.1", 1) == std::string::npos &&
+          answers.ends_with("\"whole\":true}"));
     CHECK(rig.count(Counter::queriesTaken) == 51);
 }
 
@@ -584,12 +611,14 @@
     HoldingHost host;
     Rig rig({host.address()}, oneHost);
     Client client(rig.io, rig.gatherer->endpoint());
-    const std::string text = query("t", {0}, 10'000'000, std::string(20'000, 'x'));  // more than one look brings
+    const std::string text =
+        query("t", {0}, 10'000'000, std::string(20'000, 'x'));  // more than one look brings
     client.send(text.substr(0, 100));
     settle(rig.io);
     rig.clock.set(rig.clock.now() + 2100);
     const auto began = std::chrono::steady_clock::now();
-    while (std::chrono::steady_clock::now() - began < std::chrono::milliseconds(300));  // the look at all connections is due
+    while (std::chrono::steady_clock::now() - began < std::chrono::milliseconds(300))
+        ;  // the look at all connections is due
     client.send(text.substr(100));
     until(rig.io, [&] { return host.held.size() == 1 || !client.answers.empty(); });
     CHECK(client.answers.empty());
@@ -617,7 +646,8 @@
     until(s.rig.io, [&] { return s.rig.gatherer->exchange().live() == 2; });
     s.host.peers[0]->send(net::response(200, "application/json", kFound, true));
     until(s.rig.io, [&] { return client.answers.size() == 1; });
-    CHECK(client.answers[0].status == 200 && s.rig.count(Counter::attemptsWritten) == 0 && s.rig.count(Counter::attemptsSent) == 1);
+    CHECK(client.answers[0].status == 200 && s.rig.count(Counter::attemptsWritten) == 0 &&
+          s.rig.count(Counter::attemptsSent) == 1);
     s.host.read(0);
     until(s.rig.io, [&] { return s.host.seen.find("after") != std::string::npos; });
     CHECK(s.host.seen.find("end") != std::string::npos && s.host.peers.size() == 1);
@@ -636,7 +666,8 @@
             CHECK(s.rig.count(Counter::attemptsWritten) == 0);
             s.host.read(0);
             until(s.rig.io, [&] { return s.host.peers[0]->ended; });
-            CHECK(s.host.seen.find("xxx") != std::string::npos && s.host.seen.find("end") == std::string::npos);
+            CHECK(s.host.seen.find("xxx") != std::string::npos &&
+                  s.host.seen.find("end") == std::string::npos);
         }
 }
 
@@ -735,8 +766,12 @@
     }
     for (const bool gone : {true, false}) {  // but none that nobody waits for, and none to a host that drains
         LateDial late(false, 800);
-        if (gone) late.next.peer->close();
-        else late.rig.gatherer->exchange().list({coordinator::ListKind::changes, {host("h0", late.host.address(), 0, coordinator::ServerState::draining)}});
+        if (gone)
+            late.next.peer->close();
+        else
+            late.rig.gatherer->exchange().list(
+                {coordinator::ListKind::changes,
+                 {host("h0", late.host.address(), 0, coordinator::ServerState::draining)}});
         until(late.rig.io, [&] { return late.rig.count(Counter::dialsFailed) == 1; });
         CHECK(late.rig.count(Counter::dials) == 2 && late.rig.count(Counter::dialsBeside) == 0);
     }
@@ -746,7 +781,9 @@
 void lateAnswerMeetsTheNextAttempt() {
     FrameHost host(Rig::loop());
     std::vector<FrameHost::Part> held;
-    host.onPart = [&](const FrameHost::Part& p) { p.id == "t.0" ? held.push_back(p) : p.answer("done", "v"); };
+    host.onPart = [&](const FrameHost::Part& p) {
+        p.id == "t.0" ? held.push_back(p) : p.answer("done", "v");
+    };
     Rig rig({host.address()}, [](Config& c) {
         oneHost(c);
         c.settings.parallelTries = false;
@@ -791,14 +828,18 @@
 const std::string kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 std::string chunk(const std::string& text) { return fmt::format("{:x}\r\n{}\r\n", text.size(), text); }
 std::string change(int generation, const std::string& state = "Ready") {
-    return fmt::format(R"({{"generation":{},"reset":false,"instances":[{{"instanceId":"h{{\"}}","hostPort":"127.0.0.1:1",)"
-                       R"("cell":0,"lifecycle":"{}"}}]}})", generation, state);
+    return fmt::format(
+        R"({{"generation":{},"reset":false,"instances":[{{"instanceId":"h{{\"}}","hostPort":"127.0.0.1:1",)"
+        R"("cell":0,"lifecycle":"{}"}}]}})",
+        generation, state);
 }
 std::string indented(const std::string& json) { return nlohmann::json::parse(json).dump(2); }
 
 struct Watched {
     explicit Watched(discovery::WatchTimes times = {})
-        : watch(io, clock, counters, log, agent.endpoint(), 3, [this](const HostList& l) { lists.push_back(l); }, times) {
+        : watch(
+              io, clock, counters, log, agent.endpoint(), 3,
+              [this](const HostList& l) { lists.push_back(l); }, times) {
         watch.start();
         until(io, [&] { return agent.targets.size() == 1; });
     }
@@ -822,7 +863,8 @@
     until(w.io, [&] { return w.lists.size() == 1; });
     const auto began = std::chrono::steady_clock::now();
     w.agent.peers[0]->send(chunk("\n"));
-    while (std::chrono::steady_clock::now() - began < std::chrono::milliseconds(80));  // the loop stands still
+    while (std::chrono::steady_clock::now() - began < std::chrono::milliseconds(80))
+        ;  // the loop stands still
     w.io.restart();
     w.io.poll_one();
     settle(w.io);
@@ -845,7 +887,8 @@
         moved = true;
     });
     const auto began = std::chrono::steady_clock::now();
-    while (std::chrono::steady_clock::now() - began < std::chrono::milliseconds(60));  // both are due by now
+    while (std::chrono::steady_clock::now() - began < std::chrono::milliseconds(60))
+        ;  // both are due by now
     until(w.io, [&] { return other.targets.size() == 1; });
     other.peers[0]->send(kHead + chunk(change(9) + "\n"));
     until(w.io, [&] { return w.lists.size() == 1; });
@@ -856,10 +899,12 @@
 // What can't be used ends its watch, so that nothing is jumped over; a list may be spread over lines, and need not end.
 void badAndSpreadLists() {
     Watched w({3000, 1000, 1});
-    w.agent.peers[0]->send(kHead + chunk(indented(change(4)) + "\n\n") + chunk(indented(change(5, "Terminating")) + "\n"));
+    w.agent.peers[0]->send(kHead + chunk(indented(change(4)) + "\n\n") +
+                           chunk(indented(change(5, "Terminating")) + "\n"));
     until(w.io, [&] { return w.lists.size() == 2; });
     CHECK(w.lists[1].entries[0].entry.id == "h{\"}" && w.watch.generation() == 5);
-    const std::string bads[] = {"nonsense\n", "{\"generation\":6}\n", change(6).substr(0, 40) + "\n\n", "[]\n"};
+    const std::string bads[] = {"nonsense\n", "{\"generation\":6}\n", change(6).substr(0, 40) + "\n\n",
+                                "[]\n"};
     std::uint64_t bad = 0;
     for (const std::string& text : bads) {
         w.agent.peers.back()->send((bad == 0 ? "" : kHead) + chunk(text) + chunk(change(7) + "\n"));
