--- a/tests/net/ops_test.cpp
+++ b/tests/net/ops_test.cpp
@@ -85,8 +85,9 @@
         CHECK(staff.call(get("/ops/readiness")).status == 200);
     }
     staff.rig.clock.set(staff.rig.clock.now() + 2300);
-    until(staff.rig.io,
-          [&] { return std::all_of(slow.begin(), slow.end(), [](const auto& c) { return c->peer->ended; }); });
+    until(staff.rig.io, [&] {
+        return std::all_of(slow.begin(), slow.end(), [](const auto& c) { return c->peer->ended; });
+    });
 }
 
 void drainsAndIsUndone() {
@@ -134,8 +135,7 @@
     Folder() { CHECK(::mkdtemp(path.data()) != nullptr); }
     ~Folder() { std::filesystem::remove_all(path); }
     std::string file() const { return path + "/beechpoint-n0.bans"; }
-    std::string path =
-        std::filesystem::canonical("/proc/self/exe").parent_path() / "beechpoint-state-XXXXXX";
+    std::string path = std::filesystem::canonical("/proc/self/exe").parent_path() / "beechpoint-state-XXXXXX";
 };
 
 // Taken out, a host gets nothing: in this process, in one beside it, in one that comes after; put back, it does.
@@ -223,7 +223,8 @@
     bool ended = false;
     old.rig.gatherer->stop([&] { ended = true; });
     until(io, [&] { return ended && answered == 2000; });
-    CHECK(asked == 2000 && old.rig.count(Counter::queriesTaken) + next.rig.count(Counter::queriesTaken) == 2000);
+    CHECK(asked == 2000 &&
+          old.rig.count(Counter::queriesTaken) + next.rig.count(Counter::queriesTaken) == 2000);
     CHECK(next.rig.count(Counter::queriesTaken) >= 1000);  // all connections moved over
 }
 
@@ -245,9 +246,11 @@
             clients.back()->send(query("t" + std::to_string(++id), {0, 1}));
         }
         const auto refused = [&] {
-            return std::count_if(clients.begin(), clients.end(), [](const auto& c) { return !c->answers.empty(); });
+            return std::count_if(clients.begin(), clients.end(),
+                                 [](const auto& c) { return !c->answers.empty(); });
         };
-        until(io, [&] { return static_cast<int>(old.rig.gatherer->exchange().live() + refused()) == queries; });
+        until(io,
+              [&] { return static_cast<int>(old.rig.gatherer->exchange().live() + refused()) == queries; });
         const auto live = old.rig.gatherer->exchange().live();
         clients.clear();
         until(io, [&] { return old.rig.gatherer->exchange().live() == 0; });
@@ -266,14 +269,16 @@
 
 // A file of the folder that another process of this gatherer holds locked.
 struct Held {
-    Held(const std::string& path, const std::string& text) : fd(::open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600)) {
+    Held(const std::string& path, const std::string& text)
+        : fd(::open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600)) {
         CHECK(fd >= 0 && ::flock(fd, LOCK_EX | LOCK_NB) == 0);
         write(text);
     }
     ~Held() { ::close(fd); }
     Held(const Held&) = delete;
     void write(const std::string& text) {
-        CHECK(::ftruncate(fd, 0) == 0 && ::pwrite(fd, text.data(), text.size(), 0) == static_cast<ssize_t>(text.size()));
+        CHECK(::ftruncate(fd, 0) == 0 &&
+              ::pwrite(fd, text.data(), text.size(), 0) == static_cast<ssize_t>(text.size()));
     }
     int fd;
 };
@@ -285,7 +290,8 @@
     asio::io_context& io = old.rig.io;
     Held record(folder.path + "/beechpoint-n0.other.process", R"({"started":1e15,"state":0})");
     until(io, [&] { return old.rig.gatherer->limitsShare() == 0.5; });
-    old.rig.clock.set(old.rig.clock.now());  // half a second never passes: only the record can close the listener
+    old.rig.clock.set(
+        old.rig.clock.now());  // half a second never passes: only the record can close the listener
     const tcp::endpoint at = old.rig.gatherer->endpoint();
     bool ended = false;
     old.rig.gatherer->stop([&] { ended = true; });
@@ -322,7 +328,8 @@
     CHECK(caller.answers.empty());
     lock.reset();  // now it could be had
     old.reset();
-    asio::steady_timer later(io, std::chrono::milliseconds(50));  // behind the next try, which is due within 10 ms
+    asio::steady_timer later(
+        io, std::chrono::milliseconds(50));  // behind the next try, which is due within 10 ms
     later.async_wait([&](asio::error_code) { passed = true; });
     until(io, [&] { return passed; });
     CHECK(!std::filesystem::exists(folder.file()));
@@ -339,7 +346,8 @@
     for (std::size_t cut = 0; cut + 2 < sound.size(); ++cut) CHECK(!admin::readBans(sound.substr(0, cut)));
     std::string other = sound;
     other.replace(other.find("h0"), 2, "h2");  // the checksum is another one's
-    for (const std::string& text : {other, std::string("{\"version\":2}"), std::string("[]"), std::string("null")})
+    for (const std::string& text :
+         {other, std::string("{\"version\":2}"), std::string("[]"), std::string("null")})
         CHECK(!admin::readBans(text));
     Folder folder;
     std::ofstream(folder.file()) << other;
@@ -347,7 +355,8 @@
     CHECK(staff.stat("hosts_down") == 0);
     CHECK(staff.call(put("/ops/track-hosts/down/h0")).status == 200);  // and written anew
     std::ifstream file(folder.file());
-    CHECK(admin::readBans(std::string(std::istreambuf_iterator<char>(file), {})) == admin::HostBans::Hosts({"h0"}));
+    CHECK(admin::readBans(std::string(std::istreambuf_iterator<char>(file), {})) ==
+          admin::HostBans::Hosts({"h0"}));
 }
 
 }  // namespace
--- a/tests/net/parse_test.cpp
+++ b/tests/net/parse_test.cpp
@@ -246,7 +246,8 @@
     const auto read = [](const std::string& body, const std::string& url = "",
                          const std::string& index = "pallets") {
         try {
-            const frontend::Search s = frontend::readSearch(index, body, frontend::readParameters(url), kSearch);
+            const frontend::Search s =
+                frontend::readSearch(index, body, frontend::readParameters(url), kSearch);
             std::string slices;
             for (const int slice : s.slices) slices += "," + std::to_string(slice);
             return std::to_string(s.from) + "+" + std::to_string(s.size) + " " +
@@ -369,7 +370,8 @@
         refused = true;
     }
     CHECK(refused);
-    const std::string error = frontend::searchErrorBody({404, "index_not_found_exception", "no such index [x]"});
+    const std::string error =
+        frontend::searchErrorBody({404, "index_not_found_exception", "no such index [x]"});
     CHECK(error.find(R"("root_cause":[{"reason":"no such index [x]","type":"index_not_found_exception"}])") !=
           std::string::npos);
     CHECK(error.find(R"("status":404)") != std::string::npos);
--- a/tests/net/sockets_test.cpp
+++ b/tests/net/sockets_test.cpp
@@ -253,7 +253,8 @@
         Single s;
         s.host.onPart = [&, more = more](const FrameHost::Part& p) {
             std::string all;
-            backend::writeFrame(all, 'R', p.id + " done 1 " + (more == "report" ? "a=b=c,,\xff" : "-") + "\nv");
+            backend::writeFrame(all, 'R',
+                                p.id + " done 1 " + (more == "report" ? "a=b=c,,\xff" : "-") + "\nv");
             p.peer.send(all + (more == "copy" ? all : more == "report" ? "" : more));
         };
         CHECK(s.client.ask(query("t1", {0})).has(R"("value":"v")"));
--- a/tests/recovery/recovery_model.cpp
+++ b/tests/recovery/recovery_model.cpp
@@ -362,9 +362,11 @@
         });
     }
 
-    void onPeerUpdateReply(std::size_t member, std::size_t to, const std::optional<control::PeerUpdateReply>& reply) {
+    void onPeerUpdateReply(std::size_t member, std::size_t to,
+                           const std::optional<control::PeerUpdateReply>& reply) {
         Member& at = *members_[member];
-        perform(member, at.state.onPeerUpdateReply(schedule_.now(), &at.table, view_.members[to].name, reply));
+        perform(member,
+                at.state.onPeerUpdateReply(schedule_.now(), &at.table, view_.members[to].name, reply));
     }
 
     void count(std::uint64_t& messages, std::uint64_t& total, std::uint64_t& quiet, std::size_t bytes) {
--- a/tests/recovery/recovery_model.hpp
+++ b/tests/recovery/recovery_model.hpp
@@ -29,11 +29,11 @@
 };
 
 struct ModelResult {
-    std::size_t served = 0;                      // gateways that hold table and host list
-    Millis lastServedAt = 0;                     // since the members' start
-    std::uint64_t answers = 0, answerBytes = 0;  // to gateways, until the last one was served
-    std::uint64_t peerUpdates = 0, shareBytes = 0;    // between members, until then
-    std::uint64_t giveUps = 0;                   // polls without an answer in time
+    std::size_t served = 0;                         // gateways that hold table and host list
+    Millis lastServedAt = 0;                        // since the members' start
+    std::uint64_t answers = 0, answerBytes = 0;     // to gateways, until the last one was served
+    std::uint64_t peerUpdates = 0, shareBytes = 0;  // between members, until then
+    std::uint64_t giveUps = 0;                      // polls without an answer in time
     std::uint64_t largestAnswer = 0;
     std::uint64_t quietAnswerBytes = 0, quietShareBytes = 0;  // in the last 5 s
 };
--- a/tests/simulation/poll_service.cpp
+++ b/tests/simulation/poll_service.cpp
@@ -63,8 +63,9 @@
             if (!node.empty()) node.mapped()(control::encode(answer.reply));
         }
         for (const control::PeerUpdateCall& call : actions.peerUpdates)
-            port_.callMember(call.address, control::encode(call.peerUpdate), control::kPeerUpdateTimeout,
-                             [this, member = call.member](const Bytes& bytes) { onPeerUpdateReply(member, bytes); });
+            port_.callMember(
+                call.address, control::encode(call.peerUpdate), control::kPeerUpdateTimeout,
+                [this, member = call.member](const Bytes& bytes) { onPeerUpdateReply(member, bytes); });
     }
 
     void onPeerUpdateReply(const std::string& member, const Bytes& bytes) {
