--- a/tests/system/system.cpp
+++ b/tests/system/system.cpp
@@ -55,7 +55,8 @@
       relay_(background_,
              [this](const auto& caller, const auto& called) { return owners_.ownerOf(caller, called); }),
       surroundings_(background_, endpointOf(addresses_.platform(), Ports::kPlatform),
-                    endpointOf(addresses_.host(), Ports::kHost)) {
+                    endpointOf(addresses_.host(), Ports::kHost)),
+      program_(program()) {
     for (std::size_t member = 0; member < kMostMembers; ++member)
         for (const std::uint16_t port : {Ports::kInternal, Ports::kControl})
             relay_.serve(nodeOf(member), endpointOf(addresses_.relayed(member), port),
@@ -118,7 +119,7 @@
                     const std::string& settings) {
     const fs::path path = fileOf(node, "toml");
     std::ofstream(path) << settings;
-    process.launch(program(), {role, "--settings", path.string()}, fileOf(node, "log").string(), kOpenFiles);
+    process.launch(program_, {role, "--settings", path.string()}, fileOf(node, "log").string(), kOpenFiles);
     owners_.add(node, process.pid());
 }
 
@@ -133,11 +134,19 @@
 }
 
 void System::signalMember(std::size_t member, int signal) { members_[member].signal(signal); }
+void System::signalGateway(std::size_t gateway, int signal) { gateways_[gateway].signal(signal); }
 
 std::optional<int> System::awaitEnd(std::size_t member, Millis most) {
+    return awaitEndOf(members_[member], nodeOf(member), most);
+}
+std::optional<int> System::awaitGatewayEnd(std::size_t gateway, Millis most) {
+    return awaitEndOf(gateways_[gateway], gatewayNode(gateway), most);
+}
+
+std::optional<int> System::awaitEndOf(emulator::RealProcess& process, const std::string& node, Millis most) {
     int status = 0;
-    if (!await([&] { return members_[member].reap(status); }, most)) return std::nullopt;
-    owners_.remove(nodeOf(member));
+    if (!await([&] { return process.reap(status); }, most)) return std::nullopt;
+    owners_.remove(node);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
@@ -218,6 +227,10 @@
     return addressText(addresses_.member(member), Ports::kInternal);
 }
 
+std::string System::frontAddress(std::size_t gateway) const {
+    return addressText(addresses_.gateway(gateway), Ports::kFront);
+}
+
 std::vector<std::string> System::gatewayMetrics() const {
     std::vector<std::string> addresses;
     for (std::size_t gateway = 0; gateway < shape_.gateways; ++gateway)
@@ -270,6 +283,8 @@
 std::string configurationText(std::uint64_t revision, const std::string& author) {
     return fmt::format(
         R"({{"revision":{},"routes":[{{"name":"r1","hostname":"system.example","path_prefix":"{}",)"
+        R"("type":"idempotent","timeout_ms":2000,"backend":"s1"}},)"
+        R"({{"name":"steady","hostname":"system.example","path_prefix":"/steady/",)"
         R"("type":"idempotent","timeout_ms":2000,"backend":"s1"}}],)"
         R"("services":[{{"name":"s1","max_connections":10}}]}})",
         revision, routePath(revision, author));
--- a/tests/system/system.hpp
+++ b/tests/system/system.hpp
@@ -42,14 +42,19 @@
     // All members with bootstrap, and all gateways. Whether the system came to serve.
     bool found();
 
+    // What processes run that are started from now on; at first the program of this build.
+    void useProgram(std::string path) { program_ = std::move(path); }
+
     // The seeds are members; none: the founders.
     void startMember(std::size_t member, bool bootstrap = false, const Members& seeds = {});
     void startGateway(std::size_t gateway, const Members& seeds = {});
     void killMember(std::size_t member);  // SIGKILL
     void killGateway(std::size_t gateway);
     void signalMember(std::size_t member, int signal);
+    void signalGateway(std::size_t gateway, int signal);
     // The status that the process ended with; nothing where it goes on running.
     std::optional<int> awaitEnd(std::size_t member, Millis most = kConditionMost);
+    std::optional<int> awaitGatewayEnd(std::size_t gateway, Millis most = kConditionMost);
     void wipe(std::size_t member);  // its disk; not while it runs
     bool runs(std::size_t member) const { return members_[member].runs(); }
 
@@ -74,6 +79,8 @@
     std::string directControl(std::size_t member) const;
     std::string directInternal(std::size_t member) const;
     std::vector<std::string> gatewayMetrics() const;  // addresses
+    // Where clients reach a gateway.
+    std::string frontAddress(std::size_t gateway) const;
     // The members of the view in the order of the chain, as this member knows it.
     Members chainAt(std::size_t member) const;
 
@@ -89,6 +96,7 @@
     std::string commonSettings(const std::string& node, const std::string& ip, const Members& seeds) const;
     void launch(emulator::RealProcess& process, const std::string& node, const char* role,
                 const std::string& settings);
+    std::optional<int> awaitEndOf(emulator::RealProcess& process, const std::string& node, Millis most);
     bool inView(std::size_t member, const Members& members) const;
 
     Shape shape_;
@@ -102,9 +110,14 @@
     std::array<emulator::RealProcess, kMostMembers> members_;
     std::array<emulator::RealProcess, kMostGateways> gateways_;
     std::uint64_t asked_ = 0;
+    std::string program_;
 };
 
-// The whole configuration under a revision, as one operator writes it: a route that only this revision of this author has.
+// A path below the route that every configuration has.
+inline constexpr const char* kSteadyPath = "/steady/x";
+
+// The whole configuration under a revision, as one operator writes it: a route that only this revision of this author has, and one that all
+// have.
 std::string configurationText(std::uint64_t revision, const std::string& author = "first");
 std::string routePath(std::uint64_t revision, const std::string& author = "first");
 
