--- a/src/control/gateway_service_state.cpp
+++ b/src/control/gateway_service_state.cpp
@@ -111,7 +111,7 @@
 
 ServiceActions GatewayServiceState::tick(Millis now, const CommittedTableSource* table) {
     ServiceActions actions;
-    leases_.look(now);
+    leases_.advanceTo(now);
     lookAtCount(now);
     lookAtHosts(now, table);
     wakeForCount(now, table, actions);
--- a/src/leases/lease_table.cpp
+++ b/src/leases/lease_table.cpp
@@ -29,14 +29,14 @@
     : settings_(settings), wholeSince_(now), lookedAt_(now) {}
 
 bool LeaseTable::renew(Millis now, Gateway gateway) {
-    look(now);
+    advanceTo(now);
     const bool taken = put(now, std::move(gateway), now, true);
     note(now);
     return taken;
 }
 
 void LeaseTable::merge(Millis now, const std::vector<ReportedLease>& leases) {
-    look(now);
+    advanceTo(now);
     for (const ReportedLease& shared : leases) {
         const Millis age = std::max(0.0, shared.age);
         if (age < settings_.leaseMs) put(now, shared.gateway, now - age, false);
@@ -75,7 +75,7 @@
 }
 
 std::vector<std::uint64_t> LeaseTable::mergeRenewals(Millis now, const std::vector<Renewal>& renewals) {
-    look(now);
+    advanceTo(now);
     std::vector<std::uint64_t> unknown;
     for (const Renewal& renewal : renewals) {
         const auto name = names_.find(renewal.id);
@@ -103,7 +103,7 @@
     return granted;
 }
 
-void LeaseTable::look(Millis now) {
+void LeaseTable::advanceTo(Millis now) {
     if (now - lookedAt_ > settings_.lateWakeMs) wholeSince_ = now;
     lookedAt_ = std::max(lookedAt_, now);
     expire(now);
--- a/src/leases/lease_table.hpp
+++ b/src/leases/lease_table.hpp
@@ -82,7 +82,7 @@
     // What another member renewed. Returns the ids that name no lease known here.
     std::vector<std::uint64_t> mergeRenewals(Millis now, const std::vector<Renewal>& renewals);
     // To be called every few hundred ms: ends leases, notes the count, notices a late wake.
-    void look(Millis now);
+    void advanceTo(Millis now);
 
     std::vector<Gateway> live(Millis now) const;              // by name
     std::vector<ReportedLease> liveLeases(Millis now) const;  // the same, with their ages
--- a/tests/leases/lease_table_test.cpp
+++ b/tests/leases/lease_table_test.cpp
@@ -28,7 +28,7 @@
 
 // Looks often, as the driver does, so that no late wake is seen.
 void run(LeaseTable& table, Millis from, Millis to) {
-    for (Millis now = from; now <= to; now += 250) table.look(now);
+    for (Millis now = from; now <= to; now += 250) table.advanceTo(now);
 }
 
 TEST(LeaseTable, EndsALeaseThatIsNotRenewed) {
@@ -63,7 +63,7 @@
     ASSERT_EQ(table.count(kStart + 4000), 1u);
     // The process does not run for eight seconds: its own lease book is old, not the gateways gone.
     const Millis woken = kStart + 12000;
-    table.look(woken);
+    table.advanceTo(woken);
     EXPECT_FALSE(table.count(woken).has_value());
     run(table, woken, woken + 2000);
     table.renew(woken + 2000, gateway("g1"));
