--- a/src/control/gateway_service.cpp
+++ b/src/control/gateway_service.cpp
@@ -53,9 +53,9 @@
         const PollTicket ticket = ++lastTicket_;
         replies_.emplace(ticket, std::move(reply));
         const std::string gateway = request.gateway.name;
-        const std::uint64_t refused = state_.leases().refused();
+        const std::uint64_t refused = state_.leases().rejectedGrants();
         perform(state_.onPoll(clock_.now(), table(), std::move(request), ticket));
-        if (state_.leases().refused() != refused)
+        if (state_.leases().rejectedGrants() != refused)
             logger_.seldom("leases", "the lease table is full: gateway {} is refused",
                            field("gateway", gateway));
     }
--- a/src/leases/lease_table.cpp
+++ b/src/leases/lease_table.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr char kBetweenFields = '\n';
+constexpr char kFieldSeparator = '\n';
 
 }  // namespace
 
@@ -17,7 +17,7 @@
     std::string text;
     for (const std::string* field : {&gateway.zone, &gateway.region, &gateway.frontAddress}) {
         text += *field;
-        text += kBetweenFields;
+        text += kFieldSeparator;
     }
     text += std::to_string(gateway.session);
     text += gateway.ready ? '1' : '0';
@@ -26,51 +26,55 @@
 }
 
 LeaseTable::LeaseTable(Settings settings, Millis now)
-    : settings_(settings), wholeSince_(now), lookedAt_(now) {}
+    : settings_(settings), incompleteSince_(now), lastAdvance_(now) {}
 
 bool LeaseTable::renew(Millis now, Gateway gateway) {
     advanceTo(now);
-    const bool taken = put(now, std::move(gateway), now, true);
-    note(now);
-    return taken;
+    const bool granted = put(now, std::move(gateway), now, Granter::thisMember);
+    recordCount(now);
+    return granted;
 }
 
 void LeaseTable::merge(Millis now, const std::vector<ReportedLease>& leases) {
     advanceTo(now);
-    for (const ReportedLease& shared : leases) {
-        const Millis age = std::max(0.0, shared.age);
-        if (age < settings_.leaseMs) put(now, shared.gateway, now - age, false);
+    for (const ReportedLease& reported : leases) {
+        const Millis age = std::max(0.0, reported.age);
+        if (age < settings_.leaseMs) put(now, reported.gateway, now - age, Granter::otherMember);
     }
-    note(now);
+    recordCount(now);
 }
 
-bool LeaseTable::put(Millis now, Gateway gateway, Millis grantedAt, bool here) {
-    auto found = leases_.find(gateway.name);
-    if (found == leases_.end()) {
-        if (leases_.size() >= settings_.maxGateways) {
-            refused_++;
-            return false;
-        }
-        found = leases_.emplace(gateway.name, Lease{}).first;
+// nullptr where the table is full.
+LeaseTable::Lease* LeaseTable::findOrAdd(const std::string& name) {
+    const auto found = leases_.find(name);
+    if (found != leases_.end()) return &found->second;
+    if (leases_.size() >= settings_.maxGateways) {
+        rejectedGrants_++;
+        return nullptr;
     }
-    Lease& lease = found->second;
-    if (!takeGrant(lease, now, grantedAt, here)) return true;
+    return &leases_.emplace(name, Lease{}).first->second;
+}
+
+bool LeaseTable::put(Millis now, Gateway gateway, Millis grantedAt, Granter granter) {
+    Lease* const lease = findOrAdd(gateway.name);
+    if (!lease) return false;
+    if (!acceptGrant(*lease, now, grantedAt, granter)) return true;
     const std::uint64_t id = idOf(gateway);
-    if (lease.id != id) {
-        names_.erase(lease.id);
+    if (lease->id != id) {
+        names_.erase(lease->id);
         names_[id] = gateway.name;
     }
-    lease.id = id;
-    lease.gateway = std::move(gateway);
+    lease->id = id;
+    lease->gateway = std::move(gateway);
     return true;
 }
 
-// False where a younger grant is known, of this or of a later session.
-bool LeaseTable::takeGrant(Lease& lease, Millis now, Millis grantedAt, bool here) const {
+// False where a later grant is known, of this or of another session: reports may arrive out of order.
+bool LeaseTable::acceptGrant(Lease& lease, Millis now, Millis grantedAt, Granter granter) const {
     const bool isNew = lease.id == 0;
     if (!isNew && runs(lease, now) && grantedAt < lease.grantedAt) return false;
     lease.grantedAt = grantedAt;
-    lease.grantedHere = here;
+    lease.grantedHere = granter == Granter::thisMember;
     return true;
 }
 
@@ -82,9 +86,9 @@
         if (name == names_.end())
             unknown.push_back(renewal.id);
         else if (renewal.ageMs < settings_.leaseMs)
-            takeGrant(leases_.at(name->second), now, now - renewal.ageMs, false);
+            acceptGrant(leases_.at(name->second), now, now - renewal.ageMs, Granter::otherMember);
     }
-    note(now);
+    recordCount(now);
     return unknown;
 }
 
@@ -104,22 +108,25 @@
 }
 
 void LeaseTable::advanceTo(Millis now) {
-    if (now - lookedAt_ > settings_.lateWakeMs) wholeSince_ = now;
-    lookedAt_ = std::max(lookedAt_, now);
+    if (now - lastAdvance_ > settings_.lateWakeMs) incompleteSince_ = now;
+    lastAdvance_ = std::max(lastAdvance_, now);
     expire(now);
-    note(now);
+    recordCount(now);
 }
 
 void LeaseTable::expire(Millis now) {
-    for (auto next = leases_.begin(); next != leases_.end();) {
-        const auto lease = next++;
-        if (runs(lease->second, now)) continue;
-        names_.erase(lease->second.id);
-        leases_.erase(lease);
+    for (auto entry = leases_.begin(); entry != leases_.end();) {
+        if (runs(entry->second, now)) {
+            ++entry;
+            continue;
+        }
+        names_.erase(entry->second.id);
+        entry = leases_.erase(entry);
     }
 }
 
-void LeaseTable::note(Millis now) {
+// Keeps the counts falling (a monotonic queue): a count that is not above the present one can no longer be the maximum.
+void LeaseTable::recordCount(Millis now) {
     const std::uint32_t live = countLive(now);
     while (!counts_.empty() && counts_.back().live <= live) counts_.pop_back();
     counts_.push_back({now, live});
@@ -151,12 +158,12 @@
 }
 
 std::optional<std::uint32_t> LeaseTable::count(Millis now) const {
-    if (!known(now)) return std::nullopt;
+    if (!isComplete(now)) return std::nullopt;
     return countLive(now);
 }
 
 std::optional<std::uint32_t> LeaseTable::largestLive(Millis now) const {
-    if (!known(now)) return std::nullopt;
+    if (!isComplete(now)) return std::nullopt;
     std::uint32_t largest = countLive(now);
     for (const Count& count : counts_)
         if (now - count.until <= settings_.windowMs) largest = std::max(largest, count.live);
--- a/src/leases/role_assignment.cpp
+++ b/src/leases/role_assignment.cpp
@@ -4,7 +4,6 @@
 #include <xxhash.h>
 
 #include <algorithm>
-#include <utility>
 
 namespace beechpoint::leases {
 
@@ -14,21 +13,21 @@
 }
 
 std::vector<std::string> rendezvousOrder(std::string_view role, std::vector<std::string> members) {
-    const auto before = [role](const std::string& one, const std::string& other) {
-        const std::uint64_t weightOfOne = rendezvousWeight(role, one);
-        const std::uint64_t weightOfOther = rendezvousWeight(role, other);
-        if (weightOfOne != weightOfOther) return weightOfOne > weightOfOther;
-        return one < other;
+    const auto ranksBefore = [role](const std::string& left, const std::string& right) {
+        const std::uint64_t leftWeight = rendezvousWeight(role, left);
+        const std::uint64_t rightWeight = rendezvousWeight(role, right);
+        if (leftWeight != rightWeight) return leftWeight > rightWeight;
+        return left < right;
     };
-    std::sort(members.begin(), members.end(), before);
+    std::sort(members.begin(), members.end(), ranksBefore);
     return members;
 }
 
 std::size_t rendezvousRank(std::string_view role, const std::vector<std::string>& members,
                            std::string_view member) {
     const std::vector<std::string> order = rendezvousOrder(role, members);
-    const auto place = std::find(order.begin(), order.end(), member);
-    return static_cast<std::size_t>(place - order.begin());
+    const auto found = std::find(order.begin(), order.end(), member);
+    return static_cast<std::size_t>(found - order.begin());
 }
 
 }  // namespace beechpoint::leases
--- a/tests/leases/lease_table_test.cpp
+++ b/tests/leases/lease_table_test.cpp
@@ -26,52 +26,52 @@
     return gateway;
 }
 
-// Looks often, as the driver does, so that no late wake is seen.
-void run(LeaseTable& table, Millis from, Millis to) {
+// Advances in short steps, as the driver does, so that no late wake is seen.
+void advanceInSteps(LeaseTable& table, Millis from, Millis to) {
     for (Millis now = from; now <= to; now += 250) table.advanceTo(now);
 }
 
-TEST(LeaseTable, EndsALeaseThatIsNotRenewed) {
+TEST(LeaseTable, ExpiresLeaseThatIsNotRenewed) {
     LeaseTable table(settings(), kStart);
     EXPECT_TRUE(table.renew(kStart, gateway("g1")));
     EXPECT_TRUE(table.renew(kStart, gateway("g2")));
-    run(table, kStart, kStart + 2000);
+    advanceInSteps(table, kStart, kStart + 2000);
     EXPECT_TRUE(table.renew(kStart + 2000, gateway("g2")));
-    run(table, kStart + 2000, kStart + 2999);
+    advanceInSteps(table, kStart + 2000, kStart + 2999);
     EXPECT_TRUE(table.isLive("g1", kStart + 2999));
     EXPECT_FALSE(table.isLive("g1", kStart + 3000));
-    run(table, kStart + 3000, kStart + 4000);
+    advanceInSteps(table, kStart + 3000, kStart + 4000);
     EXPECT_EQ(table.size(), 1u);
     ASSERT_EQ(table.live(kStart + 4000).size(), 1u);
     EXPECT_EQ(table.live(kStart + 4000).front().name, "g2");
 }
 
-TEST(LeaseTable, KnowsNoCountUntilEveryLiveGatewayMustHaveAsked) {
+TEST(LeaseTable, HasNoCountUntilEveryLiveGatewayMustHavePolled) {
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
-    run(table, kStart, kStart + 2900);
+    advanceInSteps(table, kStart, kStart + 2900);
     EXPECT_FALSE(table.count(kStart + 2900).has_value());
     EXPECT_FALSE(table.largestLive(kStart + 2900).has_value());
     table.renew(kStart + 2900, gateway("g1"));
     EXPECT_EQ(table.count(kStart + 3000), 1u);
 }
 
-TEST(LeaseTable, KnowsNoCountAfterALateWake) {
+TEST(LeaseTable, HasNoCountAfterLateWake) {
     LeaseTable table(settings(), kStart);
-    run(table, kStart, kStart + 4000);
+    advanceInSteps(table, kStart, kStart + 4000);
     table.renew(kStart + 4000, gateway("g1"));
     ASSERT_EQ(table.count(kStart + 4000), 1u);
-    // The process does not run for eight seconds: its own lease book is old, not the gateways gone.
+    // The process does not run for eight seconds: its own leases ran out, but the gateways are alive.
     const Millis woken = kStart + 12000;
     table.advanceTo(woken);
     EXPECT_FALSE(table.count(woken).has_value());
-    run(table, woken, woken + 2000);
+    advanceInSteps(table, woken, woken + 2000);
     table.renew(woken + 2000, gateway("g1"));
-    run(table, woken + 2000, woken + 3000);
+    advanceInSteps(table, woken + 2000, woken + 3000);
     EXPECT_EQ(table.count(woken + 3000), 1u);
 }
 
-TEST(LeaseTable, RemembersTheLargestCountOfTheWindow) {
+TEST(LeaseTable, ReturnsLargestCountOfWindow) {
     LeaseTable table(settings(), kStart);
     for (const char* name : {"g1", "g2", "g3"}) table.renew(kStart, gateway(name));
     for (Millis now = kStart; now <= kStart + 12000; now += 250) table.renew(now, gateway("g1"));
@@ -82,7 +82,7 @@
     EXPECT_EQ(table.largestLive(kStart + 13250), 1u);
 }
 
-TEST(LeaseTable, MergesWhatOthersGrantedByItsAge) {
+TEST(LeaseTable, MergesReportedLeasesByAge) {
     LeaseTable table(settings(), kStart);
     table.merge(kStart, {{gateway("g1"), 1000}, {gateway("g2"), 3000}});
     EXPECT_TRUE(table.isLive("g1", kStart + 1999));
@@ -90,7 +90,7 @@
     EXPECT_FALSE(table.isLive("g2", kStart));
 }
 
-TEST(LeaseTable, AnOlderGrantOfAnEarlierSessionChangesNothing) {
+TEST(LeaseTable, IgnoresOlderGrantOfEarlierSession) {
     LeaseTable table(settings(), kStart);
     Gateway restarted = gateway("g1", 2);
     restarted.ready = false;
@@ -103,7 +103,7 @@
     EXPECT_EQ(table.size(), 1u);
 }
 
-TEST(LeaseTable, SharesItsOwnLiveGrantsWithTheirAges) {
+TEST(LeaseTable, ReportsOwnLiveGrantsWithTheirAges) {
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     table.merge(kStart, {{gateway("g2"), 10}});
@@ -118,7 +118,7 @@
     EXPECT_TRUE(table.granted(kStart + 3300).empty());
 }
 
-TEST(LeaseTable, AGrantTakenOverByAnotherMemberIsNoLongerShared) {
+TEST(LeaseTable, DoesNotReportGrantRenewedAtAnotherMember) {
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     table.merge(kStart + 500, {{gateway("g1"), 0}});
@@ -127,30 +127,30 @@
     EXPECT_EQ(table.granted(kStart + 700).size(), 1u);
 }
 
-TEST(LeaseTable, RefusesGatewaysBeyondItsBoundAndRenewsTheRest) {
+TEST(LeaseTable, RejectsGatewaysBeyondLimitAndRenewsTheOthers) {
     LeaseTable table(settings(), kStart);
     for (const char* name : {"g1", "g2", "g3", "g4"}) EXPECT_TRUE(table.renew(kStart, gateway(name)));
     EXPECT_FALSE(table.renew(kStart, gateway("g5")));
     table.merge(kStart, {{gateway("g6"), 0}});
-    EXPECT_EQ(table.refused(), 2u);
+    EXPECT_EQ(table.rejectedGrants(), 2u);
     EXPECT_EQ(table.size(), 4u);
     EXPECT_TRUE(table.renew(kStart + 100, gateway("g4")));
-    run(table, kStart + 100, kStart + 3050);
+    advanceInSteps(table, kStart + 100, kStart + 3050);
     EXPECT_TRUE(table.renew(kStart + 3050, gateway("g5")));
 }
 
-// The deployment is to grow to 350 gateways; a gateway that is refused gets no configuration. Twice as many leave room for those
+// The deployment is to grow to 350 gateways; a gateway that is rejected gets no configuration. Twice as many leave room for those
 // that restart under other names while the old leases still run.
-TEST(LeaseTable, ItsDefaultBoundHoldsTwiceThePlannedGateways) {
+TEST(LeaseTable, DefaultLimitIsTwiceThePlannedGateways) {
     constexpr int kPlanned = 350;
     LeaseTable table(LeaseTable::Settings{}, kStart);
     for (int number = 0; number < 2 * kPlanned; number++)
         ASSERT_TRUE(table.renew(kStart, gateway("g" + std::to_string(number)))) << number;
     EXPECT_EQ(table.live(kStart).size(), 2u * kPlanned);
-    EXPECT_EQ(table.refused(), 0u);
+    EXPECT_EQ(table.rejectedGrants(), 0u);
 }
 
-TEST(LeaseTable, FindsWhatAGatewaySaidLastWhileItsLeaseRuns) {
+TEST(LeaseTable, FindsLastReportOfGatewayWhileLeaseRuns) {
     LeaseTable table(settings(), kStart);
     EXPECT_EQ(table.find("g1", kStart), nullptr);
     table.renew(kStart, gateway("g1", 1));
@@ -160,7 +160,7 @@
     EXPECT_EQ(table.find("g1", kStart + 3100), nullptr);
 }
 
-TEST(LeaseTable, SumsTheLoadOfTheOthers) {
+TEST(LeaseTable, SumsLoadOfOtherGateways) {
     LeaseTable table(settings(), kStart);
     Gateway one = gateway("g1"), two = gateway("g2"), three = gateway("g3");
     one.load = {{"i-1", 5}, {"i-2", 1}};
@@ -173,12 +173,12 @@
     EXPECT_EQ(table.loadOfOthers(kStart, "g3"), expected);
 }
 
-TEST(LeaseTable, TakesRenewalsOfWhatItWasTold) {
+TEST(LeaseTable, AppliesRenewalsOfReportedLeases) {
     LeaseTable here(settings(), kStart), there(settings(), kStart);
     here.renew(kStart, gateway("g1"));
     there.merge(kStart, here.granted(kStart));
-    run(here, kStart, kStart + 2000);
-    run(there, kStart, kStart + 2000);
+    advanceInSteps(here, kStart, kStart + 2000);
+    advanceInSteps(there, kStart, kStart + 2000);
     here.renew(kStart + 2000, gateway("g1"));
     const auto granted = here.grantedSince(kStart + 1000, kStart + 2100);
     ASSERT_EQ(granted.size(), 1u);
@@ -188,7 +188,7 @@
     EXPECT_FALSE(there.isLive("g1", kStart + 5000));
 }
 
-TEST(LeaseTable, SaysWhichRenewalsItDoesNotKnow) {
+TEST(LeaseTable, ReturnsIdsOfUnknownRenewals) {
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     Gateway later = gateway("g1", 2);
@@ -200,18 +200,18 @@
     EXPECT_EQ(table.find("g1", kStart + 2)->session, 2u);
 }
 
-TEST(LeaseTable, ARenewalOlderThanTheGrantKnownChangesNothing) {
+TEST(LeaseTable, IgnoresRenewalOlderThanKnownGrant) {
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
-    run(table, kStart, kStart + 1000);
+    advanceInSteps(table, kStart, kStart + 1000);
     EXPECT_TRUE(table.mergeRenewals(kStart + 1000, {{idOf(gateway("g1")), 2000}}).empty());
     EXPECT_TRUE(table.isLive("g1", kStart + 2999));
 }
 
-TEST(LeaseTable, ForgetsTheIdsOfLeasesThatEnded) {
+TEST(LeaseTable, RemovesIdsOfExpiredLeases) {
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
-    run(table, kStart, kStart + 3500);
+    advanceInSteps(table, kStart, kStart + 3500);
     EXPECT_EQ(table.mergeRenewals(kStart + 3500, {{idOf(gateway("g1")), 0}}).size(), 1u);
     EXPECT_EQ(table.size(), 0u);
 }
