--- a/src/storage/digests.cpp
+++ b/src/storage/digests.cpp
@@ -16,16 +16,16 @@
 }
 
 std::uint64_t digestOf(const std::string& key, const std::string& value) {
-    const std::uint64_t ofKey = XXH3_64bits(key.data(), key.size());
-    return XXH3_64bits_withSeed(value.data(), value.size(), ofKey);
+    const std::uint64_t keyHash = XXH3_64bits(key.data(), key.size());
+    return XXH3_64bits_withSeed(value.data(), value.size(), keyHash);
 }
 
-std::size_t within(std::size_t ranges) { return std::clamp<std::size_t>(ranges, 1, kMaxRanges); }
+std::size_t clampedRanges(std::size_t ranges) { return std::clamp<std::size_t>(ranges, 1, kMaxRanges); }
 
 }  // namespace
 
 std::vector<std::uint64_t> digestRanges(const Table& table, std::size_t ranges) {
-    std::vector<std::uint64_t> digests(within(ranges), 0);
+    std::vector<std::uint64_t> digests(clampedRanges(ranges), 0);
     for (const auto& [key, value] : table) digests[rangeOf(key, digests.size())] += digestOf(key, value);
     return digests;
 }
@@ -42,7 +42,7 @@
 Table entriesOfRange(const Table& table, std::size_t range, std::size_t ranges) {
     Table entries;
     for (const auto& [key, value] : table)
-        if (rangeOf(key, within(ranges)) == range) entries.emplace(key, value);
+        if (rangeOf(key, clampedRanges(ranges)) == range) entries.emplace(key, value);
     return entries;
 }
 
--- a/src/storage/environment.hpp
+++ b/src/storage/environment.hpp
@@ -1,21 +1,22 @@
-// One LMDB environment of the store: opening and loading with all checks, and single transactions. Returns LMDB's error
-// codes; Store turns them into errors and decides what to do about them.
+/// One LMDB environment of the store: opening and loading with the checks on records, and single transactions. Returns LMDB's
+/// error codes; StoreState turns them into errors and decides what to do about them.
+///
+/// Owns the environment's handle. One thread uses it at a time.
 #pragma once
 
 #include <lmdb.h>
 
 #include <cstdint>
 #include <filesystem>
-#include <functional>
 #include <optional>
 #include <string>
-#include <string_view>
 
 #include "storage/record.hpp"
 #include "storage/store.hpp"
 
 namespace beechpoint::storage {
 
+/// LMDB's name for the file within its directory.
 inline constexpr const char* kDataFile = "data.mdb";
 
 class Environment {
@@ -25,29 +26,41 @@
     Environment(const Environment&) = delete;
     Environment& operator=(const Environment&) = delete;
 
-    int open(const std::filesystem::path& directory, std::size_t mapBytes);
+    /// Opens the environment's file, which page_check.hpp has found sound, or makes an empty one. Closed after an error.
+    [[nodiscard]] int open(const std::filesystem::path& directory, std::size_t mapBytes);
     void close();
-    bool isOpen() const { return environment_ != nullptr; }
-    // Between transactions.
-    int resizeMap(std::size_t mapBytes) { return mdb_env_set_mapsize(environment_, mapBytes); }
+    [[nodiscard]] bool isOpen() const { return environment_ != nullptr; }
+    /// To be called between transactions only.
+    [[nodiscard]] int resizeMap(std::size_t mapBytes) { return mdb_env_set_mapsize(environment_, mapBytes); }
 
-    // Reads all records into `contents`; a fault is text. Without a fault later transactions may follow.
+    /// Outcome of load(): LMDB's error code, or the first check that failed, as text.
     struct Loaded {
         int error = 0;
         std::optional<std::string> fault;
     };
-    Loaded load(Contents& contents);
+    /// Reads all records into `contents`. Only without an error and a fault may transactions follow.
+    [[nodiscard]] Loaded load(Contents& contents);
 
-    // One transaction; not synced. After an error nothing of it is there.
-    int commit(const Update& update);
-    int sync() { return mdb_env_sync(environment_, 1); }
+    /// Carries out one transaction; not synced. After an error nothing of it is there.
+    [[nodiscard]] int commit(const Update& update);
+    /// Forced sync of the whole file, the meta page included.
+    [[nodiscard]] int sync() { return mdb_env_sync(environment_, 1); }
 
 private:
-    class Transaction;
+    struct RecordsRead {
+        std::optional<std::string> fault;
+        std::optional<Summary> stored;  // as the summary record has it
+        Summary counted;                // of the records that were read
+        std::uint64_t newestTransaction = 0;
+    };
+
+    int openRecords();
+    int readRecords(MDB_cursor* cursor, Contents& contents, RecordsRead& read);
+    std::optional<std::string> checkSummary(const RecordsRead& read, Contents& contents);
 
     MDB_env* environment_ = nullptr;
     MDB_dbi records_ = 0;
-    Summary summary_;
+    Summary summary_;  // of the newest transaction
 };
 
 }  // namespace beechpoint::storage
--- a/src/storage/store_thread.cpp
+++ b/src/storage/store_thread.cpp
@@ -18,7 +18,7 @@
         Callback callback;
         TimePoint given;
     };
-    // What completions need; outlives the thread's object in the loop's queue.
+    // What completions need. They hold it from the loop's queue, where they may outlive the StoreThread. Loop's thread only.
     struct OnLoop {
         bool alive = true;
         std::optional<Error> lastFailure;
@@ -32,9 +32,9 @@
     asio::io_context& io;
     Store store;  // used by the thread only
     std::shared_ptr<OnLoop> onLoop = std::make_shared<OnLoop>();
-    mutable std::mutex mutex;
-    std::condition_variable more;
-    std::deque<Job> jobs;  // the first stays here while it runs
+    mutable std::mutex mutex;         // guards the next three
+    std::condition_variable changed;  // of `jobs` or `ending`
+    std::deque<Job> jobs;             // the first stays here while it runs, so that its age can be asked for
     bool ending = false;
     std::thread thread;
 };
@@ -44,9 +44,9 @@
         Job* job = nullptr;
         {
             std::unique_lock lock(mutex);
-            more.wait(lock, [this] { return ending || !jobs.empty(); });
+            changed.wait(lock, [this] { return ending || !jobs.empty(); });
             if (ending) return;
-            job = &jobs.front();  // stays in place: later ones are added at the end
+            job = &jobs.front();  // a deque does not move it when others are added at the end
         }
         Result<void> result = store.write(job->update);
         Callback callback = std::move(job->callback);
@@ -77,17 +77,17 @@
         const std::lock_guard lock(state_->mutex);
         state_->ending = true;
     }
-    state_->more.notify_one();
+    state_->changed.notify_one();
     state_->thread.join();
 }
 
 void StoreThread::write(Update update, Callback callback) {
     {
         const std::lock_guard lock(state_->mutex);
-        if (state_->jobs.size() < kMaxWaitingWrites) {
+        if (state_->jobs.size() < kMaxQueuedWrites) {
             state_->jobs.push_back(
                 {std::move(update), std::move(callback), std::chrono::steady_clock::now()});
-            state_->more.notify_one();
+            state_->changed.notify_one();
             return;
         }
     }
@@ -96,7 +96,7 @@
     state_->complete(std::move(callback), full);
 }
 
-Millis StoreThread::oldestWaiting() const {
+Millis StoreThread::oldestWriteAge() const {
     const std::lock_guard lock(state_->mutex);
     if (state_->jobs.empty()) return 0;
     const std::chrono::duration<double, std::milli> waited =
@@ -104,7 +104,7 @@
     return waited.count();
 }
 
-std::size_t StoreThread::waiting() const {
+std::size_t StoreThread::queuedWrites() const {
     const std::lock_guard lock(state_->mutex);
     return state_->jobs.size();
 }
--- a/tests/golden/control/stored_file_test.cpp
+++ b/tests/golden/control/stored_file_test.cpp
@@ -9,17 +9,17 @@
 
 #include "control/durable_records.hpp"
 #include "equality.hpp"
-#include "folder.hpp"
 #include "golden_file.hpp"
 #include "replica_samples.hpp"
 #include "storage/store.hpp"
+#include "temporary_directory.hpp"
 
 namespace beechpoint::golden {
 namespace {
 
 using replica::DurableState;
 using replica::DurableUpdate;
-using storage::Folder;
+using storage::TemporaryDirectory;
 
 constexpr std::size_t kMapBytes = 1u << 20;
 
@@ -74,13 +74,13 @@
     return state;
 }
 
-storage::Opened open(const Folder& folder) {
+storage::Opened open(const TemporaryDirectory& folder) {
     auto opened = storage::Store::open(folder.store(), kMapBytes);
     if (!opened) throw std::runtime_error(opened.error().text());
     return std::move(opened).value();
 }
 
-void writeHistory(const Folder& folder) {
+void writeHistory(const TemporaryDirectory& folder) {
     storage::Opened opened = open(folder);
     for (const DurableUpdate& update : history()) {
         const auto written = opened.store.write(control::storeUpdate(update));
@@ -88,9 +88,9 @@
     }
 }
 
-void putGoldenStore(const Folder& folder, const std::string& bytes) {
+void putGoldenStore(const TemporaryDirectory& folder, const std::string& bytes) {
     std::filesystem::create_directories(folder.store());
-    Folder::write(folder.data(), bytes);
+    TemporaryDirectory::write(folder.data(), bytes);
 }
 
 std::string goldenStore() { return readFile(dataFile("store.mdb")); }
@@ -114,7 +114,7 @@
 std::string bytesOf(const MDB_val& value) { return {static_cast<const char*>(value.mv_data), value.mv_size}; }
 
 // All keys and values of the file, by LMDB alone.
-std::map<std::string, std::string> rawRecords(const Folder& folder) {
+std::map<std::string, std::string> rawRecords(const TemporaryDirectory& folder) {
     MDB_env* environment = nullptr;
     MDB_txn* transaction = nullptr;
     MDB_dbi records = 0;
@@ -146,7 +146,7 @@
 }
 
 TEST(StoredFileTest, TheUpdatesOfBeforeWriteTheFileOfBefore) {
-    Folder folder;
+    TemporaryDirectory folder;
     writeHistory(folder);
     const std::string bytes = readFile(folder.data());
     if (writing()) writeFile(dataFile("store.mdb"), bytes);
@@ -155,26 +155,26 @@
 }
 
 TEST(StoredFileTest, TheFileOfBeforeIsReadWithAllRecords) {
-    Folder folder;
+    TemporaryDirectory folder;
     putGoldenStore(folder, goldenStore());
     expectState(open(folder).contents, expectedState());
 }
 
 TEST(StoredFileTest, TheFileOfBeforeHasTheRecordsOfBefore) {
-    Folder folder;
+    TemporaryDirectory folder;
     putGoldenStore(folder, goldenStore());
     checkRecords(rawRecords(folder));
 }
 
 TEST(StoredFileTest, TheUpdatesOfBeforeWriteTheRecordsOfBefore) {
-    Folder folder;
+    TemporaryDirectory folder;
     writeHistory(folder);
     checkRecords(rawRecords(folder));
 }
 
 // The present program goes on with the file of before.
 TEST(StoredFileTest, TheFileOfBeforeTakesUpdates) {
-    Folder folder;
+    TemporaryDirectory folder;
     putGoldenStore(folder, goldenStore());
     DurableUpdate update;
     update.table = TableUpdate{{6, 302}, false, sampleBatch().changes};
@@ -199,7 +199,7 @@
 }
 
 TEST(StoredFileTest, AnAlteredFileOfBeforeIsLostAndMovedAside) {
-    Folder folder;
+    TemporaryDirectory folder;
     const std::string bytes = alteredStore();
     ASSERT_FALSE(bytes == goldenStore());
     putGoldenStore(folder, bytes);
--- a/tests/storage/digests_test.cpp
+++ b/tests/storage/digests_test.cpp
@@ -16,14 +16,14 @@
     return table;
 }
 
-TEST(Digests, EqualTablesDifferNowhere) {
+TEST(Digests, EqualTablesHaveNoDifferingRange) {
     EXPECT_TRUE(
         differingRanges(digestRanges(someTable(), kRanges), digestRanges(someTable(), kRanges)).empty());
     EXPECT_TRUE(differingRanges(digestRanges({}, kRanges), digestRanges({}, kRanges)).empty());
 }
 
-// A change to one key shows in exactly one range, and that range's entries hold the key on the side that has it.
-TEST(Digests, OneChangeShowsInTheOneRangeThatHoldsItsKey) {
+// A change to one key makes exactly one range differ, and that range's entries hold the key on the side that has it.
+TEST(Digests, OneChangeDiffersInRangeOfItsKeyOnly) {
     const Table own = someTable();
     std::mt19937 random(3);
     for (int trial = 0; trial < 200; ++trial) {
@@ -35,20 +35,20 @@
             other.erase(key);
         const auto differing = differingRanges(digestRanges(own, kRanges), digestRanges(other, kRanges));
         ASSERT_EQ(differing.size(), 1u) << key;
-        const Table mine = entriesOfRange(own, differing[0], kRanges);
-        const Table theirs = entriesOfRange(other, differing[0], kRanges);
-        EXPECT_EQ(mine.contains(key), own.contains(key));
-        EXPECT_EQ(theirs.contains(key), other.contains(key));
+        const Table ownEntries = entriesOfRange(own, differing[0], kRanges);
+        const Table otherEntries = entriesOfRange(other, differing[0], kRanges);
+        EXPECT_EQ(ownEntries.contains(key), own.contains(key));
+        EXPECT_EQ(otherEntries.contains(key), other.contains(key));
     }
 }
 
-TEST(Digests, SwappedValuesShow) {
+TEST(Digests, SwappedValuesDiffer) {
     const Table own{{"a", "1"}, {"b", "2"}};
     const Table other{{"a", "2"}, {"b", "1"}};
     EXPECT_FALSE(differingRanges(digestRanges(own, 1), digestRanges(other, 1)).empty());
 }
 
-TEST(Digests, TheRangesTogetherAreTheWholeTable) {
+TEST(Digests, EntriesOfAllRangesAreTheTable) {
     Table together;
     for (std::size_t range = 0; range < kRanges; ++range)
         for (const auto& entry : entriesOfRange(someTable(), range, kRanges))
@@ -56,7 +56,7 @@
     EXPECT_EQ(together, someTable());
 }
 
-TEST(Digests, CountsAreTakenIntoTheirBoundsAndUnlikeListsDifferEverywhere) {
+TEST(Digests, ClampsRangesAndListsOfUnlikeLengthDifferEverywhere) {
     EXPECT_EQ(digestRanges(someTable(), 0).size(), 1u);
     EXPECT_EQ(digestRanges(someTable(), kMaxRanges + 1).size(), kMaxRanges);
     EXPECT_EQ(differingRanges({1, 2}, {1, 2, 3}), (std::vector<std::size_t>{0, 1, 2}));
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -6,15 +6,15 @@
 #include <csignal>
 #include <random>
 
-#include "folder.hpp"
+#include "temporary_directory.hpp"
 
 namespace beechpoint::storage {
 namespace {
 
 constexpr std::size_t kSmallMap = 1u << 20;
 
-Opened open(const Folder& folder, std::size_t mapBytes = kSmallMap) {
-    Result<Opened> opened = Store::open(folder.store(), mapBytes);
+Opened open(const TemporaryDirectory& directory, std::size_t mapBytes = kSmallMap) {
+    Result<Opened> opened = Store::open(directory.store(), mapBytes);
     if (!opened) throw std::runtime_error(opened.error().text());
     return std::move(opened).value();
 }
@@ -28,8 +28,8 @@
     return {{1, sequence}, std::move(changes)};
 }
 
-// A store with a record of every kind, several pages and a value on overflow pages.
-Update everything() {
+// An update with a record of every kind, several pages and a value on overflow pages.
+Update updateOfAllRecords() {
     Update update;
     update.incarnation = 42;
     update.view = std::string("view\0bytes", 10);
@@ -46,8 +46,8 @@
     return update;
 }
 
-void expectEverything(const Contents& contents) {
-    const Update written = everything();
+void expectAllRecords(const Contents& contents) {
+    const Update written = updateOfAllRecords();
     EXPECT_FALSE(contents.lost) << contents.lossReason;
     EXPECT_FALSE(contents.fresh);
     EXPECT_EQ(contents.incarnation, written.incarnation);
@@ -59,58 +59,58 @@
     EXPECT_EQ(contents.pending, written.pending);
 }
 
-TEST(Store, AFreshOneIsEmptyAndItsFoldersAreMade) {
-    const Folder folder;
-    const Opened opened = open(folder);
+TEST(Store, OpeningNewStoreMakesDirectoriesAndIsEmpty) {
+    const TemporaryDirectory directory;
+    const Opened opened = open(directory);
     EXPECT_TRUE(opened.contents.fresh);
     EXPECT_FALSE(opened.contents.lost);
     EXPECT_FALSE(opened.contents.incarnation);
     EXPECT_TRUE(opened.contents.table.empty());
     EXPECT_EQ(opened.contents.position, Position{});
-    EXPECT_TRUE(std::filesystem::exists(folder.data()));
+    EXPECT_TRUE(std::filesystem::exists(directory.data()));
 }
 
-TEST(Store, OpenedAndNeverWrittenItIsStillFresh) {
-    const Folder folder;
-    open(folder);
-    const Opened again = open(folder);
+TEST(Store, IsFreshWhenReopenedWithoutWrite) {
+    const TemporaryDirectory directory;
+    open(directory);
+    const Opened again = open(directory);
     EXPECT_TRUE(again.contents.fresh);
     EXPECT_FALSE(again.contents.lost);
 }
 
-TEST(Store, WhatWasWrittenIsThereAfterReopening) {
-    const Folder folder;
+TEST(Store, HoldsWrittenRecordsAfterReopening) {
+    const TemporaryDirectory directory;
     {
-        Opened opened = open(folder);
-        write(opened.store, everything());
+        Opened opened = open(directory);
+        write(opened.store, updateOfAllRecords());
     }
-    expectEverything(open(folder).contents);
+    expectAllRecords(open(directory).contents);
 }
 
 // As after a kill: the file as the last write left it, the environment never closed.
-TEST(Store, AFileTakenWithoutClosingHoldsTheLastWrite) {
-    const Folder folder, copy;
-    Opened opened = open(folder);
+TEST(Store, FileHoldsLastWriteWithoutClosing) {
+    const TemporaryDirectory directory, copy;
+    Opened opened = open(directory);
     for (int round = 0; round < 5; ++round) {
-        write(opened.store, everything());
+        write(opened.store, updateOfAllRecords());
         open(copy);
-        Folder::write(copy.data(), Folder::read(folder.data()));
-        expectEverything(open(copy).contents);
+        TemporaryDirectory::write(copy.data(), TemporaryDirectory::read(directory.data()));
+        expectAllRecords(open(copy).contents);
     }
 }
 
-TEST(Store, APendingBatchIsKeptUntilItIsFoldedAndCleared) {
-    const Folder folder;
+TEST(Store, HoldsPendingBatchUntilFoldedAndCleared) {
+    const TemporaryDirectory directory;
     const Batch first = batch(1, {{"a", "1"}, {"b", "2"}});
     const Batch second = batch(2, {{"a", std::nullopt}, {"c", "3"}});
     {
-        Opened opened = open(folder);
+        Opened opened = open(directory);
         Update propose;
         propose.pending = first;
         write(opened.store, propose);
     }
     {
-        Opened opened = open(folder);
+        Opened opened = open(directory);
         EXPECT_EQ(opened.contents.pending, first);
         EXPECT_TRUE(opened.contents.table.empty());
         Update foldAndPropose;
@@ -120,7 +120,7 @@
         write(opened.store, foldAndPropose);
     }
     {
-        Opened opened = open(folder);
+        Opened opened = open(directory);
         EXPECT_EQ(opened.contents.pending, second);
         EXPECT_EQ(opened.contents.position, first.position);
         EXPECT_EQ(opened.contents.table, (Table{{"a", "1"}, {"b", "2"}}));
@@ -131,35 +131,35 @@
         write(opened.store, fold);
         write(opened.store, fold);  // the same again changes nothing
     }
-    const Contents contents = open(folder).contents;
+    const Contents contents = open(directory).contents;
     EXPECT_FALSE(contents.pending);
     EXPECT_EQ(contents.position, second.position);
     EXPECT_EQ(contents.table, (Table{{"b", "2"}, {"c", "3"}}));
 }
 
-TEST(Store, ASnapshotReplacesTheWholeTableAndNothingElse) {
-    const Folder folder;
+TEST(Store, SnapshotReplacesTableAndNothingElse) {
+    const TemporaryDirectory directory;
     const Table table{{"key/1", "new"}, {"other", "x"}};
     {
-        Opened opened = open(folder);
-        write(opened.store, everything());
+        Opened opened = open(directory);
+        write(opened.store, updateOfAllRecords());
         Update replace;
         replace.snapshot = Snapshot{{9, 1}, table};
         replace.clearPending = true;
         write(opened.store, replace);
     }
-    const Contents contents = open(folder).contents;
+    const Contents contents = open(directory).contents;
     EXPECT_EQ(contents.table, table);
     EXPECT_EQ(contents.position, (Position{9, 1}));
     EXPECT_FALSE(contents.pending);
     EXPECT_EQ(contents.vote, "vote");
 }
 
-TEST(Store, ManyRoundsOfChangesEndWhereAPlainTableEnds) {
-    const Folder folder;
+TEST(Store, RandomChangesEqualThoseOfTableInMemory) {
+    const TemporaryDirectory directory;
     std::mt19937 random(20261202);
     Table expected;
-    std::optional<Opened> opened = open(folder);
+    std::optional<Opened> opened = open(directory);
     for (std::uint64_t sequence = 1; sequence <= 300; ++sequence) {
         std::vector<Change> changes;
         for (int i = 0; i < 5; ++i) {
@@ -176,32 +176,32 @@
         write(opened->store, fold);
         if (sequence % 50 != 0) continue;
         opened.reset();
-        opened = open(folder);
+        opened = open(directory);
         ASSERT_EQ(opened->contents.table, expected);
         ASSERT_EQ(opened->contents.position, (Position{1, sequence}));
     }
 }
 
-// Whatever byte of the file is altered: the store is either as it was (the byte says nothing any more) or lost, and then
-// empty and of use again. Never half of it.
-TEST(Store, AnAlteredByteIsNeverHalfBelieved) {
-    const Folder folder;
+// Whatever byte of the file is altered: the store is either as it was (the byte is not in use) or lost, and then empty and
+// usable again. Never a part of it.
+TEST(Store, AlteredByteLeavesStoreCompleteOrLost) {
+    const TemporaryDirectory directory;
     {
-        Opened opened = open(folder);
-        write(opened.store, everything());
-        write(opened.store, everything());
+        Opened opened = open(directory);
+        write(opened.store, updateOfAllRecords());
+        write(opened.store, updateOfAllRecords());
     }
-    const std::string sound = Folder::read(folder.data());
+    const std::string intact = TemporaryDirectory::read(directory.data());
     std::mt19937 random(7);
     int lost = 0;
     constexpr int kTrials = 400;
     for (int trial = 0; trial < kTrials; ++trial) {
-        std::string altered = sound;
+        std::string altered = intact;
         altered[random() % altered.size()] ^= static_cast<char>(1 + random() % 255);
-        Folder::write(folder.data(), altered);
-        Opened opened = open(folder);
+        TemporaryDirectory::write(directory.data(), altered);
+        Opened opened = open(directory);
         if (!opened.contents.lost) {
-            expectEverything(opened.contents);
+            expectAllRecords(opened.contents);
             continue;
         }
         ++lost;
@@ -214,57 +214,57 @@
     EXPECT_GT(lost, kTrials / 4);
 }
 
-// The same for the first bytes of each page, where LMDB keeps what it follows blindly.
-TEST(Store, AlteredPageHeadersAreNeverHalfBelieved) {
-    constexpr std::size_t kPage = 4096, kHead = 48;
-    const Folder folder;
+// The same for the first bytes of each page, where LMDB keeps the numbers that it trusts.
+TEST(Store, AlteredPageHeaderLeavesStoreCompleteOrLost) {
+    constexpr std::size_t kPageBytes = 4096, kHeaderBytes = 48;
+    const TemporaryDirectory directory;
     {
-        Opened opened = open(folder);
-        write(opened.store, everything());
+        Opened opened = open(directory);
+        write(opened.store, updateOfAllRecords());
     }
-    const std::string sound = Folder::read(folder.data());
-    for (std::size_t page = 0; page < sound.size(); page += kPage)
-        for (std::size_t offset = 0; offset < kHead; offset += 2) {
-            std::string altered = sound;
+    const std::string intact = TemporaryDirectory::read(directory.data());
+    for (std::size_t page = 0; page < intact.size(); page += kPageBytes)
+        for (std::size_t offset = 0; offset < kHeaderBytes; offset += 2) {
+            std::string altered = intact;
             altered[page + offset] = static_cast<char>(altered[page + offset] ^ 0x81);
-            Folder::write(folder.data(), altered);
-            Opened opened = open(folder);
-            if (!opened.contents.lost) expectEverything(opened.contents);
+            TemporaryDirectory::write(directory.data(), altered);
+            Opened opened = open(directory);
+            if (!opened.contents.lost) expectAllRecords(opened.contents);
         }
 }
 
-TEST(Store, ALostStoreIsMovedAsideAndANewOneTakesItsPlace) {
-    const Folder folder;
+TEST(Store, MovesLostStoreAsideAndStartsEmpty) {
+    const TemporaryDirectory directory;
     {
-        Opened opened = open(folder);
-        write(opened.store, everything());
+        Opened opened = open(directory);
+        write(opened.store, updateOfAllRecords());
     }
-    std::string torn = Folder::read(folder.data());
+    std::string torn = TemporaryDirectory::read(directory.data());
     torn.resize(torn.size() / 2);
-    Folder::write(folder.data(), torn);
+    TemporaryDirectory::write(directory.data(), torn);
     {
-        Opened opened = open(folder);
+        Opened opened = open(directory);
         ASSERT_TRUE(opened.contents.lost);
-        write(opened.store, everything());
+        write(opened.store, updateOfAllRecords());
     }
-    EXPECT_EQ(Folder::read(folder.store() / kAsideName), torn);
-    expectEverything(open(folder).contents);
+    EXPECT_EQ(TemporaryDirectory::read(directory.store() / kAsideName), torn);
+    expectAllRecords(open(directory).contents);
 }
 
-TEST(Store, AnEmptyFileIsFreshAndOneOfAnotherKindIsLost) {
-    const Folder folder;
-    open(folder);
-    Folder::write(folder.data(), "");
-    EXPECT_FALSE(open(folder).contents.lost);
-    Folder::write(folder.data(), std::string(10'000, 'x'));
-    EXPECT_TRUE(open(folder).contents.lost);
+TEST(Store, EmptyFileIsFreshAndForeignFileIsLost) {
+    const TemporaryDirectory directory;
+    open(directory);
+    TemporaryDirectory::write(directory.data(), "");
+    EXPECT_FALSE(open(directory).contents.lost);
+    TemporaryDirectory::write(directory.data(), std::string(10'000, 'x'));
+    EXPECT_TRUE(open(directory).contents.lost);
 }
 
-TEST(Store, AFullMapRefusesWritesKeepsVotingAndTakesWritesAgainAfterARemoval) {
-    const Folder folder;
+TEST(Store, FullMapRejectsLargeWritesButNotVotesUntilRemoval) {
+    const TemporaryDirectory directory;
     Table table;
     {
-        Opened opened = open(folder);
+        Opened opened = open(directory);
         Result<void> written = boost::outcome_v2::success();
         std::uint64_t sequence = 0;
         const std::string value(40'000, 'v');
@@ -280,7 +280,7 @@
         EXPECT_GT(table.size(), 10u);
 
         Update vote;
-        vote.vote = "still heard";
+        vote.vote = "still written";
         for (int i = 0; i < 20; ++i) write(opened.store, vote);
         Update remove;
         remove.fold = batch(200, {{"k1", std::nullopt}, {"k2", std::nullopt}});
@@ -292,78 +292,78 @@
         write(opened.store, add);
         beechpoint::apply(add.fold->changes, table);
     }
-    const Contents contents = open(folder).contents;
+    const Contents contents = open(directory).contents;
     EXPECT_EQ(contents.table, table);
-    EXPECT_EQ(contents.vote, "still heard");
-    EXPECT_LE(std::filesystem::file_size(folder.data()), kSmallMap);
+    EXPECT_EQ(contents.vote, "still written");
+    EXPECT_LE(std::filesystem::file_size(directory.data()), kSmallMap);
 }
 
 // A disk that refuses to let the file grow: as a full one does.
-class FullDisk {
+class FileSizeLimit {
 public:
-    explicit FullDisk(std::uintmax_t most) {
+    explicit FileSizeLimit(std::uintmax_t maxBytes) {
         std::signal(SIGXFSZ, SIG_IGN);
         ::getrlimit(RLIMIT_FSIZE, &before_);
-        const rlimit limit{most, before_.rlim_max};
+        const rlimit limit{maxBytes, before_.rlim_max};
         ::setrlimit(RLIMIT_FSIZE, &limit);
     }
-    ~FullDisk() { ::setrlimit(RLIMIT_FSIZE, &before_); }
-    FullDisk(const FullDisk&) = delete;
-    FullDisk& operator=(const FullDisk&) = delete;
+    ~FileSizeLimit() { ::setrlimit(RLIMIT_FSIZE, &before_); }
+    FileSizeLimit(const FileSizeLimit&) = delete;
+    FileSizeLimit& operator=(const FileSizeLimit&) = delete;
 
 private:
     rlimit before_{};
 };
 
-Update growing(std::uint64_t sequence) {
+Update largeFold(std::uint64_t sequence) {
     Update fold;
     fold.fold = batch(sequence, {{"grown", std::string(100'000, 'g')}});
     return fold;
 }
 
-TEST(Store, ADiskThatRefusesAWriteLeavesTheStoreAsItWasAndUsableLater) {
-    const Folder folder;
-    Opened opened = open(folder);
-    write(opened.store, everything());
+TEST(Store, FailedWriteLeavesStoreUnchangedAndUsable) {
+    const TemporaryDirectory directory;
+    Opened opened = open(directory);
+    write(opened.store, updateOfAllRecords());
     {
-        const FullDisk full(std::filesystem::file_size(folder.data()));
+        const FileSizeLimit limit(std::filesystem::file_size(directory.data()));
         for (int i = 0; i < 3; ++i) {
-            const Result<void> refused = opened.store.write(growing(9));
-            ASSERT_FALSE(refused);
-            EXPECT_EQ(refused.error().kind, ErrorKind::storage);
+            const Result<void> rejected = opened.store.write(largeFold(9));
+            ASSERT_FALSE(rejected);
+            EXPECT_EQ(rejected.error().kind, ErrorKind::storage);
         }
     }
-    const Folder copy;
+    const TemporaryDirectory copy;
     open(copy);
-    Folder::write(copy.data(), Folder::read(folder.data()));
-    expectEverything(open(copy).contents);
-    write(opened.store, growing(9));
-    write(opened.store, everything());
+    TemporaryDirectory::write(copy.data(), TemporaryDirectory::read(directory.data()));
+    expectAllRecords(open(copy).contents);
+    write(opened.store, largeFold(9));
+    write(opened.store, updateOfAllRecords());
     const Store closed = std::move(opened.store);
-    Folder::write(copy.data(), Folder::read(folder.data()));
-    expectEverything(open(copy).contents);
+    TemporaryDirectory::write(copy.data(), TemporaryDirectory::read(directory.data()));
+    expectAllRecords(open(copy).contents);
 }
 
-TEST(Store, AFileThatVanishedUnderARunningStoreIsNotStartedAnew) {
-    const Folder folder;
-    Opened opened = open(folder);
-    write(opened.store, everything());
+TEST(Store, ReopeningFailsWhenFileWasRemoved) {
+    const TemporaryDirectory directory;
+    Opened opened = open(directory);
+    write(opened.store, updateOfAllRecords());
     {
-        const FullDisk full(std::filesystem::file_size(folder.data()));
-        ASSERT_FALSE(opened.store.write(growing(9)));  // it will be opened anew
+        const FileSizeLimit limit(std::filesystem::file_size(directory.data()));
+        ASSERT_FALSE(opened.store.write(largeFold(9)));  // it will be opened anew
     }
-    std::filesystem::remove(folder.data());
+    std::filesystem::remove(directory.data());
     for (int i = 0; i < 2; ++i) {
-        const Result<void> refused = opened.store.write(growing(9));
-        ASSERT_FALSE(refused);
-        EXPECT_EQ(refused.error().kind, ErrorKind::storage);
+        const Result<void> rejected = opened.store.write(largeFold(9));
+        ASSERT_FALSE(rejected);
+        EXPECT_EQ(rejected.error().kind, ErrorKind::storage);
     }
 }
 
-TEST(Store, AFolderThatCannotBeMadeIsAnError) {
-    const Folder folder;
-    Folder::write(folder.path() / "deep", "a file in the way");
-    const Result<Opened> opened = Store::open(folder.store(), kSmallMap);
+TEST(Store, OpeningFailsWhenDirectoryCannotBeMade) {
+    const TemporaryDirectory directory;
+    TemporaryDirectory::write(directory.path() / "deep", "a file in the way");
+    const Result<Opened> opened = Store::open(directory.store(), kSmallMap);
     ASSERT_FALSE(opened);
     EXPECT_EQ(opened.error().kind, ErrorKind::storage);
 }
--- a/tests/storage/folder.hpp
+++ b/tests/storage/temporary_directory.hpp
@@ -1,4 +1,4 @@
-// A folder of a test's own, removed at its end.
+// A directory of a test's own, removed at its end.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,18 +11,18 @@
 
 namespace beechpoint::storage {
 
-class Folder {
+class TemporaryDirectory {
 public:
-    Folder() {
+    TemporaryDirectory() {
         std::string name = (std::filesystem::temp_directory_path() / "storage.XXXXXX").string();
         if (::mkdtemp(name.data())) path_ = name;
     }
-    ~Folder() {
+    ~TemporaryDirectory() {
         std::error_code ignored;
         if (!path_.empty()) std::filesystem::remove_all(path_, ignored);
     }
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
+    TemporaryDirectory(const TemporaryDirectory&) = delete;
+    TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
 
     const std::filesystem::path& path() const { return path_; }
     std::filesystem::path store() const { return path_ / "deep" / "store"; }
