--- a/src/rpc/address.hpp
+++ b/src/rpc/address.hpp
@@ -1,4 +1,4 @@
-// Addresses of own processes.
+/// Addresses of own processes. A pure function.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace beechpoint::rpc {
 
-// nng's URL of "ip:port" with an IPv4 address; an error of kind `invalid` for anything else.
-Result<std::string> urlOf(const std::string& address);
+/// nng's URL of "ip:port" with an IPv4 address; an error of kind `invalid` for anything else.
+[[nodiscard]] Result<std::string> urlOf(const std::string& address);
 
 }  // namespace beechpoint::rpc
--- a/src/rpc/client_state.hpp
+++ b/src/rpc/client_state.hpp
@@ -1,25 +1,27 @@
-// The inner part of Client; runs on the loop's thread.
-//
-//   state of a peer | event                     | next
-//   idle            | a call                    | dialling
-//   dialling        | connected                 | connected; the calls that waited are sent
-//   dialling        | refused                   | waiting, or after kDialAttempts idle and the calls fail
-//   waiting         | kRedialAfter has passed   | dialling
-//   connected       | connection ended          | idle; its calls fail
-//   any             | a call of this generation | idle, or dialling when calls wait that were not sent; those that were
-//                   | times out                 | sent fail
-//
-// An answer is taken for a call only from the peer that was asked and on the connection that the call was sent on: the call
-// ends with its connection, and a connection that has been let go of hands on no more frames. A call's number is not used
-// again on the same connection: when all have been used, all connections are closed.
-//
-// The generation rises whenever a peer goes back to idle: a call that began before the present connection or dial does
-// not end it when it times out, so that a burst of time-outs closes once.
+/// The inner part of Client; runs on the loop's thread.
+///
+///   state of a peer | event                     | next
+///   idle            | a call                    | dialling
+///   dialling        | connected                 | connected; the calls that waited are sent
+///   dialling        | the dial fails            | waiting, or after kDialAttempts idle and the calls fail
+///   waiting         | kRedialAfter has passed   | dialling
+///   connected       | the connection ends       | idle; the calls that were sent on it fail
+///   any             | a call of this generation | idle, or dialling when calls wait that were not sent; those that were
+///                   | times out                 | sent fail
+///
+/// Invariants: an answer is accepted for a call only from the peer that was asked and on the connection that the call was sent
+/// on: the call ends with its connection, and a closed connection reports no more frames. A call's number is not used again on the
+/// same connection: when all have been used, all connections are closed.
+///
+/// The generation rises whenever a peer goes back to idle: a call that began before the present connection or dial does
+/// not end it when it times out, so that several calls that time out together close one connection once.
 #pragma once
 
 #include <asio/io_context.hpp>
 #include <asio/steady_timer.hpp>
 #include <chrono>
+#include <compare>
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -39,14 +41,15 @@
 public:
     using CallNumber = std::uint32_t;
 
-    // `lastNumber`: the number before that of the first call.
+    /// `lastNumber` is the number before that of the first call.
     ClientState(asio::io_context& io, Logger& log, CallNumber lastNumber = 0)
         : io_(io), log_(log), lastNumber_(lastNumber), timer_(io) {}
     ClientState(const ClientState&) = delete;
     ClientState& operator=(const ClientState&) = delete;
 
+    /// As Client::call().
     void call(const std::string& address, std::string bytes, Millis timeout, Client::Callback callback);
-    // Ends all calls without their callbacks.
+    /// Ends all calls without their callbacks.
     void close();
 
     std::size_t peers() const { return peers_.size(); }
@@ -64,7 +67,7 @@
         std::shared_ptr<Connection> connection;  // while connected
         asio::steady_timer redial;
         bool waiting = false;  // for `redial`
-        int refusals = 0;      // in a row
+        int failedDials = 0;   // in a row
         std::uint64_t generation = 0;
         std::uint64_t lastUse = 0;
     };
@@ -76,27 +79,38 @@
         bool sent = false;
         Client::Callback callback;
     };
-    // Calls that ended, to be told when all state is settled: a callback may call again or destroy the client.
+    // A call that ended. Callbacks are called when the state is consistent again: they may call again or destroy the client.
     struct Ended {
         Client::Callback callback;
         Result<std::string> result;
     };
     using Endings = std::vector<Ended>;
+    // In order of time, then of number.
+    struct Deadline {
+        TimePoint time;
+        CallNumber number = 0;
+        auto operator<=>(const Deadline&) const = default;
+    };
 
     template <class Method>
-    auto later(Method method);
+    auto guarded(Method method);
     void failLater(Error error, Client::Callback callback);
-    void tell(Endings endings);
+    void report(Endings endings);
+    void reportLater(Endings endings);
 
     Result<Peer*> peerOf(const std::string& address);
     void dropLeastRecentlyUsed();
     void startDial(Peer& peer);
-    void dialEnded(const std::string& address, Stream stream, const std::string& reason);
-    void dialFailed(Peer& peer, const std::string& reason);
-    void connected(Peer& peer, Stream stream);
-    void framesCame(const std::string& address, std::vector<Frame> frames);
-    void hangUp(Peer& peer);
+    void onDialEnded(const std::string& address, Stream stream, const std::string& reason);
+    void onDialFailed(Peer& peer, const std::string& reason);
+    void onConnected(Peer& peer, Stream stream);
+    void onConnectionEnded(const std::string& address, const std::string& reason);
+    void sendWaitingCalls(const Peer& peer);
+    void onFrames(const std::string& address, std::vector<Frame> frames);
+    void disconnect(Peer& peer);
 
+    Result<Peer*> admit(const std::string& address, std::size_t size);
+    CallNumber addCall(Peer& peer, std::string bytes, Millis timeout, Client::Callback callback);
     CallNumber nextNumber();
     void closeConnections(const std::string& reason);
     void send(CallNumber number, Endings& endings);
@@ -106,7 +120,7 @@
     bool hasCalls(const Peer& peer) const;
 
     void armTimer();
-    void timerFired();
+    void onTimer();
     void timeOut(CallNumber number, Endings& endings);
 
     asio::io_context& io_;
@@ -115,7 +129,7 @@
     std::uint64_t uses_ = 0;
     std::map<CallNumber, Call> calls_;
     CallNumber lastNumber_;
-    std::set<std::pair<TimePoint, CallNumber>> deadlines_;
+    std::set<Deadline> deadlines_;
     asio::steady_timer timer_;
     std::optional<TimePoint> armedFor_;
     bool closed_ = false;
--- a/src/rpc/codec.hpp
+++ b/src/rpc/codec.hpp
@@ -1,5 +1,6 @@
-// Typed messages as bytes, with MessagePack. A message is a struct with MSGPACK_DEFINE(fields...) or with an adaptor;
-// the vocabulary of the replicated table has its adaptors here. Fields are told by order: add new ones at the end.
+/// Typed messages as bytes, with MessagePack. A message is a struct with MSGPACK_DEFINE(fields...) or with an adaptor;
+/// the types of the replicated table have their adaptors here. Fields have no names on the wire but their order: add new ones
+/// at the end. Pure functions; to be called from any thread.
 #pragma once
 
 #include <cstdint>
@@ -16,37 +17,38 @@
 
 namespace detail {
 
-// Appends to a string, so that packing makes one buffer.
+/// Appends to a string, so that packing makes one buffer.
 struct StringSink {
     std::string& bytes;
     void write(const char* data, std::size_t size) { bytes.append(data, size); }
 };
 
-inline Error malformed(std::string why) {
-    return {ErrorKind::invalid, "message", std::move(why), "check that both processes are of one version"};
+inline Error malformed(std::string reason) {
+    return {ErrorKind::invalid, "message", std::move(reason), "check that both processes are of one version"};
 }
 
-inline constexpr std::size_t kMaxDepth = 64;  // of nested values
+inline constexpr std::size_t kMaxDepth = 64;  ///< of nested values
 
 }  // namespace detail
 
 template <class T>
-std::string pack(const T& message) {
+[[nodiscard]] std::string pack(const T& message) {
     std::string bytes;
     detail::StringSink sink{bytes};
     msgpack::pack(sink, message);
     return bytes;
 }
 
-// Never throws: bytes that are not exactly one message of this type are an error of kind `invalid`.
+/// Never throws: bytes that are not exactly one message of this type are an error of kind `invalid`.
 template <class T>
-Result<T> unpack(std::string_view bytes) {
+[[nodiscard]] Result<T> unpack(std::string_view bytes) {
     try {
-        const std::size_t most = bytes.size();  // each element takes at least one byte
+        const std::size_t maxElements = bytes.size();  // each takes at least one byte
         std::size_t offset = 0;
         const msgpack::object_handle handle =
             msgpack::unpack(bytes.data(), bytes.size(), offset, nullptr, nullptr,
-                            msgpack::unpack_limit(most, most, most, most, most, detail::kMaxDepth));
+                            msgpack::unpack_limit(maxElements, maxElements, maxElements, maxElements,
+                                                  maxElements, detail::kMaxDepth));
         if (offset != bytes.size()) return detail::malformed("bytes follow the message");
         return handle.get().as<T>();
     } catch (const std::exception& error) {
--- a/src/rpc/connection.cpp
+++ b/src/rpc/connection.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t kMaxUnsentBytes = 2 * kMaxMessageBytes;
-constexpr nng_duration kSendWithinMs = 10'000;  // without a byte taken by the peer
-constexpr std::size_t kKeptBuffer = 64u << 10;  // larger ones are given back when they are sent
+constexpr nng_duration kSendTimeoutMs = 10'000;         // without a byte accepted by the peer
+constexpr std::size_t kMaxIdleBufferBytes = 64u << 10;  // a larger buffer is freed when it is sent
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     if (nng_aio_alloc(&made->receiving_, received, made.get()) != 0) return nullptr;
     if (nng_aio_alloc(&made->sending_, sent, made.get()) != 0) return nullptr;
     nng_aio_set_timeout(made->receiving_, NNG_DURATION_INFINITE);
-    nng_aio_set_timeout(made->sending_, kSendWithinMs);
+    nng_aio_set_timeout(made->sending_, kSendTimeoutMs);
     return made;
 }
 
@@ -40,8 +40,8 @@
 void Connection::start() { receive(); }
 
 void Connection::receive() {
-    const std::span<char> room = reader_.room();
-    nng_iov target{room.data(), room.size()};
+    const std::span<char> space = reader_.freeSpace();
+    nng_iov target{space.data(), space.size()};
     nng_aio_set_iov(receiving_, 1, &target);
     nng_stream_recv(stream_.get(), receiving_);
 }
@@ -59,7 +59,7 @@
 }
 
 void Connection::handle(std::vector<Frame> frames) {
-    if (!endHandler_) return;  // ended by the sending side meanwhile
+    if (!endHandler_) return;  // ended meanwhile by the sending part
     framesHandler_(std::move(frames));
     receive();
 }
@@ -69,8 +69,8 @@
         const std::lock_guard lock(mutex_);
         if (unsent_.size() + body.size() > kMaxUnsentBytes) return false;
         appendFrame(kind, number, body, unsent_);
-        if (underWay_) return true;
-        underWay_ = true;
+        if (isSending_) return true;
+        isSending_ = true;
         buffer_.swap(unsent_);
     }
     offset_ = 0;
@@ -95,11 +95,11 @@
 bool Connection::takeNextBuffer() {
     const std::lock_guard lock(mutex_);
     buffer_.clear();
-    if (buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
+    if (buffer_.capacity() > kMaxIdleBufferBytes) buffer_.shrink_to_fit();
     offset_ = 0;
     buffer_.swap(unsent_);
-    underWay_ = !buffer_.empty();
-    return underWay_;
+    isSending_ = !buffer_.empty();
+    return isSending_;
 }
 
 void Connection::endLater(std::string reason) {
@@ -109,7 +109,9 @@
 }
 
 void Connection::end(std::string reason) {
-    if (const EndHandler handler = std::exchange(endHandler_, nullptr)) handler(std::move(reason));
+    const EndHandler handler = std::move(endHandler_);
+    endHandler_ = nullptr;  // the end is reported once
+    if (handler) handler(std::move(reason));
 }
 
 }  // namespace beechpoint::rpc
--- a/src/rpc/dial.cpp
+++ b/src/rpc/dial.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A peer that was without power when the first packet came says nothing, and the kernel sends that packet again only after a
-// second: a dial anew is sooner. Several times the longest round trip between regions.
+// A host that was down when the first packet came does not answer it, and the kernel sends that packet again only after a
+// second: a new attempt is sooner. Several times the longest round trip between regions.
 constexpr nng_duration kDialTimeoutMs = 250;
 
 }  // namespace
@@ -27,7 +27,7 @@
     if (dialer_) nng_stream_dialer_close(dialer_);
     if (operation_) {
         nng_aio_stop(operation_);
-        // Connected meanwhile, and nobody took it.
+        // Connected meanwhile, and the stream was not handed over: it is freed here.
         if (nng_aio_result(operation_) == 0 && handler_)
             Stream(static_cast<nng_stream*>(nng_aio_get_output(operation_, 0)));
         nng_aio_free(operation_);
@@ -43,9 +43,13 @@
 }
 
 void Dial::ended() {
-    const Handler handler = std::exchange(handler_, nullptr);
+    const Handler handler = std::move(handler_);
+    handler_ = nullptr;
     const int error = nng_aio_result(operation_);
-    if (error != 0) return handler(nullptr, nng_strerror(error));
+    if (error != 0) {
+        handler(nullptr, nng_strerror(error));
+        return;
+    }
     handler(Stream(static_cast<nng_stream*>(nng_aio_get_output(operation_, 0))), {});
 }
 
--- a/src/rpc/dial.hpp
+++ b/src/rpc/dial.hpp
@@ -1,4 +1,4 @@
-// One attempt to connect to an address, without blocking.
+/// One attempt to connect to an address, without blocking. All uses are on the loop's thread.
 #pragma once
 
 #include <nng/nng.h>
@@ -15,12 +15,14 @@
 
 class Dial : public std::enable_shared_from_this<Dial> {
 public:
-    // `stream` is empty and `reason` says why when it failed.
+    /// When the attempt failed, `stream` is empty and `reason` says why.
     using Handler = std::function<void(Stream stream, std::string reason)>;
 
-    // `handler` is called once, on the loop's thread, unless the dial is destroyed before.
-    static Result<std::shared_ptr<Dial>> begin(asio::io_context& io, const std::string& url, Handler handler);
-    // Gives the attempt up.
+    /// `handler` is called once, on the loop's thread, unless the dial is destroyed before. `url` as urlOf() makes it; `io` must outlive
+    /// the dial. An error of kind `unavailable`: no memory.
+    [[nodiscard]] static Result<std::shared_ptr<Dial>> begin(asio::io_context& io, const std::string& url,
+                                                             Handler handler);
+    /// Abandons the attempt.
     ~Dial();
     Dial(const Dial&) = delete;
     Dial& operator=(const Dial&) = delete;
--- a/tests/golden/control/rpc_frames_test.cpp
+++ b/tests/golden/control/rpc_frames_test.cpp
@@ -17,9 +17,9 @@
 
 std::vector<Frame> framesOf(const std::string& bytes) {
     rpc::FrameReader reader;
-    const std::span<char> room = reader.room();
-    if (bytes.size() > room.size()) return {};
-    std::copy(bytes.begin(), bytes.end(), room.begin());
+    const std::span<char> space = reader.freeSpace();
+    if (bytes.size() > space.size()) return {};
+    std::copy(bytes.begin(), bytes.end(), space.begin());
     return reader.received(bytes.size()).value_or(std::vector<Frame>());
 }
 
--- a/tests/rpc/frame_test.cpp
+++ b/tests/rpc/frame_test.cpp
@@ -23,15 +23,15 @@
     return bytes;
 }
 
-// Feeds `bytes` in pieces of at most `most`; nothing when the reader refuses them.
-template <class Piece>
-std::optional<std::vector<Frame>> readAll(const std::string& bytes, Piece piece) {
+// Feeds `bytes` in chunks of at most nextChunk() bytes; nothing when the reader rejects them.
+template <class NextChunk>
+std::optional<std::vector<Frame>> readAll(const std::string& bytes, NextChunk nextChunk) {
     FrameReader reader;
     std::vector<Frame> all;
     for (std::size_t offset = 0; offset < bytes.size();) {
-        const std::span<char> room = reader.room();
-        const std::size_t size = std::min({room.size(), bytes.size() - offset, piece()});
-        std::copy_n(bytes.data() + offset, size, room.data());
+        const std::span<char> space = reader.freeSpace();
+        const std::size_t size = std::min({space.size(), bytes.size() - offset, nextChunk()});
+        std::copy_n(bytes.data() + offset, size, space.data());
         offset += size;
         auto frames = reader.received(size);
         if (!frames) return std::nullopt;
@@ -40,7 +40,7 @@
     return all;
 }
 
-TEST(Frame, ComesBackHoweverItsBytesAreCut) {
+TEST(Frame, IsReadFromChunksOfAnySize) {
     std::mt19937 random(5);
     const std::string bytes = bytesOf(someFrames());
     EXPECT_EQ(readAll(bytes, [] { return std::size_t{1}; }), someFrames());
@@ -49,28 +49,28 @@
         EXPECT_EQ(readAll(bytes, [&] { return std::size_t{1} + random() % 5000; }), someFrames());
 }
 
-TEST(Frame, AHeadThatBreaksTheFormIsRefusedBeforeItsBodyComes) {
-    const std::string sound = bytesOf({{FrameKind::request, 1, ""}});
+TEST(Frame, InvalidHeaderIsRejectedBeforeBody) {
+    const std::string intact = bytesOf({{FrameKind::request, 1, ""}});
     for (const std::size_t offset : {8, 9, 10, 11}) {
-        std::string broken = sound;
+        std::string broken = intact;
         broken[offset] = 9;
-        EXPECT_FALSE(readAll(broken, [] { return kFrameHead; })) << offset;
+        EXPECT_FALSE(readAll(broken, [] { return kFrameHeaderBytes; })) << offset;
     }
-    std::string tooLong = sound;
+    std::string tooLong = intact;
     tooLong.replace(0, 4, std::string("\1\0\0\1", 4));  // 16 MB and one byte
-    EXPECT_FALSE(readAll(tooLong, [] { return kFrameHead; }));
+    EXPECT_FALSE(readAll(tooLong, [] { return kFrameHeaderBytes; }));
     tooLong.replace(0, 4, std::string("\0\0\0\1", 4));
-    EXPECT_EQ(readAll(tooLong, [] { return kFrameHead; }), std::vector<Frame>{});
+    EXPECT_EQ(readAll(tooLong, [] { return kFrameHeaderBytes; }), std::vector<Frame>{});
 }
 
-TEST(Frame, ItsReaderTakesRoomForWhatCameNotForWhatIsAnnounced) {
+TEST(Frame, ReaderAllocatesForReceivedNotAnnouncedBytes) {
     std::string head;
     appendFrame(FrameKind::request, 1, "", head);
     head.replace(0, 4, std::string("\0\0\0\1", 4));
     FrameReader reader;
-    std::copy(head.begin(), head.end(), reader.room().data());
+    std::copy(head.begin(), head.end(), reader.freeSpace().data());
     ASSERT_TRUE(reader.received(head.size()));
-    EXPECT_LT(reader.room().size(), 64u << 10);
+    EXPECT_LT(reader.freeSpace().size(), 64u << 10);
 }
 
 }  // namespace
--- a/tests/rpc/rpc_test.cpp
+++ b/tests/rpc/rpc_test.cpp
@@ -10,68 +10,20 @@
 #include <optional>
 #include <random>
 #include <string>
-#include <thread>
 #include <vector>
 
 #include "rpc/client.hpp"
 #include "rpc/server.hpp"
+#include "rpc_fixture.hpp"
 
 namespace beechpoint::rpc {
 namespace {
 
-using Answer = Result<std::string>;
-
-constexpr Millis kLong = 10'000;  // never reached in a passing test
 constexpr Millis kShort = 60;
 
-class RpcTest : public ::testing::Test {
-protected:
-    // Runs the loop until `done`, for at most ten seconds.
-    template <class Done>
-    bool runUntil(Done done) {
-        const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(10);
-        while (!done()) {
-            if (std::chrono::steady_clock::now() > until) return false;
-            io_.restart();
-            io_.run_one_for(std::chrono::milliseconds(50));
-        }
-        return true;
-    }
-
-    std::unique_ptr<Server> serve(Server::Handler handler, std::uint16_t port = 0) {
-        auto server = std::make_unique<Server>(io_, log_);
-        server->onRequest(std::move(handler));
-        const Result<void> listening = server->listen("127.0.0.1:" + std::to_string(port));
-        EXPECT_TRUE(listening) << listening.error().text();
-        return server;
-    }
-
-    static std::string addressOf(const Server& server) {
-        return "127.0.0.1:" + std::to_string(server.port());
-    }
-
-    Answer callAndWait(Client& client, const std::string& address, std::string bytes,
-                       Millis timeout = kLong) {
-        std::optional<Answer> answer;
-        client.call(address, std::move(bytes), timeout, [&](Answer got) {
-            EXPECT_FALSE(answer) << "called back twice";
-            EXPECT_EQ(std::this_thread::get_id(), loopThread_);
-            answer = std::move(got);
-        });
-        EXPECT_FALSE(answer) << "called back before call() returned";
-        EXPECT_TRUE(runUntil([&] { return answer.has_value(); }));
-        return answer ? *answer : Answer(Error{ErrorKind::notFound, "", "no callback", ""});
-    }
-
-    static void echo(std::string bytes, Reply reply) { reply.send("re:" + bytes); }
+class RpcTest : public RpcFixture {};
 
-    const std::thread::id loopThread_ = std::this_thread::get_id();
-    asio::io_context io_;
-    Clock clock_;
-    Logger log_{clock_, logging::Format::text, -1};
-};
-
-TEST_F(RpcTest, AnswersComeToTheirCalls) {
+TEST_F(RpcTest, ReturnsAnswerOfCall) {
     const auto server = serve(echo);
     Client client(io_, log_);
     EXPECT_EQ(callAndWait(client, addressOf(*server), "a").value(), "re:a");
@@ -82,11 +34,11 @@
     EXPECT_EQ(client.outstanding(), 0u);
 }
 
-TEST_F(RpcTest, ManyOutstandingCallsAreAnsweredInAnyOrder) {
+TEST_F(RpcTest, AnswersOutstandingCallsInAnyOrder) {
     constexpr std::size_t kCalls = 600;
-    std::vector<std::pair<std::string, Reply>> held;
-    const auto server =
-        serve([&](std::string bytes, Reply reply) { held.emplace_back(std::move(bytes), std::move(reply)); });
+    std::vector<std::pair<std::string, Reply>> pending;
+    const auto server = serve(
+        [&](std::string bytes, Reply reply) { pending.emplace_back(std::move(bytes), std::move(reply)); });
     Client client(io_, log_);
     std::vector<std::string> answers(kCalls);
     std::size_t done = 0;
@@ -95,53 +47,53 @@
             ++done;
             answers[i] = answer ? answer.value() : answer.error().text();
         });
-    ASSERT_TRUE(runUntil([&] { return held.size() == kCalls; }));
+    ASSERT_TRUE(runUntil([&] { return pending.size() == kCalls; }));
     EXPECT_EQ(server->handled(), kCalls);
     EXPECT_EQ(client.outstanding(), kCalls);
-    while (!held.empty()) {
-        held.back().second.send("re:" + held.back().first);
-        held.pop_back();
+    while (!pending.empty()) {
+        pending.back().second.send("re:" + pending.back().first);
+        pending.pop_back();
     }
     ASSERT_TRUE(runUntil([&] { return done == kCalls; }));
     for (std::size_t i = 0; i < kCalls; ++i) EXPECT_EQ(answers[i], "re:" + std::to_string(i));
     EXPECT_EQ(server->handled(), 0u);
 }
 
-TEST_F(RpcTest, MoreRequestsThanTheBoundAreRefusedAtOnceAndLaterTakenAgain) {
-    std::vector<Reply> held;
-    const auto server = serve([&](std::string, Reply reply) { held.push_back(std::move(reply)); });
+TEST_F(RpcTest, RejectsRequestsBeyondLimitUntilOthersAreAnswered) {
+    std::vector<Reply> pending;
+    const auto server = serve([&](std::string, Reply reply) { pending.push_back(std::move(reply)); });
     Client first(io_, log_), second(io_, log_);
     std::size_t done = 0;
     for (std::size_t i = 0; i < kMaxHandledRequests; ++i)
-        first.call(addressOf(*server), "held", kLong, [&](Answer) { ++done; });
-    ASSERT_TRUE(runUntil([&] { return held.size() == kMaxHandledRequests; }));
-    const Answer refused = callAndWait(second, addressOf(*server), "one more");
-    ASSERT_FALSE(refused);
-    EXPECT_EQ(refused.error().kind, ErrorKind::unavailable);
-    const std::size_t before = held.size();
-    for (Reply& reply : held) reply.send("");
+        first.call(addressOf(*server), "pending", kLong, [&](Answer) { ++done; });
+    ASSERT_TRUE(runUntil([&] { return pending.size() == kMaxHandledRequests; }));
+    const Answer rejected = callAndWait(second, addressOf(*server), "one more");
+    ASSERT_FALSE(rejected);
+    EXPECT_EQ(rejected.error().kind, ErrorKind::unavailable);
+    const std::size_t before = pending.size();
+    for (Reply& reply : pending) reply.send("");
     ASSERT_TRUE(runUntil([&] { return done == before; }));
-    held.clear();
-    std::optional<Answer> taken;
-    second.call(addressOf(*server), "again", kLong, [&](Answer answer) { taken = std::move(answer); });
-    ASSERT_TRUE(runUntil([&] { return !held.empty(); }));
-    held.front().send("now");
-    ASSERT_TRUE(runUntil([&] { return taken.has_value(); }));
-    EXPECT_EQ(taken->value(), "now");
+    pending.clear();
+    std::optional<Answer> accepted;
+    second.call(addressOf(*server), "again", kLong, [&](Answer answer) { accepted = std::move(answer); });
+    ASSERT_TRUE(runUntil([&] { return !pending.empty(); }));
+    pending.front().send("now");
+    ASSERT_TRUE(runUntil([&] { return accepted.has_value(); }));
+    EXPECT_EQ(accepted->value(), "now");
 }
 
-TEST_F(RpcTest, ACallerAtItsBoundFailsAtOnce) {
-    std::vector<Reply> held;
-    const auto server = serve([&](std::string, Reply reply) { held.push_back(std::move(reply)); });
+TEST_F(RpcTest, RejectsCallBeyondMaxOutstanding) {
+    std::vector<Reply> pending;
+    const auto server = serve([&](std::string, Reply reply) { pending.push_back(std::move(reply)); });
     Client client(io_, log_);
     for (std::size_t i = 0; i < kMaxOutstandingCalls; ++i)
-        client.call(addressOf(*server), "held", kLong, [](Answer) {});
+        client.call(addressOf(*server), "pending", kLong, [](Answer) {});
     const Answer answer = callAndWait(client, addressOf(*server), "one more");
     ASSERT_FALSE(answer);
     EXPECT_EQ(answer.error().kind, ErrorKind::unavailable);
 }
 
-TEST_F(RpcTest, ADroppedReplySaysNothingAndTheNextCallDialsAnew) {
+TEST_F(RpcTest, DroppedReplyTimesOutAndNextCallDialsAnew) {
     std::optional<Reply> late;
     bool drop = true;
     const auto server = serve([&](std::string bytes, Reply reply) {
@@ -157,72 +109,73 @@
     EXPECT_EQ(callAndWait(client, addressOf(*server), "b").value(), "re:b");
 }
 
-TEST_F(RpcTest, AReplyThatIsDestroyedFreesItsPlace) {
+TEST_F(RpcTest, DestroyedReplyIsNoLongerHandled) {
     const auto server = serve([](std::string, Reply) {});
     Client client(io_, log_);
     EXPECT_FALSE(callAndWait(client, addressOf(*server), "a", kShort));
     EXPECT_EQ(server->handled(), 0u);
 }
 
-TEST_F(RpcTest, AReplyMayOutliveItsServer) {
-    std::optional<Reply> kept;
-    auto server = serve([&](std::string, Reply reply) { kept = std::move(reply); });
+TEST_F(RpcTest, ReplyMayOutliveServer) {
+    std::optional<Reply> pendingReply;
+    auto server = serve([&](std::string, Reply reply) { pendingReply = std::move(reply); });
     Client client(io_, log_);
     std::optional<Answer> answer;
-    client.call(addressOf(*server), "a", kLong, [&](Answer got) { answer = std::move(got); });
-    ASSERT_TRUE(runUntil([&] { return kept.has_value(); }));
+    client.call(addressOf(*server), "a", kLong, [&](Answer received) { answer = std::move(received); });
+    ASSERT_TRUE(runUntil([&] { return pendingReply.has_value(); }));
     server.reset();
-    kept->send("nobody listens");
-    kept.reset();
-    ASSERT_TRUE(runUntil([&] { return answer.has_value(); }));  // the lost connection is told at once
+    pendingReply->send("nobody listens");
+    pendingReply.reset();
+    ASSERT_TRUE(
+        runUntil([&] { return answer.has_value(); }));  // the end of the connection is reported at once
     ASSERT_FALSE(*answer);
     EXPECT_EQ(answer->error().kind, ErrorKind::unavailable);
 }
 
-TEST_F(RpcTest, ARestartedPeerIsReachedByTheNextCalls) {
+TEST_F(RpcTest, ReachesRestartedPeer) {
     auto server = serve(echo);
     const std::uint16_t port = server->port();
     const std::string address = addressOf(*server);
     Client client(io_, log_);
     EXPECT_TRUE(callAndWait(client, address, "a"));
     server.reset();
-    const Answer away = callAndWait(client, address, "b", kShort);
-    ASSERT_FALSE(away);
+    const Answer whileStopped = callAndWait(client, address, "b", kShort);
+    ASSERT_FALSE(whileStopped);
     server = serve(echo, port);
-    // The call may meet the end of the connection that was lost; it is told so, and the next one dials.
+    // The call may meet the end of the connection that was lost; it fails then, and the next one dials.
     bool answered = false;
     for (int attempt = 0; attempt < 3 && !answered; ++attempt)
         answered = callAndWait(client, address, "c").has_value();
     EXPECT_TRUE(answered);
 }
 
-TEST_F(RpcTest, ACallWaitsForAPeerThatIsNotListeningYet) {
+TEST_F(RpcTest, WaitsForPeerThatIsNotListeningYet) {
     auto server = serve(echo);
     const std::uint16_t port = server->port();
     server.reset();
     Client client(io_, log_);
     std::optional<Answer> answer;
     client.call("127.0.0.1:" + std::to_string(port), "a", kLong,
-                [&](Answer got) { answer = std::move(got); });
+                [&](Answer received) { answer = std::move(received); });
     io_.poll();
     server = serve(echo, port);
     ASSERT_TRUE(runUntil([&] { return answer.has_value(); }));
     EXPECT_EQ(answer->value(), "re:a");
 }
 
-// A peer that takes connections and never says a word: as one behind a silent cut.
-TEST_F(RpcTest, ASilentPeerTimesOutEachCallAndEachFailureClosesTheConnection) {
-    asio::ip::tcp::acceptor silent(io_, {asio::ip::make_address("127.0.0.1"), 0});
+// A peer that accepts connections and never answers, as one behind a network partition.
+TEST_F(RpcTest, UnresponsivePeerTimesOutCallsAndEachTimeOutClosesConnection) {
+    asio::ip::tcp::acceptor acceptor(io_, {asio::ip::make_address("127.0.0.1"), 0});
     std::vector<asio::ip::tcp::socket> accepted;
     std::function<void()> accept = [&] {
-        silent.async_accept([&](asio::error_code error, asio::ip::tcp::socket socket) {
+        acceptor.async_accept([&](asio::error_code error, asio::ip::tcp::socket socket) {
             if (error) return;
             accepted.push_back(std::move(socket));
             accept();
         });
     };
     accept();
-    const std::string address = "127.0.0.1:" + std::to_string(silent.local_endpoint().port());
+    const std::string address = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
     Client client(io_, log_);
     for (std::size_t calls = 1; calls <= 3; ++calls) {
         const Answer answer = callAndWait(client, address, "a", kShort);
@@ -235,27 +188,28 @@
 }
 
 // Several calls that fail together close the connection once, and a call begun after them is not failed with them.
-TEST_F(RpcTest, AYoungerConnectionOutlivesTheFailuresOfAnOlderOne) {
-    std::vector<Reply> held;
+TEST_F(RpcTest, TimeOutsOfOldConnectionLeaveNewOneOpen) {
+    std::vector<Reply> pending;
     const auto server = serve([&](std::string bytes, Reply reply) {
-        if (bytes == "hold") return held.push_back(std::move(reply));
+        if (bytes == "hold") return pending.push_back(std::move(reply));
         echo(std::move(bytes), std::move(reply));
     });
     Client client(io_, log_);
     std::size_t failed = 0;
-    std::optional<Answer> younger;
+    std::optional<Answer> later;
     for (int i = 0; i < 5; ++i)
         client.call(addressOf(*server), "hold", kShort, [&](Answer answer) {
             EXPECT_FALSE(answer);
             if (++failed == 1)
-                client.call(addressOf(*server), "b", kLong, [&](Answer got) { younger = std::move(got); });
+                client.call(addressOf(*server), "b", kLong,
+                            [&](Answer received) { later = std::move(received); });
         });
-    ASSERT_TRUE(runUntil([&] { return failed == 5 && younger; }));
-    ASSERT_TRUE(*younger) << younger->error().text();
-    EXPECT_EQ(younger->value(), "re:b");
+    ASSERT_TRUE(runUntil([&] { return failed == 5 && later; }));
+    ASSERT_TRUE(*later) << later->error().text();
+    EXPECT_EQ(later->value(), "re:b");
 }
 
-TEST_F(RpcTest, PeersAreBoundedAndTheLeastRecentlyUsedIsDropped) {
+TEST_F(RpcTest, DropsLeastRecentlyUsedPeerBeyondLimit) {
     std::vector<std::unique_ptr<Server>> servers;
     Client client(io_, log_);
     for (std::size_t i = 0; i <= kMaxPeers; ++i) {
@@ -267,9 +221,9 @@
     EXPECT_EQ(client.peers(), kMaxPeers);
 }
 
-TEST_F(RpcTest, CallsToADroppedPeerFail) {
-    std::vector<Reply> held;
-    const auto holder = serve([&](std::string, Reply reply) { held.push_back(std::move(reply)); });
+TEST_F(RpcTest, FailsCallsToDroppedPeer) {
+    std::vector<Reply> pending;
+    const auto holder = serve([&](std::string, Reply reply) { pending.push_back(std::move(reply)); });
     const auto server = serve(echo);
     Client client(io_, log_);
     std::optional<Answer> dropped;
@@ -283,7 +237,7 @@
     EXPECT_EQ(client.peers(), kMaxPeers);
 }
 
-TEST_F(RpcTest, WhatIsNoAddressOrTooLargeIsInvalid) {
+TEST_F(RpcTest, RejectsInvalidAddressAndTooLargeRequest) {
     Client client(io_, log_);
     for (const std::string address :
          {"", "nowhere", "127.0.0.1", "127.0.0.1:", "127.0.0.1:66000", "host:80", "1.2.3.4:5x"}) {
@@ -299,14 +253,14 @@
     EXPECT_EQ(client.peers(), 0u);
 }
 
-TEST_F(RpcTest, AMessageOfTheLargestSizePassesBothWays) {
+TEST_F(RpcTest, CarriesLargestMessageBothWays) {
     const auto server = serve([](std::string bytes, Reply reply) { reply.send(std::move(bytes)); });
     Client client(io_, log_);
     const std::string largest(kMaxMessageBytes, 'x');
     EXPECT_EQ(callAndWait(client, addressOf(*server), largest).value(), largest);
 }
 
-TEST_F(RpcTest, AnAddressInUseIsAnError) {
+TEST_F(RpcTest, ListenFailsWhenAddressIsInUse) {
     const auto server = serve(echo);
     Server other(io_, log_);
     const Result<void> listening = other.listen(addressOf(*server));
@@ -314,21 +268,21 @@
     EXPECT_EQ(listening.error().kind, ErrorKind::unavailable);
 }
 
-TEST_F(RpcTest, DestroyedWithCallsOutstandingNothingIsCalledBack) {
-    std::vector<Reply> held;
-    auto server = serve([&](std::string, Reply reply) { held.push_back(std::move(reply)); });
+TEST_F(RpcTest, CallsNothingBackAfterDestructionWithOutstandingCalls) {
+    std::vector<Reply> pending;
+    auto server = serve([&](std::string, Reply reply) { pending.push_back(std::move(reply)); });
     auto client = std::make_unique<Client>(io_, log_);
     for (int i = 0; i < 20; ++i)
         client->call(addressOf(*server), "a", kLong, [](Answer) { ADD_FAILURE() << "called back"; });
-    ASSERT_TRUE(runUntil([&] { return held.size() == 20; }));
-    for (Reply& reply : held) reply.send("on its way");
+    ASSERT_TRUE(runUntil([&] { return pending.size() == 20; }));
+    for (Reply& reply : pending) reply.send("on its way");
     client.reset();
     server.reset();
     io_.restart();
     io_.poll();
 }
 
-TEST_F(RpcTest, ACallbackMayDestroyItsClient) {
+TEST_F(RpcTest, CallbackMayDestroyClient) {
     const auto server = serve(echo);
     auto client = std::make_unique<Client>(io_, log_);
     bool called = false;
@@ -342,18 +296,18 @@
 
 // Connections are closed by time-outs while answers arrive on them; each call ends once, and the peer is reached after.
 // Time-outs start short and grow with each call, so that a machine of any speed comes to where some are met and some not.
-TEST_F(RpcTest, ConnectionsClosedUnderTrafficLeaveNothingBehind) {
+TEST_F(RpcTest, EveryCallEndsOnceWhenConnectionsCloseUnderTraffic) {
     constexpr std::size_t kCalls = 2000, kAtOnce = 50;
     std::mt19937 random(20261202);
-    std::vector<std::pair<std::string, Reply>> held;
-    bool storm = true;
+    std::vector<std::pair<std::string, Reply>> pending;
+    bool randomReplies = true;
     const auto server = serve([&](std::string bytes, Reply reply) {
-        if (!storm) return echo(std::move(bytes), std::move(reply));
-        held.emplace_back(std::move(bytes), std::move(reply));
+        if (!randomReplies) return echo(std::move(bytes), std::move(reply));
+        pending.emplace_back(std::move(bytes), std::move(reply));
         if (random() % 4 != 0) return;
-        for (auto& [request, waiting] : held)
+        for (auto& [request, waiting] : pending)
             if (random() % 50 != 0) waiting.send("re:" + request);  // the others are dropped
-        held.clear();
+        pending.clear();
     });
     Client client(io_, log_);
     std::vector<int> ended;
@@ -378,9 +332,9 @@
     ASSERT_TRUE(runUntil([&] { return enough() && client.outstanding() == 0; }))
         << answered << ' ' << timedOut;
     for (std::size_t number = 0; number < ended.size(); ++number) EXPECT_EQ(ended[number], 1) << number;
-    held.clear();
+    pending.clear();
     EXPECT_EQ(server->handled(), 0u);
-    storm = false;
+    randomReplies = false;
     const Answer after = callAndWait(client, addressOf(*server), "after");
     ASSERT_TRUE(after) << after.error().text();
     EXPECT_EQ(after.value(), "re:after");
@@ -395,7 +349,7 @@
     }
 };
 
-TEST_F(PlainSocketTest, AServerClosesAConnectionThatCarriesNoFrames) {
+TEST_F(PlainSocketTest, ServerClosesConnectionThatSendsNoFrames) {
     const auto server = serve(echo);
     asio::ip::tcp::socket socket = connectTo(*server);
     asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\n\r\n")));
@@ -407,7 +361,7 @@
     EXPECT_TRUE(*ended);
 }
 
-TEST_F(PlainSocketTest, ACallWhoseAnswerIsNoFrameFails) {
+TEST_F(PlainSocketTest, CallFailsWhenAnswerIsNoFrame) {
     asio::ip::tcp::acceptor acceptor(io_, {asio::ip::make_address("127.0.0.1"), 0});
     asio::ip::tcp::socket accepted(io_);
     acceptor.async_accept(accepted, [&](asio::error_code) {
@@ -420,7 +374,7 @@
     EXPECT_EQ(answer.error().kind, ErrorKind::unavailable);
 }
 
-TEST_F(PlainSocketTest, ConnectionsAreBoundedAndTheOneSilentLongestIsClosed) {
+TEST_F(PlainSocketTest, ClosesLongestIdleConnectionBeyondLimit) {
     const auto server = serve(echo);
     Client client(io_, log_);
     std::vector<asio::ip::tcp::socket> sockets;
@@ -444,7 +398,7 @@
     EXPECT_TRUE(callAndWait(client, addressOf(*server), "c"));
 }
 
-TEST_F(RpcTest, APeerThatRefusesConnectionsFailsItsCallsLongBeforeTheirTimeOut) {
+TEST_F(RpcTest, RefusedConnectionsFailCallLongBeforeTimeOut) {
     auto server = serve(echo);
     const std::string address = addressOf(*server);
     server.reset();
