--- a/src/configuration/document.cpp
+++ b/src/configuration/document.cpp
@@ -97,8 +97,10 @@
     void readList(const Json& list, const FieldPath& path, DocumentKind kind, Read readItem,
                   std::vector<Item<Value>>& items) {
         if (list.IsNull() && kind == DocumentKind::patch) return;
-        if (!list.IsArray())
-            return fault(path, "is not a list of objects", "send a list of objects with names");
+        if (!list.IsArray()) {
+            fault(path, "is not a list of objects", "send a list of objects with names");
+            return;
+        }
         items.reserve(list.Size());
         for (std::size_t index = 0; index < list.Size() && !hasMaxFaults(); ++index) {
             const Json& json = list[static_cast<rapidjson::SizeType>(index)];
--- a/src/rpc/connection.cpp
+++ b/src/rpc/connection.cpp
@@ -49,10 +49,19 @@
 void Connection::received(void* self) { static_cast<Connection*>(self)->receiveCompleted(); }
 
 void Connection::receiveCompleted() {
-    if (const int error = nng_aio_result(receiving_); error != 0) return endLater(nng_strerror(error));
+    if (const int error = nng_aio_result(receiving_); error != 0) {
+        endLater(nng_strerror(error));
+        return;
+    }
     std::optional<std::vector<Frame>> frames = reader_.received(nng_aio_count(receiving_));
-    if (!frames) return endLater("the peer sent bytes that are no frames");
-    if (frames->empty()) return receive();
+    if (!frames) {
+        endLater("the peer sent bytes that are no frames");
+        return;
+    }
+    if (frames->empty()) {
+        receive();
+        return;
+    }
     asio::post(io_, [weak = weak_from_this(), frames = std::move(*frames)]() mutable {
         if (const std::shared_ptr<Connection> self = weak.lock()) self->handle(std::move(frames));
     });
@@ -87,7 +96,10 @@
 void Connection::sent(void* self) { static_cast<Connection*>(self)->sendCompleted(); }
 
 void Connection::sendCompleted() {
-    if (const int error = nng_aio_result(sending_); error != 0) return endLater(nng_strerror(error));
+    if (const int error = nng_aio_result(sending_); error != 0) {
+        endLater(nng_strerror(error));
+        return;
+    }
     offset_ += nng_aio_count(sending_);
     if (offset_ < buffer_.size() || takeNextBuffer()) transmit();
 }
--- a/src/rpc/server_state.cpp
+++ b/src/rpc/server_state.cpp
@@ -64,7 +64,8 @@
 void ServerState::onAcceptEnded(Stream stream, int error) {
     if (stream) {
         adopt(std::move(stream));
-        return accept();
+        accept();
+        return;
     }
     if (error == NNG_ECLOSED || error == NNG_ECANCELED) return;
     log_.seldom("rpc accept", "rpc: no connection can be accepted: {}", field("reason", nng_strerror(error)));
@@ -116,7 +117,8 @@
     if (handled_ >= kMaxHandledRequests) {
         log_.seldom("rpc rejected", "rpc: {} requests are in progress, one more is rejected",
                     field("limit", handled_));
-        return send(connection, FrameKind::refusal, frame.number, {});
+        send(connection, FrameKind::refusal, frame.number, {});
+        return;
     }
     ++handled_;
     Reply reply(weak_from_this(), connection, frame.number);
@@ -125,7 +127,10 @@
 
 void ServerState::answer(std::uint64_t connection, std::uint32_t number, const std::string& bytes) {
     --handled_;
-    if (bytes.size() <= kMaxMessageBytes) return send(connection, FrameKind::answer, number, bytes);
+    if (bytes.size() <= kMaxMessageBytes) {
+        send(connection, FrameKind::answer, number, bytes);
+        return;
+    }
     log_.seldom("rpc answer size", "rpc: an answer of {} bytes is above the limit and is not sent",
                 field("bytes", bytes.size()));
 }
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -32,14 +32,14 @@
 ///
 /// What a damaged file means. LMDB has no checksums, and it trusts the numbers in its pages. Three checks are made at open():
 ///
-///   page structure (page_check.hpp), before LMDB maps the file   pages torn, cut off, used twice or out of order
+///   page structure (page_check.hpp), before LMDB maps the file    pages torn, truncated, used twice or out of order
 ///   checksum of each record over its name and bytes (record.hpp)  a record that is torn, altered or under another key
 ///   summary record: count, checksums and transaction of all       a record that is missing, or of another transaction
 ///
-/// A torn record can thus not come from a crash alone; it means that the disk or another program altered the file. It is not
+/// A crash alone leaves no torn record; one means that the disk or another program altered the file. It is not
 /// repaired, and nothing of the store is used: the file is moved aside to kAsideName (removed above kMaxAsideBytes), the node
-/// starts with an empty store, and Contents says lost and fresh. A member that lost its disk counts as a new one: it must not
-/// vote with half a memory of its votes.
+/// starts with an empty store, and Contents says lost and fresh. A member that lost its disk is a new one to the others: it
+/// must not vote without the memory of its earlier votes.
 #pragma once
 
 #include <cstddef>
