--- a/tests/configuration/applied_operations_test.cpp
+++ b/tests/configuration/applied_operations_test.cpp
@@ -150,7 +150,7 @@
     }
 }
 
-TEST(AppliedOperations, WrongCountOfEmptyRangeDoesNoHarm) {
+TEST(AppliedOperations, EvictsNothingFromEmptyRangeWithWrongCount) {
     Table table = tableWithExample();
     table[std::string{kAppliedCountKey}] = std::to_string(kAppliedRetained);
     eachWithPrefix(Table{table}, kAppliedPrefix, [&](std::string_view name, std::string_view) {
