--- a/src/configuration/rendering.cpp
+++ b/src/configuration/rendering.cpp
@@ -79,9 +79,7 @@
         case ErrorKind::notFound:
             return 404;
         case ErrorKind::unavailable:
-            return 503;
         case ErrorKind::timedOut:
-            return 503;
         case ErrorKind::storage:
             return 503;
     }
--- a/src/leases/lease_table.cpp
+++ b/src/leases/lease_table.cpp
@@ -177,6 +177,7 @@
         for (const InstanceLoad& load : lease.gateway.load) sums[load.instance] += load.inFlight;
     }
     std::vector<InstanceLoad> loads;
+    loads.reserve(sums.size());
     for (const auto& [instance, inFlight] : sums) loads.push_back({instance, inFlight});
     return loads;
 }
