--- a/src/rpc/client_state.cpp
+++ b/src/rpc/client_state.cpp
@@ -168,9 +168,9 @@
                }));
 }
 
-void ClientState::onDialEnded(const std::string& at, Stream stream, const std::string& reason) {
+// `address` is the handler's, which Dial and asio hold until it returns.
+void ClientState::onDialEnded(const std::string& address, Stream stream, const std::string& reason) {
     const std::shared_ptr<ClientState> self = shared_from_this();
-    const std::string address = at;  // `at` ends with the dial
     const auto found = peers_.find(address);
     if (found == peers_.end()) return;
     Peer& peer = *found->second;
@@ -239,8 +239,8 @@
     report(std::move(endings));
 }
 
-void ClientState::onFrames(const std::string& address, std::vector<Frame> frames) {
-    const std::string peer = address;
+// `peer` is the address; it is not used after report(), whose callbacks may end the connection that holds it.
+void ClientState::onFrames(const std::string& peer, std::vector<Frame> frames) {
     Endings endings;
     for (Frame& frame : frames) {
         const auto call = calls_.find(frame.number);
--- a/src/rpc/client_state.hpp
+++ b/src/rpc/client_state.hpp
@@ -106,7 +106,7 @@
     void onConnected(Peer& peer, Stream stream);
     void onConnectionEnded(const std::string& address, const std::string& reason);
     void sendWaitingCalls(const Peer& peer);
-    void onFrames(const std::string& address, std::vector<Frame> frames);
+    void onFrames(const std::string& peer, std::vector<Frame> frames);
     void disconnect(Peer& peer);
 
     Result<Peer*> admit(const std::string& address, std::size_t size);
