--- a/src/control/replica_codec.cpp
+++ b/src/control/replica_codec.cpp
@@ -36,8 +36,8 @@
 struct Fields<replica::Status> {
     static auto of(auto& status) {
         return std::tie(status.sealed, status.installed, status.diskFailing, status.syncedEpoch,
-                        status.chained, status.committed, status.reached, status.unheard, status.stalledAt,
-                        status.leaving, status.stored);
+                        status.storedItems, status.committed, status.reachablePeers, status.unresponsivePeers,
+                        status.stalledMember, status.leaving, status.stored);
     }
 };
 template <>
@@ -60,7 +60,7 @@
 struct Fields<replica::Promise> {
     static auto of(auto& message) {
         return std::tie(message.proposal, message.target, message.accepted, message.value,
-                        message.syncedEpoch, message.position, message.diskFailing, message.folded);
+                        message.syncedEpoch, message.position, message.diskFailing, message.appliedPosition);
     }
 };
 template <>
@@ -91,7 +91,7 @@
 };
 template <>
 struct Fields<replica::SyncRequest> {
-    static auto of(auto& message) { return std::tie(message.position, message.whole); }
+    static auto of(auto& message) { return std::tie(message.position, message.full); }
 };
 template <>
 struct Fields<replica::SyncReply> {
--- a/src/control/replica_driver.cpp
+++ b/src/control/replica_driver.cpp
@@ -99,7 +99,7 @@
         if (replica_) handle(replica::Leave{});
     }
 
-    bool left() const { return !replica_ || replica_->left(clock_.now()); }
+    bool left() const { return !replica_ || replica_->hasLeft(clock_.now()); }
 
     void write(std::vector<Change> changes, std::function<void(bool)> done) {
         if (!replica_) return done(false);
--- a/src/replica/chain.cpp
+++ b/src/replica/chain.cpp
@@ -92,12 +92,12 @@
     if (view.findDisk(message.from))
         update = startFor(request);
     else if (membership_.active() && installed_)
-        update = request.whole ? table_.whole() : table_.updateSince(request.position);
+        update = request.full ? table_.whole() : table_.updateSince(request.position);
     if (update) outbox_.send(message.from.internalAddress, SyncReply{request.position, std::move(*update)});
 }
 
 std::optional<TableUpdate> Chain::startFor(const SyncRequest& request) const {
-    TableUpdate update = request.whole ? table_.whole() : table_.updateSince(request.position);
+    TableUpdate update = request.full ? table_.whole() : table_.updateSince(request.position);
     const bool withPending = pending_ && pendingStored_ && pending_->position == membership_.view.start;
     if (withPending) {
         update.changes.insert(update.changes.end(), pending_->changes.begin(), pending_->changes.end());
@@ -378,7 +378,7 @@
         if (sameProcess(member, membership_.self)) continue;
         const Peer* peer = detector.find(member.internalAddress);
         const bool has = peer && peer->epoch == membership_.view.epoch && sameProcess(peer->member, member) &&
-                         peer->status.chained >= chained_;
+                         peer->status.storedItems >= chained_;
         if (!has) return member.internalAddress;
     }
     return {};
--- a/src/replica/events.hpp
+++ b/src/replica/events.hpp
@@ -41,7 +41,7 @@
 struct SeedsChanged {
     std::vector<std::string> seeds;  // control addresses
 };
-// This process is to end. It stays a full member until a view without it holds its starting state; see Replica::left().
+// This process is to end. It stays a full member until a view without it holds its starting state; see Replica::hasLeft().
 struct Leave {};
 using Event = std::variant<MessageReceived, Persisted, PersistFailed, Tick, ClientWrite, ReadBarrier,
                            DiskHealth, SeedsChanged, Leave>;
--- a/src/replica/failure_detector.cpp
+++ b/src/replica/failure_detector.cpp
@@ -38,7 +38,7 @@
     // Silence counts only from when heartbeats are sent to a process steadily.
     std::set<std::string> watched;
     if (watches()) {
-        for (const Member& member : membership_.view.all()) {
+        for (const Member& member : membership_.view.membersAndVoters()) {
             const std::string& address = member.internalAddress;
             if (address == membership_.self.internalAddress) continue;
             Peer* peer = add(now, member);
--- a/src/replica/messages.hpp
+++ b/src/replica/messages.hpp
@@ -25,13 +25,14 @@
     bool installed = false;  // knows that all members of the epoch hold its starting state
     bool diskFailing = false;
     std::uint64_t syncedEpoch = 0;
-    std::uint64_t chained = 0;  // items of the chain (opening, batches) stored in this epoch
+    std::uint64_t storedItems = 0;  // items of the chain (opening, batches) stored in this epoch
     Position committed;
-    std::vector<std::string> reached;  // answered lately
-    std::vector<std::string> unheard;  // members of the view that have not answered for the suspicion time
-    std::string stalledAt;             // member at which the sender's batch hangs; empty: none
-    Position stored;                   // of the table on disk; a learner's progress
-    bool leaving = false;              // is to end: asks for a view without it, and not to be taken in
+    std::vector<std::string> reachablePeers;  // answered lately
+    std::vector<std::string>
+        unresponsivePeers;      // members of the view that have not answered for the suspicion time
+    std::string stalledMember;  // member at which the sender's batch hangs; empty: none
+    Position stored;            // of the table on disk; a learner's progress
+    bool leaving = false;       // is to end: asks for a view without it, and not to be taken in
 };
 
 struct HeartbeatReply {
@@ -58,8 +59,8 @@
     ProposalNumber accepted;
     std::optional<View> value;
     std::uint64_t syncedEpoch = 0;
-    Position position;  // with the pending batch
-    Position folded;    // without it
+    Position position;         // with the pending batch
+    Position appliedPosition;  // without it
     bool diskFailing = false;
 };
 
@@ -101,8 +102,8 @@
 
 // From a member of the view: answered with the starting state. From a process outside of it: with the committed state.
 struct SyncRequest {
-    Position position;   // of the asker's table
-    bool whole = false;  // a delta will not do
+    Position position;  // of the asker's table
+    bool full = false;  // a delta will not do
 };
 
 struct SyncReply {
--- a/src/replica/replica.cpp
+++ b/src/replica/replica.cpp
@@ -75,7 +75,7 @@
     }
 
     // A view is settled where one of its members says so: it knows then that all of them hold the starting state.
-    bool left(Millis now) const {
+    bool hasLeft(Millis now) const {
         const View& view = membership_.view;
         if (!membership_.leaving) return false;
         if (view.epoch == 0) return true;
@@ -175,11 +175,11 @@
         status.installed = chain_.installed();
         status.diskFailing = membership_.diskFailing;
         status.syncedEpoch = chain_.syncedEpoch();
-        status.chained = chain_.chained();
+        status.storedItems = chain_.chained();
         status.committed = chain_.committedPosition();
-        status.reached = detector_.reached(now);
-        status.unheard = detector_.unheard(now);
-        status.stalledAt = chain_.stalledAt(now, detector_);
+        status.reachablePeers = detector_.reached(now);
+        status.unresponsivePeers = detector_.unheard(now);
+        status.stalledMember = chain_.stalledAt(now, detector_);
         status.stored = chain_.tablePosition();
         status.leaving = membership_.leaving;
         return status;
@@ -312,7 +312,7 @@
 bool Replica::isTail() const { return parts_->membership().isTail(); }
 bool Replica::writable() const { return parts_->chain().writable(); }
 
-bool Replica::left(Millis now) const { return parts_->left(now); }
+bool Replica::hasLeft(Millis now) const { return parts_->hasLeft(now); }
 
 bool Replica::fresh(Millis now) const {
     const bool upToDate = parts_->membership().active() && parts_->chain().upToDate(now);
--- a/src/replica/replica.hpp
+++ b/src/replica/replica.hpp
@@ -50,7 +50,7 @@
     bool fresh(Millis now) const;  // may answer polls
     // After Leave: nothing hangs on this process any more. The newest view lists neither it nor its disk, and all members of
     // that view hold its starting state; or there is nobody to leave to. May never come true: the caller waits for a bounded time.
-    bool left(Millis now) const;
+    bool hasLeft(Millis now) const;
 
 private:
     class Parts;
--- a/src/replica/view.cpp
+++ b/src/replica/view.cpp
@@ -6,7 +6,7 @@
 
 namespace beechpoint::replica {
 
-std::size_t leftOfZones(const std::vector<Member>& members, std::size_t zones) {
+std::size_t remainingAfterZoneLoss(const std::vector<Member>& members, std::size_t zones) {
     std::map<std::string_view, std::size_t> byZone;
     for (const Member& member : members) ++byZone[member.zone];
     std::vector<std::size_t> sizes;
@@ -17,7 +17,7 @@
     return left;
 }
 
-bool uncountedMayGo(const std::vector<Member>& members, const Tolerance& tolerance) {
+bool majoritySurvivesWithoutUncounted(const std::vector<Member>& members, const Tolerance& tolerance) {
     View counted;
     std::ranges::copy_if(members, std::back_inserter(counted.members), &Member::counted);
     if (counted.members.size() == members.size() || !tolerance.covers(counted)) return true;
@@ -25,7 +25,7 @@
     const std::size_t needed = members.size() / 2 + 1;
     const auto keeps = [&](std::size_t left) { return left < counted.majority() || left >= needed; };
     return size >= needed && keeps(size - std::min(size, tolerance.machines)) &&
-           keeps(leftOfZones(counted.members, tolerance.zones));
+           keeps(remainingAfterZoneLoss(counted.members, tolerance.zones));
 }
 
 }  // namespace beechpoint::replica
--- a/src/replica/view.hpp
+++ b/src/replica/view.hpp
@@ -66,7 +66,7 @@
         return found == electorate().end() ? nullptr : &*found;
     }
     // The members of the chain, and the voters that are not among them.
-    std::vector<Member> all() const {
+    std::vector<Member> membersAndVoters() const {
         std::vector<Member> listed = members;
         for (const Member& voter : electorate())
             if (!findDisk(voter)) listed.push_back(voter);
@@ -94,12 +94,12 @@
 };
 
 // How many of these members are left when the largest zones that may be lost have gone.
-std::size_t leftOfZones(const std::vector<Member>& members, std::size_t zones);
+std::size_t remainingAfterZoneLoss(const std::vector<Member>& members, std::size_t zones);
 
 // Whether all the uncounted among these members may go with a majority left: the counted are one, and stay one after each loss
 // that they would bear among themselves. Where they are too few to acknowledge anything alone, nothing better can be had than
 // to count all.
-bool uncountedMayGo(const std::vector<Member>& members, const Tolerance& tolerance);
+bool majoritySurvivesWithoutUncounted(const std::vector<Member>& members, const Tolerance& tolerance);
 
 // Number of a proposal; unique, as a session never uses a round twice.
 struct ProposalNumber {
--- a/src/replica/view_change.cpp
+++ b/src/replica/view_change.cpp
@@ -90,7 +90,7 @@
             addresses.push_back(internalAddressOf(founder, membership_.self.internalAddress));
         return addresses;
     }
-    for (const Member& member : membership_.view.all()) {
+    for (const Member& member : membership_.view.membersAndVoters()) {
         const bool own = sameDisk(member, membership_.self);
         addresses.push_back(own ? membership_.self.internalAddress : member.internalAddress);
     }
@@ -314,7 +314,7 @@
 void ViewChange::announce(const View& view) {
     std::set<std::string> addresses;
     for (const std::string& address : acceptorAddresses()) addresses.insert(address);
-    for (const Member& member : view.all()) addresses.insert(member.internalAddress);
+    for (const Member& member : view.membersAndVoters()) addresses.insert(member.internalAddress);
     addresses.erase(membership_.self.internalAddress);
     for (const std::string& address : addresses) outbox_.send(address, Decided{view});
 }
--- a/src/replica/view_planner.cpp
+++ b/src/replica/view_planner.cpp
@@ -28,7 +28,8 @@
 std::optional<Stored> storedBy(const ReceivedPromise& received, const View& base) {
     const Promise& promise = received.promise;
     if (promise.syncedEpoch == base.epoch) return Stored{base.epoch, promise.position};
-    if (promise.position == base.start || promise.folded == base.start) return Stored{base.epoch, base.start};
+    if (promise.position == base.start || promise.appliedPosition == base.start)
+        return Stored{base.epoch, base.start};
     if (promise.syncedEpoch + 1 == base.epoch) return Stored{promise.syncedEpoch, promise.position};
     return std::nullopt;
 }
@@ -132,7 +133,8 @@
         const Peer* peer = detector_.find(member.internalAddress);
         if (!peer || !detector_.reachable(member.internalAddress, now)) continue;
         if (peer->epoch != membership_.view.epoch) continue;
-        for (const std::string& address : peer->status.unheard) addBroken(member.internalAddress, address);
+        for (const std::string& address : peer->status.unresponsivePeers)
+            addBroken(member.internalAddress, address);
     }
     while (!broken.empty()) {
         std::map<std::string, std::size_t> count;
@@ -164,8 +166,8 @@
     const Member& head = view.members.front();
     const Peer* peer = detector_.find(head.internalAddress);
     if (!peer || !detector_.reachable(head.internalAddress, now) || peer->epoch != view.epoch) return;
-    if (!sameProcess(peer->member, head) || !listed(peer->status.stalledAt)) return;
-    excludeStalled(peer->status.stalledAt, assessment);
+    if (!sameProcess(peer->member, head) || !listed(peer->status.stalledMember)) return;
+    excludeStalled(peer->status.stalledMember, assessment);
 }
 
 void ViewPlanner::excludeStalled(const std::string& address, Assessment& assessment) const {
@@ -259,7 +261,7 @@
             if (!mayJoin(peer, now, assessment)) continue;
             std::vector<Member> with = planned(assessment);
             with.push_back(peer.member);
-            if (!counted && !uncountedMayGo(with, membership_.settings.tolerance)) continue;
+            if (!counted && !majoritySurvivesWithoutUncounted(with, membership_.settings.tolerance)) continue;
             assessment.joiners.push_back(peer.member);
             assessment.observed = true;
         }
@@ -269,7 +271,7 @@
 // The later in order go first. The first one may go as well: its successor holds the same state, in a settled view and at the
 // founding.
 void ViewPlanner::dropUncounted(std::vector<Member>& members) const {
-    while (!uncountedMayGo(members, membership_.settings.tolerance)) {
+    while (!majoritySurvivesWithoutUncounted(members, membership_.settings.tolerance)) {
         const auto last = std::ranges::find(members.rbegin(), members.rend(), false, &Member::counted);
         if (last == members.rend()) return;
         members.erase(std::next(last).base());
@@ -323,13 +325,13 @@
         if (assessment.excluded.contains(member.internalAddress)) return true;
         const Peer* peer = detector_.find(member.internalAddress);
         return peer && detector_.reachable(member.internalAddress, now) &&
-               contains(peer->status.reached, address);
+               contains(peer->status.reachablePeers, address);
     });
 }
 
 bool ViewPlanner::heardByAny(const std::string& address, Millis now) const {
     return std::ranges::any_of(detector_.peers(), [&](const auto& entry) {
-        return detector_.reachable(entry.first, now) && contains(entry.second.status.reached, address);
+        return detector_.reachable(entry.first, now) && contains(entry.second.status.reachablePeers, address);
     });
 }
 
--- a/src/replica/voters.cpp
+++ b/src/replica/voters.cpp
@@ -74,7 +74,7 @@
 bool bears(const std::vector<Member>& voters, const Tolerance& tolerance) {
     const std::size_t needed = voters.size() / 2 + 1;
     const std::size_t left = voters.size() - std::min(voters.size(), tolerance.machines);
-    return left >= needed && leftOfZones(voters, tolerance.zones) >= needed;
+    return left >= needed && remainingAfterZoneLoss(voters, tolerance.zones) >= needed;
 }
 
 std::vector<Member> nextVoters(const std::vector<Voter>& present, const std::vector<Member>& chain,
--- a/tests/control/codec_test.cpp
+++ b/tests/control/codec_test.cpp
@@ -202,11 +202,11 @@
     replica::Status status;
     status.sealed = status.diskFailing = status.leaving = true;
     status.syncedEpoch = 4;
-    status.chained = 2;
+    status.storedItems = 2;
     status.committed = {4, 5};
-    status.reached = {"a"};
-    status.unheard = {"b"};
-    status.stalledAt = "b";
+    status.reachablePeers = {"a"};
+    status.unresponsivePeers = {"b"};
+    status.stalledMember = "b";
     status.stored = {4, 3};
     const Batch batch{{4, 6}, {{"k", "v"}, {"gone", std::nullopt}}};
     replica::Promise promise;
@@ -216,7 +216,7 @@
     promise.accepted = proposal;
     promise.syncedEpoch = 3;
     promise.position = {4, 6};
-    promise.folded = {4, 5};
+    promise.appliedPosition = {4, 5};
     promise.diskFailing = true;
     return {replica::Heartbeat{1, 2.5},
             replica::HeartbeatReply{1, 2.5, 3, status},
@@ -251,13 +251,13 @@
     EXPECT_EQ(promise.accepted, (replica::ProposalNumber{2, "a", 12}));
     EXPECT_EQ(promise.syncedEpoch, 3u);
     EXPECT_EQ(promise.position, (Position{4, 6}));
-    EXPECT_EQ(promise.folded, (Position{4, 5}));
+    EXPECT_EQ(promise.appliedPosition, (Position{4, 5}));
     EXPECT_TRUE(promise.diskFailing);
     EXPECT_TRUE(std::get<replica::HeartbeatReply>(read.value()[1].body).status.leaving);
     EXPECT_EQ(std::get<replica::HeartbeatReply>(read.value()[1].body).status.stored, (Position{4, 3}));
     const auto& request = std::get<replica::SyncRequest>(read.value()[11].body);
     EXPECT_EQ(request.position, (Position{1, 1}));
-    EXPECT_TRUE(request.whole);
+    EXPECT_TRUE(request.full);
 }
 
 // The routes of 2,700 tenants and all calls that are remembered, in one message.
--- a/tests/golden/control/equality.hpp
+++ b/tests/golden/control/equality.hpp
@@ -64,9 +64,9 @@
 
 inline auto tied(const Heartbeat& message) { return std::tie(message.sequence, message.sentAt); }
 inline auto tied(const Status& status) {
-    return std::tie(status.sealed, status.installed, status.diskFailing, status.syncedEpoch, status.chained,
-                    status.committed, status.reached, status.unheard, status.stalledAt, status.stored,
-                    status.leaving);
+    return std::tie(status.sealed, status.installed, status.diskFailing, status.syncedEpoch,
+                    status.storedItems, status.committed, status.reachablePeers, status.unresponsivePeers,
+                    status.stalledMember, status.stored, status.leaving);
 }
 inline auto tied(const HeartbeatReply& message) {
     return std::tie(message.sequence, message.sentAt, message.askedBySession, message.status);
@@ -77,7 +77,7 @@
 }
 inline auto tied(const Promise& message) {
     return std::tie(message.proposal, message.target, message.accepted, message.value, message.syncedEpoch,
-                    message.position, message.folded, message.diskFailing);
+                    message.position, message.appliedPosition, message.diskFailing);
 }
 inline auto tied(const Refuse& message) {
     return std::tie(message.proposal, message.target, message.promised);
@@ -91,7 +91,7 @@
     return std::tie(message.opening, message.previous, message.batch);
 }
 inline auto tied(const Commit& message) { return std::tie(message.position); }
-inline auto tied(const SyncRequest& message) { return std::tie(message.position, message.whole); }
+inline auto tied(const SyncRequest& message) { return std::tie(message.position, message.full); }
 inline auto tied(const SyncReply& message) { return std::tie(message.since, message.update); }
 inline auto tied(const Message& message) { return std::tie(message.from, message.epoch, message.body); }
 
--- a/tests/golden/control/replica_samples.cpp
+++ b/tests/golden/control/replica_samples.cpp
@@ -101,11 +101,11 @@
     status.installed = true;
     status.diskFailing = true;
     status.syncedEpoch = 5;
-    status.chained = 1000;
+    status.storedItems = 1000;
     status.committed = {5, 299};
-    status.reached = {"10.0.2.1:7000", "10.0.2.2:7000"};
-    status.unheard = {"10.0.2.3:7000"};
-    status.stalledAt = "10.0.2.4:7000";
+    status.reachablePeers = {"10.0.2.1:7000", "10.0.2.2:7000"};
+    status.unresponsivePeers = {"10.0.2.3:7000"};
+    status.stalledMember = "10.0.2.4:7000";
     status.stored = {5, 300};
     status.leaving = true;
     return status;
--- a/tests/replica/explore_world.cpp
+++ b/tests/replica/explore_world.cpp
@@ -231,7 +231,7 @@
 
 void World::endIfLeft(std::size_t index) {
     Node& node = nodes_[index];
-    if (!node.leaving || !node.replica || !node.replica->left(now_)) return;
+    if (!node.leaving || !node.replica || !node.replica->hasLeft(now_)) return;
     checkCopies(node.replica->view());
     node.gone = true;
     losePower(index);
--- a/tests/replica/replica_test.cpp
+++ b/tests/replica/replica_test.cpp
@@ -299,7 +299,7 @@
     ASSERT_EQ(sent<Refuse>(), 1u);
     EXPECT_EQ(last<Refuse>()->promised, ProposalNumber{});
     Status trouble;
-    trouble.unheard = {memberOf("c").internalAddress};
+    trouble.unresponsivePeers = {memberOf("c").internalAddress};
     pass(300);
     answerHeartbeats({"a"}, trouble);
     receive("a", prepareFor(2, false));
@@ -493,7 +493,7 @@
     forget();
     pass(600);
     ASSERT_TRUE(last<SyncRequest>());
-    EXPECT_TRUE(last<SyncRequest>()->whole);
+    EXPECT_TRUE(last<SyncRequest>()->full);
     receive("a", SyncReply{{1, 3}, {{1, 9}, false, {{"k", "9"}}}});
     storeAll();
     receive("a", Heartbeat{1, 1});
--- a/tests/replica/simulated_cluster.cpp
+++ b/tests/replica/simulated_cluster.cpp
@@ -455,7 +455,7 @@
         fail(fmt::format("node {} went back from {} to {}", index, text(node.shown), text(position)));
     if (position != node.shown) checkState(index);
     node.shown = position;
-    if (node.leaving && node.replica->left(now_)) checkLeft(index);
+    if (node.leaving && node.replica->hasLeft(now_)) checkLeft(index);
     if (!node.replica->fresh(now_)) return;
     while (acknowledgements_.size() > 1 && acknowledgements_[1].first < now_ - kFreshLag)
         acknowledgements_.pop_front();
--- a/tests/replica/uncounted_test.cpp
+++ b/tests/replica/uncounted_test.cpp
@@ -24,22 +24,22 @@
 
 TEST(UncountedMayGo, OnlyWhereTheCountedKeepAMajorityAfterWhatIsTolerated) {
     const Tolerance one{1, 0};
-    EXPECT_TRUE(uncountedMayGo(membersOf(3, 0), one));
-    EXPECT_FALSE(uncountedMayGo(membersOf(3, 1), one));
-    EXPECT_TRUE(uncountedMayGo(membersOf(4, 1), one));
-    EXPECT_FALSE(uncountedMayGo(membersOf(4, 2), one));
-    EXPECT_TRUE(uncountedMayGo(membersOf(5, 2), one));
-    EXPECT_FALSE(uncountedMayGo(membersOf(5, 1), {2, 0}));
+    EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(3, 0), one));
+    EXPECT_FALSE(majoritySurvivesWithoutUncounted(membersOf(3, 1), one));
+    EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(4, 1), one));
+    EXPECT_FALSE(majoritySurvivesWithoutUncounted(membersOf(4, 2), one));
+    EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(5, 2), one));
+    EXPECT_FALSE(majoritySurvivesWithoutUncounted(membersOf(5, 1), {2, 0}));
     // A zone of two counted members is the larger loss.
-    EXPECT_TRUE(uncountedMayGo(membersOf(6, 1, 6), {1, 1}));
-    EXPECT_TRUE(uncountedMayGo(membersOf(5, 1, 9), {1, 1}));
-    EXPECT_FALSE(uncountedMayGo(membersOf(5, 1, 3), {1, 1}));
+    EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(6, 1, 6), {1, 1}));
+    EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(5, 1, 9), {1, 1}));
+    EXPECT_FALSE(majoritySurvivesWithoutUncounted(membersOf(5, 1, 3), {1, 1}));
     // Two do not bear the loss of one; but both must still be a majority.
-    EXPECT_TRUE(uncountedMayGo(membersOf(2, 1), one));
-    EXPECT_FALSE(uncountedMayGo(membersOf(2, 2), one));
+    EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(2, 1), one));
+    EXPECT_FALSE(majoritySurvivesWithoutUncounted(membersOf(2, 2), one));
     // Nothing better can be had.
-    EXPECT_TRUE(uncountedMayGo(membersOf(1, 2), one));
-    EXPECT_TRUE(uncountedMayGo(membersOf(0, 3), one));
+    EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(1, 2), one));
+    EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(0, 3), one));
 }
 
 class UncountedTest : public ::testing::TestWithParam<std::uint64_t> {};
--- a/tests/replica/view_agreement_test.cpp
+++ b/tests/replica/view_agreement_test.cpp
@@ -173,7 +173,7 @@
     EXPECT_EQ(view->start, (Position{2, 28}));
     promises_["b"].promise.position = {2, 29};  // its pending batch is not part of the starting state
     EXPECT_EQ(compose()->start, (Position{2, 28}));
-    promises_["b"].promise.folded = {2, 27};
+    promises_["b"].promise.appliedPosition = {2, 27};
     EXPECT_FALSE(compose());
 }
 
--- a/tests/replica/voters_test.cpp
+++ b/tests/replica/voters_test.cpp
@@ -115,7 +115,7 @@
     EXPECT_EQ(view.majority(), 2u);
     view.voters = chainOf("abc");
     EXPECT_EQ(view.majority(), 2u);
-    EXPECT_EQ(namesOf(view.all()), "abc");
+    EXPECT_EQ(namesOf(view.membersAndVoters()), "abc");
     EXPECT_NE(view.findVoter(member("c")), nullptr);
     EXPECT_EQ(view.findVoter(member("c", "c", 2)), nullptr);
 }
