--- a/src/replica/chain.cpp
+++ b/src/replica/chain.cpp
@@ -10,215 +10,113 @@
 Chain::Chain(const Membership& membership, Outbox& outbox, DurableState state)
     : membership_(membership),
       outbox_(outbox),
-      table_(std::move(state.table), state.position),
-      pending_(std::move(state.pending)),
-      pendingStored_(pending_.has_value()),
-      syncedEpoch_(state.syncedEpoch) {}
-
-// ---- Starting state
+      table_(std::move(state)),
+      startingState_(membership, outbox, table_, [this](Millis now) { passOpening(now); }) {}
 
 void Chain::enterView(Millis now) {
     installed_ = false;
-    openingSeen_ = false;
-    chained_ = 0;
-    enteredAt_ = itemSince_ = now;
-    resendAt_ = startRetryAt_ = now;
-    syncAttempts_ = 0;
+    openingReceived_ = false;
+    storedItems_ = 0;
+    itemStartedAt_ = now;
+    resendAt_ = now;
     if (write_ && write_->position != membership_.view.start) finishWrite(WriteOutcome::unavailable);
-    resolveStart(now);
+    startingState_.enterView(now);
 }
 
-bool Chain::synced() const { return membership_.view.epoch > 0 && syncedEpoch_ == membership_.view.epoch; }
-
-// Sees to it that this disk holds the starting state of the epoch. Not while sealed: a promise has reported what the
-// disk holds, and the next view may build on it.
-void Chain::resolveStart(Millis now) {
-    if (!membership_.inChain() || membership_.sealed || synced() || startPersisting_ || now < startRetryAt_)
-        return;
-    const Position start = membership_.view.start;
-    startRetryAt_ = now + kChainRetry;
-    DurableUpdate update;
-    update.table = rewriteTable_ ? table_.whole() : unconfirmedFold_;
-    if (pending_ && pending_->position == start) {
-        update.pending = pending_;
-        claimStart(std::move(update));
-    } else if (table_.position() == start) {
-        pending_.reset();
-        pendingStored_ = false;
-        update.clearPending = true;
-        claimStart(std::move(update));
-    } else {
-        requestSync(now);
-    }
+void Chain::tick(Millis now) {
+    if (write_ && now >= write_->deadline) finishWrite(WriteOutcome::unavailable);
+    startingState_.advance(now);
+    if (membership_.active() && membership_.isHead() && now >= resendAt_) resend(now);
 }
 
-void Chain::claimStart(DurableUpdate update) {
-    const std::uint64_t epoch = membership_.view.epoch;
-    const Position start = membership_.view.start;
-    update.syncedEpoch = epoch;
-    startPersisting_ = true;
-    outbox_.persist(std::move(update), [this, epoch, start](Millis now, bool stored) {
-        startPersisting_ = false;
-        if (!stored) return;
-        rewriteTable_ = false;
-        unconfirmedFold_.reset();
-        if (pending_ && pending_->position == start) pendingStored_ = true;
-        syncedEpoch_ = epoch;
-        startRetryAt_ = now;
-        resolveStart(now);
-        open(now);
-    });
+void Chain::resend(Millis now) {
+    if (!installed_)
+        passOpening(now);
+    else if (table_.hasStoredPending())
+        passPending(now);
+    else if (table_.pending() && pendingPersists_ == 0 && now >= pendingRetryAt_)
+        storePending(now);
 }
 
-// Asks the source first, then the others in turn.
-void Chain::requestSync(Millis now) {
-    if (!membership_.active()) return;
-    const auto& members = membership_.view.members;
-    std::size_t choice = syncAttempts_++ % members.size();
-    if (choice == *membership_.index) choice = (choice + 1) % members.size();
-    if (choice == *membership_.index) return;
-    outbox_.send(members[choice].internalAddress, SyncRequest{table_.position(), rewriteTable_});
-    // Once all were asked it is the copy that takes its time: asked for again and again it would take longer still.
-    const std::size_t rounds = (syncAttempts_ - 1) / members.size();
-    const std::size_t doublings = std::min(rounds, kSyncRetryDoublings);
-    startRetryAt_ = now + kChainRetry * static_cast<Millis>(std::size_t{1} << doublings);
-}
+// ---- Starting state
 
-// To a learner goes what is committed: in a settled epoch that is the folded table.
+// A learner gets what is committed: in an installed view that is the table without the pending batch.
 void Chain::onSyncRequest(const Message& message, const SyncRequest& request) {
     const View& view = membership_.view;
     if (message.epoch != view.epoch || !synced()) return;
     std::optional<TableUpdate> update;
     if (view.findDisk(message.from))
-        update = startFor(request);
+        update = table_.startingState(view, request);
     else if (membership_.active() && installed_)
-        update = request.full ? table_.whole() : table_.updateSince(request.position);
+        update = table_.appliedState(request);
     if (update) outbox_.send(message.from.internalAddress, SyncReply{request.position, std::move(*update)});
 }
 
-std::optional<TableUpdate> Chain::startFor(const SyncRequest& request) const {
-    TableUpdate update = request.full ? table_.whole() : table_.updateSince(request.position);
-    const bool withPending = pending_ && pendingStored_ && pending_->position == membership_.view.start;
-    if (withPending) {
-        update.changes.insert(update.changes.end(), pending_->changes.begin(), pending_->changes.end());
-        update.position = pending_->position;
-    }
-    if (update.position != membership_.view.start) return std::nullopt;
-    return update;
-}
-
 void Chain::onSyncReply(const Message& message, const SyncReply& reply) {
-    const View& view = membership_.view;
-    if (startPersisting_) return;
-    if (!membership_.inChain()) return learn(reply);
-    if (message.epoch != view.epoch || !view.findDisk(message.from) || !membership_.active() || synced() ||
-        reply.update.position != view.start)
-        return;
-    if (fits(reply)) bring(reply.update, view.epoch);
-}
-
-bool Chain::fits(const SyncReply& reply) const {
-    return reply.update.whole || (!rewriteTable_ && reply.since == table_.position());
-}
-
-std::optional<SyncRequest> Chain::lacks() const {
-    if (startPersisting_) return std::nullopt;
-    return SyncRequest{table_.position(), rewriteTable_};
-}
-
-// A copy for later, by a process that no view it knows lists: `syncedEpoch` stays, so it counts for nothing until a view that
-// lists this process has brought it to its starting state. What is committed once stays so, whichever view is in force now, and
-// only grows, so an older answer is dropped.
-void Chain::learn(const SyncReply& reply) {
-    const bool newer = reply.update.position > table_.position() ||
-                       (rewriteTable_ && reply.update.position == table_.position());
-    if (newer && fits(reply)) bring(reply.update, std::nullopt);
-}
-
-// With an epoch: it is the epoch's starting state, and this disk is synced into the epoch then.
-void Chain::bring(TableUpdate update, std::optional<std::uint64_t> epoch) {
-    DurableUpdate change;
-    change.table = update;
-    if (!update.whole && unconfirmedFold_) {
-        change.table->changes = unconfirmedFold_->changes;
-        change.table->changes.insert(change.table->changes.end(), update.changes.begin(),
-                                     update.changes.end());
-    }
-    change.clearPending = true;
-    change.syncedEpoch = epoch;
-    startPersisting_ = true;
-    outbox_.persist(std::move(change), [this, epoch, update = std::move(update)](Millis now, bool stored) {
-        startPersisting_ = false;
-        rewriteTable_ = !stored;
-        if (!stored) return;
-        table_.bring(update);
-        pending_.reset();
-        pendingStored_ = false;
-        unconfirmedFold_.reset();
-        syncedEpoch_ = epoch.value_or(syncedEpoch_);
-        startRetryAt_ = now;
-        resolveStart(now);
-        open(now);
-    });
-}
-
-Position Chain::storedPosition() const {
-    return pending_ && pendingStored_ ? pending_->position : table_.position();
+    startingState_.onSyncReply(message, reply);
 }
 
 // ---- Opening
 
-// Passes the opening on as soon as this member holds the starting state and was told of the opening.
-void Chain::open(Millis now) {
+// Passes the opening on as soon as this member holds the starting state and has received the opening.
+void Chain::passOpening(Millis now) {
     if (!membership_.active() || !synced() || installed_) return;
-    if (!membership_.isHead() && !openingSeen_) return;
-    if (chained_ == 0) itemSince_ = now;
-    chained_ = std::max<std::uint64_t>(chained_, 1);
+    if (!membership_.isHead() && !openingReceived_) return;
+    if (storedItems_ == 0) itemStartedAt_ = now;
+    storedItems_ = std::max<std::uint64_t>(storedItems_, 1);
     if (membership_.isTail()) {
         installView(now);
-        sendUp(membership_.view.start);
+        sendToPredecessor(membership_.view.start);
         return;
     }
     resendAt_ = now + kChainRetry;
-    sendDown(Propose{true, {}, Batch{membership_.view.start, {}}});
+    sendToSuccessor(Propose{true, {}, Batch{membership_.view.start, {}}});
 }
 
 void Chain::installView(Millis now) {
     installed_ = true;
-    chained_ = std::max<std::uint64_t>(chained_, 1);
-    const Position before = servedPosition_;
-    const bool oneBatch = table_.position() == before;
-    std::optional<Batch> folded;
-    if (pending_ && pending_->position == membership_.view.start) {
-        folded = pending_;
-        foldPending();
+    storedItems_ = std::max<std::uint64_t>(storedItems_, 1);
+    const Position before = table_.committedPosition();
+    const bool followsCommitted = table_.appliedPosition() == before;
+    std::optional<Batch> applied;
+    if (table_.pending() && table_.pending()->position == membership_.view.start) {
+        applied = table_.pending();
+        applyPending();
     }
-    served_ = table_.snapshot();
-    servedPosition_ = table_.position();
-    if (servedPosition_ != before) {
-        if (oneBatch)
-            outbox_.emit(Committed{*folded});
+    table_.commitApplied();
+    const Position committed = table_.committedPosition();
+    if (committed != before) {
+        if (followsCommitted)
+            outbox_.emit(Committed{*applied});
         else
-            outbox_.emit(TableReplaced{servedPosition_});
-    }
-    outbox_.log(fmt::format("epoch {} settled at {}.{}", membership_.view.epoch, servedPosition_.epoch,
-                            servedPosition_.sequence));
-    if (write_ && write_->position == servedPosition_) {
-        const bool held = membership_.settings.tolerance.covers(membership_.view);
-        finishWrite(held ? WriteOutcome::committed : WriteOutcome::unavailable);
+            outbox_.emit(TableReplaced{committed});
     }
-    itemSince_ = now;
+    outbox_.log(fmt::format("epoch {} installed at {}.{}", membership_.view.epoch, committed.epoch,
+                            committed.sequence));
+    answerWriteAtInstallation();
+    itemStartedAt_ = now;
+}
+
+// A write of the epoch before that the view starts from is committed; acknowledged only where the view has enough copies.
+void Chain::answerWriteAtInstallation() {
+    if (!write_ || write_->position != table_.committedPosition()) return;
+    const bool tolerated = membership_.settings.tolerance.covers(membership_.view);
+    finishWrite(tolerated ? WriteOutcome::committed : WriteOutcome::unavailable);
 }
 
 // ---- Batches
 
 bool Chain::writable() const {
-    return membership_.active() && membership_.isHead() && installed_ && !pending_ && !write_ &&
+    return membership_.active() && membership_.isHead() && installed_ && !table_.pending() && !write_ &&
            !membership_.diskFailing && membership_.settings.tolerance.covers(membership_.view);
 }
 
+bool Chain::upToDate(Millis now) const {
+    return installed_ && (!table_.pending() || now - pendingSince_ <= kFreshFor);
+}
+
 bool Chain::busy() const {
-    return write_ || pending_ || startPersisting_ || (membership_.index && !installed_);
+    return write_ || table_.pending() || startingState_.isPersisting() || (membership_.index && !installed_);
 }
 
 void Chain::write(Millis now, const ClientWrite& write) {
@@ -226,80 +124,85 @@
         outbox_.emit(WriteDone{write.token, WriteOutcome::unavailable});
         return;
     }
-    const Position position{membership_.view.epoch, table_.position().sequence + 1};
+    const Position position{membership_.view.epoch, table_.appliedPosition().sequence + 1};
     write_ = Write{write.token, position, now + kWriteTimeout};
-    pending_ = Batch{position, write.changes};
-    pendingStored_ = false;
+    itemStartedAt_ = now;
+    setPending(now, Batch{position, write.changes});
+}
+
+void Chain::setPending(Millis now, Batch batch) {
+    table_.setPending(std::move(batch));
     pendingSince_ = now;
-    itemSince_ = now;
     storePending(now);
 }
 
 void Chain::storePending(Millis now) {
     if (outbox_.congested()) return;
-    const Position position = pending_->position;
-    DurableUpdate update;
-    update.table = unconfirmedFold_;
-    update.pending = pending_;
+    const Position position = table_.pending()->position;
+    DurableUpdate update = table_.pendingUpdate();
     pendingRetryAt_ = now + kChainRetry;
     ++pendingPersists_;
     outbox_.persist(std::move(update), [this, position](Millis at, bool stored) {
         --pendingPersists_;
-        if (!stored || !pending_ || pending_->position != position) return;
-        unconfirmedFold_.reset();  // was part of this update: none is made while a batch is pending
-        pendingStored_ = true;
-        forward(at);
+        if (!stored || !table_.pending() || table_.pending()->position != position) return;
+        table_.confirmApplied();  // it was part of this update: no batch is applied while one is pending
+        table_.markPendingStored();
+        passPending(at);
     });
 }
 
+bool Chain::hasStoredBatchOfEpoch() const {
+    return table_.hasStoredPending() && table_.pending()->position.epoch == membership_.view.epoch;
+}
+
 // The batch is stored here: on to the successor, or committed at the tail.
-void Chain::forward(Millis now) {
-    if (!membership_.active() || !installed_ || !pending_ || !pendingStored_) return;
-    if (pending_->position.epoch != membership_.view.epoch) return;
-    const std::uint64_t item = 1 + pending_->position.sequence - membership_.view.start.sequence;
-    chained_ = std::max(chained_, item);
+void Chain::passPending(Millis now) {
+    if (!membership_.active() || !installed_ || !hasStoredBatchOfEpoch()) return;
+    const Batch& batch = *table_.pending();
+    const std::uint64_t item = 1 + batch.position.sequence - membership_.view.start.sequence;
+    storedItems_ = std::max(storedItems_, item);
     if (membership_.isTail()) {
         commitPending(now);
         return;
     }
     resendAt_ = now + kChainRetry;
-    sendDown(proposalOf(*pending_));
+    sendToSuccessor(Propose{false, table_.appliedPosition(), batch});
 }
 
-Propose Chain::proposalOf(const Batch& batch) const { return Propose{false, table_.position(), batch}; }
-
 void Chain::onPropose(Millis now, const Message& message, const Propose& propose) {
     const Member* from = predecessor();
     if (message.epoch != membership_.view.epoch || !membership_.active() || !from) return;
     if (!sameProcess(*from, message.from)) return;
-    if (propose.opening) {
-        openingSeen_ = true;
-        if (installed_)
-            sendUp(servedPosition_);
-        else
-            open(now);
-        return;
-    }
-    if (!synced() || membership_.diskFailing) return;
-    // The head proposes only in a settled epoch, and only after the batch before is committed.
+    if (propose.opening)
+        onOpening(now);
+    else if (synced() && !membership_.diskFailing)
+        onBatch(now, propose);
+}
+
+void Chain::onOpening(Millis now) {
+    openingReceived_ = true;
+    if (installed_)
+        sendToPredecessor(table_.committedPosition());
+    else
+        passOpening(now);
+}
+
+void Chain::onBatch(Millis now, const Propose& propose) {
+    // The head proposes a batch only in an installed view, and only after the batch before is committed.
     if (!installed_) installView(now);
-    if (pending_ && pendingStored_ && propose.previous == pending_->position) commitPending(now);
-    if (propose.batch.position <= table_.position()) {
-        sendUp(table_.position());
+    if (table_.hasStoredPending() && propose.previous == table_.pending()->position) commitPending(now);
+    if (propose.batch.position <= table_.appliedPosition()) {
+        sendToPredecessor(table_.appliedPosition());
         return;
     }
-    if (propose.previous != table_.position()) return;
-    if (pending_ && pending_->position == propose.batch.position) {
-        if (pendingStored_)
-            forward(now);
-        else if (pendingPersists_ == 0)
-            storePending(now);
-        return;
-    }
-    pending_ = propose.batch;
-    pendingStored_ = false;
-    pendingSince_ = now;
-    storePending(now);
+    if (propose.previous != table_.appliedPosition()) return;
+    const bool repeated = table_.pending() && table_.pending()->position == propose.batch.position;
+    if (!repeated)
+        setPending(now, propose.batch);
+    else if (table_.hasStoredPending())
+        passPending(now);
+    else if (pendingPersists_ == 0)
+        storePending(now);
 }
 
 void Chain::onCommit(Millis now, const Message& message, const Commit& commit) {
@@ -308,47 +211,32 @@
     if (!sameProcess(*from, message.from) || !synced()) return;
     if (!installed_) {
         installView(now);
-        sendUp(servedPosition_);
+        sendToPredecessor(table_.committedPosition());
     }
-    if (pending_ && pendingStored_ && pending_->position.epoch == membership_.view.epoch &&
-        commit.position >= pending_->position)
-        commitPending(now);
+    if (hasStoredBatchOfEpoch() && commit.position >= table_.pending()->position) commitPending(now);
 }
 
 void Chain::onStatus(Millis now, const Message& message, const Status& status) {
-    if (message.epoch != membership_.view.epoch || !membership_.active() || !synced() || !status.installed)
-        return;
+    if (message.epoch != membership_.view.epoch || !membership_.active()) return;
+    if (!synced() || !status.installed) return;
     if (!installed_) installView(now);
-    if (pending_ && pendingStored_ && pending_->position.epoch == membership_.view.epoch &&
-        status.committed >= pending_->position)
-        commitPending(now);
+    if (hasStoredBatchOfEpoch() && status.committed >= table_.pending()->position) commitPending(now);
 }
 
 void Chain::commitPending(Millis now) {
-    const Batch batch = *pending_;
-    foldPending();
-    served_ = table_.snapshot();
-    servedPosition_ = table_.position();
-    itemSince_ = now;
+    const Batch batch = *table_.pending();
+    applyPending();
+    table_.commitApplied();
+    itemStartedAt_ = now;
     outbox_.emit(Committed{batch});
-    sendUp(servedPosition_);
+    sendToPredecessor(table_.committedPosition());
     if (write_ && write_->position == batch.position) finishWrite(WriteOutcome::committed);
 }
 
-// The batch is durable as pending, so the fold needs no sync of its own; the next stored batch repeats it until the disk
-// has confirmed it.
-void Chain::foldPending() {
-    const TableUpdate change{pending_->position, false, pending_->changes};
-    table_.fold(*pending_);
-    pending_.reset();
-    pendingStored_ = false;
-    unconfirmedFold_ = change;
-    DurableUpdate update;
-    update.table = change;
-    update.clearPending = true;
-    update.force = false;
-    outbox_.persist(std::move(update), [this, position = change.position](Millis, bool stored) {
-        if (stored && unconfirmedFold_ && unconfirmedFold_->position == position) unconfirmedFold_.reset();
+void Chain::applyPending() {
+    const Position position = table_.pending()->position;
+    outbox_.persist(table_.applyPending(), [this, position](Millis, bool stored) {
+        if (stored) table_.confirmApplied(position);
     });
 }
 
@@ -357,41 +245,36 @@
     write_.reset();
 }
 
-void Chain::tick(Millis now) {
-    if (write_ && now >= write_->deadline) finishWrite(WriteOutcome::unavailable);
-    resolveStart(now);
-    if (!membership_.active() || !membership_.isHead() || now < resendAt_) return;
-    if (!installed_)
-        open(now);
-    else if (pending_ && pendingStored_)
-        forward(now);
-    else if (pending_ && pendingPersists_ == 0 && now >= pendingRetryAt_)
-        storePending(now);
-}
+// ---- What others are told
 
-std::string Chain::stalledAt(Millis now, const FailureDetector& detector) const {
-    if (!membership_.active() || !membership_.isHead() || chained_ == 0) return {};
-    if (installed_ && !(pending_ && pendingStored_)) return {};
+std::string Chain::stalledMember(Millis now, const FailureDetector& detector) const {
+    if (!membership_.active() || !membership_.isHead() || storedItems_ == 0) return {};
+    if (installed_ && !table_.hasStoredPending()) return {};
     const Millis limit = installed_ ? kStallAfter : kOpeningStallAfter;
-    if (now - itemSince_ < limit) return {};
+    if (now - itemStartedAt_ < limit) return {};
     for (const Member& member : membership_.view.members) {
         if (sameProcess(member, membership_.self)) continue;
-        const Peer* peer = detector.find(member.internalAddress);
-        const bool has = peer && peer->epoch == membership_.view.epoch && sameProcess(peer->member, member) &&
-                         peer->status.storedItems >= chained_;
-        if (!has) return member.internalAddress;
+        if (!hasStored(member, detector)) return member.internalAddress;
     }
     return {};
 }
 
-bool Chain::isNear(Position position) const {
-    const std::optional<std::size_t> bytes = installed_ ? table_.bytesSince(position) : std::nullopt;
-    return bytes && *bytes <= kNearBytes;
+// The member has reported that it stored as many items of this epoch as the head did.
+bool Chain::hasStored(const Member& member, const FailureDetector& detector) const {
+    const Peer* peer = detector.find(member.internalAddress);
+    if (!peer || peer->epoch != membership_.view.epoch) return false;
+    return sameProcess(peer->member, member) && peer->status.storedItems >= storedItems_;
+}
+
+bool Chain::isNearlyCaughtUp(Position position) const {
+    if (!installed_) return false;
+    const std::optional<std::size_t> bytes = table_.history().bytesSince(position);
+    return bytes && *bytes <= kMaxCatchUpBytes;
 }
 
 std::optional<TableUpdate> Chain::updateSince(Position position) const {
-    if (!installed_ || position > servedPosition_) return std::nullopt;
-    return table_.updateSince(position);
+    if (!installed_ || position > table_.committedPosition()) return std::nullopt;
+    return table_.history().updateSince(position);
 }
 
 // ---- Neighbours
@@ -406,11 +289,11 @@
     return &membership_.view.members[*membership_.index + 1];
 }
 
-void Chain::sendUp(Position position) {
+void Chain::sendToPredecessor(Position position) {
     if (const Member* member = predecessor()) outbox_.send(member->internalAddress, Commit{position});
 }
 
-void Chain::sendDown(Propose propose) {
+void Chain::sendToSuccessor(Propose propose) {
     if (const Member* member = successor()) outbox_.send(member->internalAddress, std::move(propose));
 }
 
--- a/src/replica/chain.hpp
+++ b/src/replica/chain.hpp
@@ -1,11 +1,25 @@
-// The table of one replica and its part in the chain: bringing the table to the epoch's starting state, the opening of the
-// epoch, and one batch at a time down the chain and its commit back up.
-//
-// What holds at all times:
-//   - Memory follows the disk: a batch is passed on, and a starting state claimed, only after it was stored.
-//   - A batch is committed when the tail has it, so every member of the epoch has it then.
-//   - The starting state counts as committed once the epoch is settled: every member holds it.
-//   - A position is given to one batch only; tables at the same position are equal.
+/// The part of one replica in the chain (chain replication, van Renesse and Schneider 2004): the opening of the epoch, then one
+/// batch at a time from the head to the tail, and its commit back from the tail to the head.
+///
+/// Owns the replica's table (ReplicaTable) and the transfer of the starting state (StartingState). It is part of the state machine
+/// of Replica: called on the thread that calls Replica::handle(), free of I/O; actions go to the Outbox.
+///
+/// Items of an epoch are numbered: the opening is item 1, the batches follow. "Stored" means confirmed by this disk.
+///
+///   state of a member | Propose(opening)         | Propose(batch)              | Commit from the successor, or a Status
+///   ------------------|--------------------------|-----------------------------|----------------------------------------
+///   not synced        | noted                    | ignored                     | ignored
+///   synced            | passed on; tail: install | install, then as below      | install, commit to the predecessor
+///   installed         | answered with Commit     | stored, then passed on;     | pending batch applied and committed,
+///                     |                          | tail: committed             | Commit to the predecessor
+///   sealed            | ignored                  | ignored                     | ignored
+///
+/// Invariants:
+///   - Memory follows the disk: a batch is passed on, and a starting state claimed, only after it was stored (update propagation
+///     invariant of chain replication: a successor holds a prefix of what its predecessor holds).
+///   - A batch is committed when the tail has stored it, so every member of the epoch has stored it then.
+///   - The starting state counts as committed once the view is installed: every member holds it.
+///   - The head proposes a batch only in an installed view, and only after the batch before is committed.
 #pragma once
 
 #include <cstdint>
@@ -19,48 +33,50 @@
 #include "replica/failure_detector.hpp"
 #include "replica/membership.hpp"
 #include "replica/outbox.hpp"
-#include "replica/table_history.hpp"
+#include "replica/replica_table.hpp"
+#include "replica/starting_state.hpp"
 
 namespace beechpoint::replica {
 
 class Chain {
 public:
     Chain(const Membership& membership, Outbox& outbox, DurableState state);
+    Chain(const Chain&) = delete;
+    Chain& operator=(const Chain&) = delete;
 
-    // A new view is in force. Called before this process can be sealed in it.
+    /// A new view is in force. Called before this process can be sealed in it.
     void enterView(Millis now);
+    /// Sends again what was not answered, and ends a write whose time is over.
     void tick(Millis now);
 
+    /// Takes a write if writable(); answered by WriteDone in any case.
     void write(Millis now, const ClientWrite& write);
     void onPropose(Millis now, const Message& message, const Propose& propose);
     void onCommit(Millis now, const Message& message, const Commit& commit);
     void onSyncRequest(const Message& message, const SyncRequest& request);
     void onSyncReply(const Message& message, const SyncReply& reply);
-    // What a process outside the view asks a member for; nothing while the disk is at work on an earlier answer.
-    std::optional<SyncRequest> lacks() const;
-    // Another process's status tells of commits whose message was lost.
+    /// Another process's status shows commits whose message was lost.
     void onStatus(Millis now, const Message& message, const Status& status);
+    /// What a process outside the view asks a member for; nothing while the disk is at work on an earlier answer.
+    std::optional<SyncRequest> learnerRequest() const { return startingState_.learnerRequest(); }
 
+    /// All members of the view are known to hold its starting state.
     bool installed() const { return installed_; }
+    /// Head of an installed view within tolerance, with no batch under way and a working disk.
     bool writable() const;
-    // No batch has waited here for long that may be committed elsewhere already.
-    bool upToDate(Millis now) const { return installed_ && (!pending_ || now - pendingSince_ <= kFreshFor); }
-    bool busy() const;  // something is on its way that a timer must look after
-    std::uint64_t syncedEpoch() const { return syncedEpoch_; }
-    std::uint64_t chained() const { return chained_; }
-    // Of all that is stored here, the pending batch included.
-    Position storedPosition() const;
-    Position foldedPosition() const { return table_.position(); }
-    // The same, where the disk is known to hold it.
-    Position tablePosition() const { return rewriteTable_ ? Position{} : table_.position(); }
-    // A process that holds this position lacks only a few batches of what is committed.
-    bool isNear(Position position) const;
-    // The member at which the head's item hangs, by what the others say of themselves; empty: none.
-    std::string stalledAt(Millis now, const FailureDetector& detector) const;
-
-    const Table& committedTable() const { return *served_; }
-    std::shared_ptr<const Table> committedSnapshot() const { return served_; }
-    Position committedPosition() const { return servedPosition_; }
+    /// Installed, and no batch has been pending for longer than kFreshFor: a longer one may be committed elsewhere already.
+    bool upToDate(Millis now) const;
+    /// Something is under way that a timer must look after.
+    bool busy() const;
+    /// Items of the chain (opening, batches) stored in this epoch.
+    std::uint64_t storedItems() const { return storedItems_; }
+    const ReplicaTable& table() const { return table_; }
+    /// A process that holds this position lacks at most kMaxCatchUpBytes of what is committed.
+    bool isNearlyCaughtUp(Position position) const;
+    /// Internal address of the member that has not stored the head's item for too long, by what the members report of
+    /// themselves; empty: none.
+    std::string stalledMember(Millis now, const FailureDetector& detector) const;
+    /// From an older position to the committed one; nothing unless installed.
     std::optional<TableUpdate> updateSince(Position position) const;
 
 private:
@@ -70,60 +86,43 @@
         Millis deadline;
     };
 
-    // Starting state.
-    void resolveStart(Millis now);
-    void claimStart(DurableUpdate update);
-    void requestSync(Millis now);
-    std::optional<TableUpdate> startFor(const SyncRequest& request) const;
-    void learn(const SyncReply& reply);
-    bool fits(const SyncReply& reply) const;
-    void bring(TableUpdate update, std::optional<std::uint64_t> epoch);
-    bool synced() const;
+    bool synced() const { return table_.isSynced(membership_.view); }
+    bool hasStoredBatchOfEpoch() const;
+    bool hasStored(const Member& member, const FailureDetector& detector) const;
 
-    // Opening.
-    void open(Millis now);
+    void passOpening(Millis now);
     void installView(Millis now);
+    void answerWriteAtInstallation();
 
-    // Batches.
+    void onOpening(Millis now);
+    void onBatch(Millis now, const Propose& propose);
+    void setPending(Millis now, Batch batch);
     void storePending(Millis now);
-    void forward(Millis now);
+    void passPending(Millis now);
     void commitPending(Millis now);
-    void foldPending();
+    void applyPending();
+    void resend(Millis now);
     void finishWrite(WriteOutcome outcome);
-    void sendUp(Position position);
-    void sendDown(Propose propose);
-    Propose proposalOf(const Batch& batch) const;
 
     const Member* predecessor() const;
     const Member* successor() const;
+    void sendToPredecessor(Position position);
+    void sendToSuccessor(Propose propose);
 
     const Membership& membership_;
     Outbox& outbox_;
+    ReplicaTable table_;
+    StartingState startingState_;
 
-    TableHistory table_;
-    std::optional<Batch> pending_;
-    bool pendingStored_ = false;
-    unsigned pendingPersists_ = 0;
+    bool installed_ = false;
+    bool openingReceived_ = false;
+    std::uint64_t storedItems_ = 0;
+    unsigned pendingPersists_ = 0;  // updates with a pending batch that the disk has not answered
     Millis pendingSince_ = 0;
     Millis pendingRetryAt_ = 0;
-    std::optional<TableUpdate> unconfirmedFold_;  // the last fold, until the disk has confirmed it
-    std::uint64_t syncedEpoch_ = 0;
-
-    bool startPersisting_ = false;  // a claim or a sync is on its way to the disk
-    bool rewriteTable_ = false;     // a failed sync may have changed the table on disk
-    Millis startRetryAt_ = 0;
-    std::uint64_t syncAttempts_ = 0;
-
-    bool installed_ = false;
-    bool openingSeen_ = false;
-    std::uint64_t chained_ = 0;
-    Millis enteredAt_ = 0;
-    Millis itemSince_ = 0;  // head: when the present item was first sent
-    Millis resendAt_ = 0;   // head: when it is sent again
+    Millis itemStartedAt_ = 0;  // head: when the present item was first sent
+    Millis resendAt_ = 0;       // head: when it is sent again
     std::optional<Write> write_;
-
-    std::shared_ptr<const Table> served_ = std::make_shared<const Table>();
-    Position servedPosition_;
 };
 
 }  // namespace beechpoint::replica
--- a/src/replica/failure_detector.cpp
+++ b/src/replica/failure_detector.cpp
@@ -18,26 +18,26 @@
     ++sequence_;
     lastRoundAt_ = now;
     nextRoundAt_ = now + kHeartbeatEvery * (0.95 + 0.05 * random_());
-    if (!watches()) return;
+    if (!watchesView()) return;
     for (const auto& [address, peer] : peers_) {
         if (watched_.contains(address) || now - peer.joinedAt <= kJoinerForgottenAfter)
             outbox_.send(address, Heartbeat{sequence_, now});
     }
 }
 
-void FailureDetector::wake(Millis now) {
+void FailureDetector::onProcessResumed(Millis now) {
     for (auto& [address, peer] : peers_) peer.watchedSince = now;
     nextRoundAt_ = now;
 }
 
 void FailureDetector::enterView(Millis now) {
     for (auto& [address, peer] : peers_) {
-        peer.vouchedSequence = 0;
-        peer.vouchedSentAt = Peer::kNever;
+        peer.contactSequence = 0;
+        peer.contactSentAt = Peer::kNever;
     }
-    // Silence counts only from when heartbeats are sent to a process steadily.
+    // A time-out counts only from when heartbeats are sent to a process steadily.
     std::set<std::string> watched;
-    if (watches()) {
+    if (watchesView()) {
         for (const Member& member : membership_.view.membersAndVoters()) {
             const std::string& address = member.internalAddress;
             if (address == membership_.self.internalAddress) continue;
@@ -65,16 +65,17 @@
     const bool sameAsBefore = sameProcess(peer.member, message.from);
     if (!sameAsBefore || reply.sentAt - peer.answeredSentAt > kReachableFor)
         peer.answeringSince = reply.sentAt;
-    if (!sameAsBefore || reply.sentAt - peer.answeredSentAt > kLearnMost) peer.heardSince = reply.sentAt;
+    if (!sameAsBefore || reply.sentAt - peer.answeredSentAt > kMaxLearningTime)
+        peer.answeringWithGapsSince = reply.sentAt;
     peer.member = message.from;
     peer.epoch = message.epoch;
     peer.status = reply.status;
     peer.answeredSentAt = reply.sentAt;
-    const bool vouches = message.epoch == membership_.view.epoch && !reply.status.sealed &&
-                         membership_.view.findVoter(message.from);
-    if (vouches) {
-        peer.vouchedSequence = reply.sequence;
-        peer.vouchedSentAt = reply.sentAt;
+    const bool unsealedVoter = message.epoch == membership_.view.epoch && !reply.status.sealed &&
+                               membership_.view.findVoter(message.from);
+    if (unsealedVoter) {
+        peer.contactSequence = reply.sequence;
+        peer.contactSentAt = reply.sentAt;
     }
     return &peer;
 }
@@ -88,11 +89,11 @@
     if (first) nextRoundAt_ = std::min(nextRoundAt_, now);
 }
 
-bool FailureDetector::mayTellView(Millis now, const Member& to) {
+bool FailureDetector::maySendView(Millis now, const Member& to) {
     const auto found = peers_.find(to.internalAddress);
     if (found == peers_.end()) return true;
-    if (now - found->second.toldViewAt < kHeartbeatEvery / 2) return false;
-    found->second.toldViewAt = now;
+    if (now - found->second.viewSentAt < kHeartbeatEvery / 2) return false;
+    found->second.viewSentAt = now;
     return true;
 }
 
@@ -111,56 +112,64 @@
     return peer && now - std::max(peer->answeredSentAt, peer->watchedSince) > kSuspectAfter;
 }
 
-std::vector<std::string> FailureDetector::reached(Millis now) const {
+std::vector<std::string> FailureDetector::reachablePeers(Millis now) const {
     std::vector<std::string> addresses;
     for (const auto& [address, peer] : peers_)
         if (reachable(address, now)) addresses.push_back(address);
     return addresses;
 }
 
-std::vector<std::string> FailureDetector::unheard(Millis now) const {
+std::vector<std::string> FailureDetector::unresponsivePeers(Millis now) const {
     std::vector<std::string> addresses;
     for (const std::string& address : watched_)
         if (suspected(address, now)) addresses.push_back(address);
     return addresses;
 }
 
-template <class Vouches>
-bool FailureDetector::majorityVouches(Vouches vouches) const {
+bool FailureDetector::isReachedByAnyPeer(const std::string& address, Millis now) const {
+    return std::ranges::any_of(peers_, [&](const auto& entry) {
+        return reachable(entry.first, now) && entry.second.reports(address);
+    });
+}
+
+template <class Condition>
+bool FailureDetector::majorityOfVoters(Condition condition) const {
     const View& view = membership_.view;
-    if (view.electorate().empty() || membership_.sealed) return false;
-    std::size_t count = 0;
-    for (const Member& member : view.electorate()) {
-        if (sameDisk(member, membership_.self)) {
-            ++count;
-            continue;
-        }
-        const Peer* peer = find(member.internalAddress);
-        if (peer && sameDisk(peer->member, member) && vouches(*peer)) ++count;
-    }
+    const auto counts = [&](const Member& voter) {
+        if (sameDisk(voter, membership_.self)) return true;
+        const Peer* peer = find(voter.internalAddress);
+        return peer && sameDisk(peer->member, voter) && condition(*peer);
+    };
+    const auto count = static_cast<std::size_t>(std::ranges::count_if(view.electorate(), counts));
     return count >= view.majority();
 }
 
-bool FailureDetector::vouchedSinceRound(std::uint64_t sequence) const {
-    return majorityVouches([&](const Peer& peer) { return peer.vouchedSequence >= sequence; });
+bool FailureDetector::reachesMajority(Millis now) const {
+    return majorityOfVoters([&](const Peer& peer) { return now - peer.answeredSentAt <= kReachableFor; });
+}
+
+bool FailureDetector::majorityContactSinceRound(std::uint64_t sequence) const {
+    if (membership_.sealed) return false;
+    return majorityOfVoters([&](const Peer& peer) { return peer.contactSequence >= sequence; });
 }
 
-bool FailureDetector::vouchedSinceTime(Millis time) const {
-    return majorityVouches([&](const Peer& peer) { return peer.vouchedSentAt >= time; });
+bool FailureDetector::majorityContactSinceTime(Millis time) const {
+    if (membership_.sealed) return false;
+    return majorityOfVoters([&](const Peer& peer) { return peer.contactSentAt >= time; });
 }
 
 Peer* FailureDetector::add(Millis now, const Member& member) {
     const auto found = peers_.find(member.internalAddress);
     if (found != peers_.end()) return &found->second;
-    if (peers_.size() >= kMaxPeers && !makeRoom()) return nullptr;
+    if (peers_.size() >= kMaxPeers && !evictOldestJoiner()) return nullptr;
     Peer& peer = peers_[member.internalAddress];
     peer.member = member;
     peer.watchedSince = now;
     return &peer;
 }
 
-// Forgets the process outside the view that asked to join longest ago.
-bool FailureDetector::makeRoom() {
+// Makes capacity for one more: forgets the process outside the view whose last Join is the oldest.
+bool FailureDetector::evictOldestJoiner() {
     auto oldest = peers_.end();
     for (auto entry = peers_.begin(); entry != peers_.end(); ++entry) {
         if (watched_.contains(entry->first)) continue;
--- /dev/null
+++ b/src/replica/joiner_selection.hpp
@@ -0,0 +1,46 @@
+/// Which processes outside the view the next view takes in.
+///
+/// A process is taken in once it is nearly caught up, so that the chain does not wait for its copy of the table; or after a time,
+/// so that availability does not depend on that copy. Where the view would be insufficient without it, it is taken in at once.
+#pragma once
+
+#include <string>
+
+#include "core/clock.hpp"
+#include "replica/assessment.hpp"
+#include "replica/chain.hpp"
+#include "replica/failure_detector.hpp"
+#include "replica/membership.hpp"
+#include "replica/removal_history.hpp"
+
+namespace beechpoint::replica {
+
+class JoinerSelection {
+public:
+    enum class Candidates {
+        ready,  // those that are nearly caught up, or have copied for long enough
+        any,
+    };
+
+    JoinerSelection(const Membership& membership, const FailureDetector& detector, const Chain& chain,
+                    const RemovalHistory& removals)
+        : membership_(membership), detector_(detector), chain_(chain), removals_(removals) {}
+
+    /// Adds joiners to the assessment while the view has capacity; counted ones first.
+    void select(Millis now, Assessment& assessment, Candidates candidates) const;
+
+private:
+    void selectAmong(Millis now, Assessment& assessment, Candidates candidates, bool counted) const;
+    bool hasCapacity(const Assessment& assessment) const;
+    bool isReady(const Peer& peer, Millis now) const;
+    bool isEligible(const Peer& peer, Millis now, const Assessment& assessment) const;
+    bool isNameFree(const std::string& name, const Assessment& assessment) const;
+    bool isReachedByAllMembers(const std::string& address, Millis now, const Assessment& assessment) const;
+
+    const Membership& membership_;
+    const FailureDetector& detector_;
+    const Chain& chain_;
+    const RemovalHistory& removals_;
+};
+
+}  // namespace beechpoint::replica
--- a/src/replica/learner.cpp
+++ b/src/replica/learner.cpp
@@ -6,16 +6,16 @@
 
 namespace beechpoint::replica {
 
-bool Learner::learns() const {
+bool Learner::isLearning() const {
     const bool outside = membership_.view.epoch > 0 && !membership_.inChain();
     return outside && !membership_.leaving && !membership_.diskFailing && !outbox_.congested();
 }
 
 void Learner::tick(Millis now) {
-    if (!learns() || now < askAt_) return;
-    const std::optional<SyncRequest> request = chain_.lacks();
+    if (!isLearning() || now < requestAt_) return;
+    const std::optional<SyncRequest> request = chain_.learnerRequest();
     if (!request) return;
-    askAt_ = now + kLearnRetry;
+    requestAt_ = now + kLearnRetry;
     outbox_.send(nextSource().internalAddress, *request);
 }
 
@@ -24,7 +24,7 @@
     for (const Member& member : membership_.view.members) sources.push_back(&member);
     std::ranges::stable_partition(
         sources, [&](const Member* member) { return member->zone == membership_.self.zone; });
-    return *sources[asked_++ % sources.size()];
+    return *sources[requests_++ % sources.size()];
 }
 
 }  // namespace beechpoint::replica
--- a/src/replica/outbox.hpp
+++ b/src/replica/outbox.hpp
@@ -1,4 +1,6 @@
-// Collects the actions of one event, and keeps what is to be done when a persist is answered.
+/// Collects the actions of one event, and keeps what is to be done when the disk answers a Persist.
+///
+/// All parts of a replica write their actions here, in order. `begin` names the list for the event that is being handled.
 #pragma once
 
 #include <cstddef>
@@ -27,7 +29,7 @@
         actions_ = &actions;
     }
 
-    // A message to this process's own address comes back through takeLocal().
+    /// A message to this process's own address comes back through takeLocalMessage().
     void send(const std::string& address, Body body) {
         Message message{membership_.self, membership_.view.epoch, std::move(body)};
         if (address == membership_.self.internalAddress)
@@ -36,6 +38,7 @@
             emit(Send{address, std::move(message)});
     }
 
+    /// The completion runs when the driver has answered, in the order of the calls.
     void persist(DurableUpdate update, Completion completion) {
         const std::uint64_t token = ++lastToken_;
         outstanding_.push_back({token, now_, std::move(completion)});
@@ -48,7 +51,7 @@
 
     void log(std::string text) { emit(Log{std::move(text)}); }
 
-    // Runs the completion of this token; unknown tokens are ignored.
+    /// Runs the completion of this token; unknown tokens are ignored.
     void complete(Millis now, std::uint64_t token, bool stored) {
         for (auto entry = outstanding_.begin(); entry != outstanding_.end(); ++entry) {
             if (entry->token != token) continue;
@@ -59,15 +62,17 @@
         }
     }
 
-    std::optional<Message> takeLocal() {
+    std::optional<Message> takeLocalMessage() {
         if (local_.empty()) return std::nullopt;
         Message message = std::move(local_.front());
         local_.pop_front();
         return message;
     }
 
+    /// Updates that the disk has not answered.
     std::size_t outstanding() const { return outstanding_.size(); }
     bool congested() const { return outstanding_.size() >= kMaxPersists; }
+    /// The oldest update has waited for longer than kDiskStuckAfter.
     bool stuck(Millis now) const {
         return !outstanding_.empty() && now - outstanding_.front().issuedAt > kDiskStuckAfter;
     }
--- a/src/replica/read_barriers.cpp
+++ b/src/replica/read_barriers.cpp
@@ -15,16 +15,19 @@
 
 void ReadBarriers::tick(Millis now) {
     if (reads_.empty()) return;
-    if (!membership_.active() || !membership_.isTail()) return failAll();
+    if (!membership_.active() || !membership_.isTail()) {
+        failAll();
+        return;
+    }
     if (now >= nextRoundAt()) detector_.startRound(now);
     while (!reads_.empty() && chain_.installed() && reads_.front().round <= detector_.lastSequence() &&
-           detector_.vouchedSinceRound(reads_.front().round))
-        finish(true);
-    while (!reads_.empty() && now >= reads_.front().deadline) finish(false);
+           detector_.majorityContactSinceRound(reads_.front().round))
+        finishOldest(true);
+    while (!reads_.empty() && now >= reads_.front().deadline) finishOldest(false);
 }
 
 void ReadBarriers::failAll() {
-    while (!reads_.empty()) finish(false);
+    while (!reads_.empty()) finishOldest(false);
 }
 
 Millis ReadBarriers::nextRoundAt() const {
@@ -32,7 +35,7 @@
     return due ? detector_.lastRoundAt() + kReadRoundEvery : std::numeric_limits<Millis>::infinity();
 }
 
-void ReadBarriers::finish(bool ok) {
+void ReadBarriers::finishOldest(bool ok) {
     outbox_.emit(ReadDone{reads_.front().token, ok});
     reads_.pop_front();
 }
--- a/src/replica/read_barriers.hpp
+++ b/src/replica/read_barriers.hpp
@@ -1,4 +1,7 @@
-// Reads at the tail that wait until a majority has vouched for the epoch after they began.
+/// Reads at the tail that wait until a majority of the voters was in contact after they began (read index, Raft thesis 6.4).
+///
+/// The tail holds all that was acknowledged in its epoch. A majority that is unsealed in this epoch after the read began proves that no
+/// later view had acknowledged anything by then, so the committed table of the tail is recent enough.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +20,12 @@
     ReadBarriers(const Membership& membership, Outbox& outbox, FailureDetector& detector, const Chain& chain)
         : membership_(membership), outbox_(outbox), detector_(detector), chain_(chain) {}
 
+    /// Answered by ReadDone: within kReadTimeout, at once where this process is not the tail.
     void add(Millis now, std::uint64_t token);
     void tick(Millis now);
     void failAll();
     bool busy() const { return !reads_.empty(); }
-    // When the next heartbeat round for reads is due; far away if none is.
+    /// When the next heartbeat round for reads is due; infinity if none is.
     Millis nextRoundAt() const;
 
 private:
@@ -30,7 +34,8 @@
         std::uint64_t round;  // the first heartbeat round begun after the call
         Millis deadline;
     };
-    void finish(bool ok);
+
+    void finishOldest(bool ok);
 
     const Membership& membership_;
     Outbox& outbox_;
--- /dev/null
+++ b/src/replica/replica_table.cpp
@@ -0,0 +1,126 @@
+#include "replica/replica_table.hpp"
+
+#include <utility>
+
+namespace beechpoint::replica {
+
+ReplicaTable::ReplicaTable(DurableState state)
+    : history_(std::move(state.table), state.position),
+      pending_(std::move(state.pending)),
+      pendingStored_(pending_.has_value()),
+      syncedEpoch_(state.syncedEpoch) {}
+
+Position ReplicaTable::storedPosition() const {
+    return hasStoredPending() ? pending_->position : history_.position();
+}
+
+// ---- Pending batch
+
+void ReplicaTable::setPending(Batch batch) {
+    pending_ = std::move(batch);
+    pendingStored_ = false;
+}
+
+void ReplicaTable::dropPending() {
+    pending_.reset();
+    pendingStored_ = false;
+}
+
+DurableUpdate ReplicaTable::pendingUpdate() const {
+    DurableUpdate update;
+    update.table = unconfirmedUpdate_;
+    update.pending = pending_;
+    return update;
+}
+
+DurableUpdate ReplicaTable::applyPending() {
+    const TableUpdate change{pending_->position, false, pending_->changes};
+    history_.applyBatch(*pending_);
+    dropPending();
+    unconfirmedUpdate_ = change;
+    DurableUpdate update;
+    update.table = change;
+    update.clearPending = true;
+    update.force = false;
+    return update;
+}
+
+void ReplicaTable::confirmApplied(Position position) {
+    if (unconfirmedUpdate_ && unconfirmedUpdate_->position == position) unconfirmedUpdate_.reset();
+}
+
+void ReplicaTable::commitApplied() {
+    committedSnapshot_ = history_.snapshot();
+    committedPosition_ = history_.position();
+}
+
+// ---- Starting state of a view
+
+std::optional<DurableUpdate> ReplicaTable::syncedUpdate(const View& view) {
+    DurableUpdate update;
+    update.syncedEpoch = view.epoch;
+    if (pending_ && pending_->position == view.start) {
+        update.pending = pending_;
+    } else if (history_.position() == view.start) {
+        dropPending();
+        update.clearPending = true;
+    } else {
+        return std::nullopt;
+    }
+    update.table = diskTableUncertain_ ? history_.fullUpdate() : unconfirmedUpdate_;
+    return update;
+}
+
+void ReplicaTable::markSynced(std::uint64_t epoch, Position start) {
+    diskTableUncertain_ = false;
+    unconfirmedUpdate_.reset();
+    if (pending_ && pending_->position == start) pendingStored_ = true;
+    syncedEpoch_ = epoch;
+}
+
+DurableUpdate ReplicaTable::replacementUpdate(const TableUpdate& update,
+                                              std::optional<std::uint64_t> epoch) const {
+    DurableUpdate change;
+    change.table = update;
+    if (!update.whole && unconfirmedUpdate_) {
+        change.table->changes = unconfirmedUpdate_->changes;
+        change.table->changes.insert(change.table->changes.end(), update.changes.begin(),
+                                     update.changes.end());
+    }
+    change.clearPending = true;
+    change.syncedEpoch = epoch;
+    return change;
+}
+
+void ReplicaTable::replace(const TableUpdate& update, std::optional<std::uint64_t> epoch) {
+    diskTableUncertain_ = false;
+    history_.applyUpdate(update);
+    dropPending();
+    unconfirmedUpdate_.reset();
+    if (epoch) syncedEpoch_ = *epoch;
+}
+
+bool ReplicaTable::canApply(const SyncReply& reply) const {
+    return reply.update.whole || (!diskTableUncertain_ && reply.since == history_.position());
+}
+
+bool ReplicaTable::isNewer(const SyncReply& reply) const {
+    if (reply.update.position > history_.position()) return true;
+    return diskTableUncertain_ && reply.update.position == history_.position();
+}
+
+std::optional<TableUpdate> ReplicaTable::startingState(const View& view, const SyncRequest& request) const {
+    TableUpdate update = appliedState(request);
+    if (hasStoredPending() && pending_->position == view.start) {
+        update.changes.insert(update.changes.end(), pending_->changes.begin(), pending_->changes.end());
+        update.position = pending_->position;
+    }
+    if (update.position != view.start) return std::nullopt;
+    return update;
+}
+
+TableUpdate ReplicaTable::appliedState(const SyncRequest& request) const {
+    return request.full ? history_.fullUpdate() : history_.updateSince(request.position);
+}
+
+}  // namespace beechpoint::replica
--- a/src/replica/settings.hpp
+++ b/src/replica/settings.hpp
@@ -31,15 +31,17 @@
 inline constexpr Millis kOpeningStallAfter =
     1'600;                                 // the same for the opening, which may wait for a whole table
 inline constexpr Millis kProbation = 500;  // a removed process must have answered for so long
-inline constexpr Millis kProbationMost =
+inline constexpr Millis kMaxProbation =
     2'000;  // it doubles with each removal of the process within the window
 inline constexpr Millis kFlapWindow = 20'000;
 inline constexpr Millis kDiskStuckAfter = 700;  // a persist that takes longer counts as failing
 inline constexpr Millis kDiskProbeEvery = 500;
-inline constexpr Millis kLearnRetry = 500;           // a learner asks another source
-inline constexpr Millis kLearnMost = 2'000;          // then it is taken in as it is
-inline constexpr Millis kLearnAgainMost = 16'000;    // the same for one that was left out again and again
-inline constexpr std::size_t kNearBytes = 64 << 10;  // of changes that a learner lacks: it may be taken in
+inline constexpr Millis kLearnRetry = 500;         // a learner asks another source
+inline constexpr Millis kMaxLearningTime = 2'000;  // then it is taken in as it is
+inline constexpr Millis kMaxRepeatedLearningTime =
+    16'000;  // the same for one that was left out again and again
+inline constexpr std::size_t kMaxCatchUpBytes = 64
+                                                << 10;  // of changes that a learner lacks: it may be taken in
 inline constexpr Millis kJoinEvery = 250;
 inline constexpr Millis kJoinerForgottenAfter = 2'000;
 inline constexpr Millis kWriteTimeout = 4'000;
--- a/src/replica/table_history.cpp
+++ b/src/replica/table_history.cpp
@@ -25,14 +25,17 @@
 TableHistory::TableHistory(Table table, Position position)
     : table_(std::make_shared<Table>(std::move(table))), position_(position), base_(position) {}
 
-void TableHistory::fold(const Batch& batch) {
-    beechpoint::apply(batch.changes, writable());
+void TableHistory::applyBatch(const Batch& batch) {
+    beechpoint::apply(batch.changes, mutableTable());
     position_ = batch.position;
-    remember(batch);
+    record(batch);
 }
 
-void TableHistory::bring(const TableUpdate& update) {
-    if (!update.whole) return fold(Batch{update.position, update.changes});
+void TableHistory::applyUpdate(const TableUpdate& update) {
+    if (!update.whole) {
+        applyBatch(Batch{update.position, update.changes});
+        return;
+    }
     auto table = std::make_shared<Table>();
     beechpoint::apply(update.changes, *table);
     table_ = std::move(table);
@@ -48,7 +51,7 @@
         first = std::ranges::find(batches_, since, &Batch::position);
         if (first != batches_.end()) ++first;
     }
-    if (first == batches_.end()) return whole();
+    if (first == batches_.end()) return fullUpdate();
     TableUpdate update{position_, false, {}};
     std::set<std::string> keys;
     for (; first != batches_.end(); ++first)
@@ -70,18 +73,18 @@
     return since == base_ ? std::optional(bytes) : std::nullopt;
 }
 
-TableUpdate TableHistory::whole() const {
+TableUpdate TableHistory::fullUpdate() const {
     TableUpdate update{position_, true, {}};
     for (const auto& [key, value] : *table_) update.changes.push_back({key, value});
     return update;
 }
 
-Table& TableHistory::writable() {
+Table& TableHistory::mutableTable() {
     if (table_.use_count() > 1) table_ = std::make_shared<Table>(*table_);
     return *table_;
 }
 
-void TableHistory::remember(Batch batch) {
+void TableHistory::record(Batch batch) {
     bytes_ += bytesOf(batch);
     batches_.push_back(std::move(batch));
     while (!batches_.empty() && (batches_.size() > kHistoryBatches || bytes_ > kHistoryBytes)) {
--- a/src/replica/table_history.hpp
+++ b/src/replica/table_history.hpp
@@ -1,5 +1,6 @@
-// The table with the recent batches that led to it, bounded in number and bytes. Snapshots are immutable: a change makes
-// a new one if the old one is in use.
+/// The table with the recent batches that led to it, bounded in number (kHistoryBatches) and bytes (kHistoryBytes).
+///
+/// Snapshots are immutable and may be read from any thread: a change copies the table first if a snapshot of it is in use.
 #pragma once
 
 #include <cstddef>
@@ -15,27 +16,28 @@
 public:
     TableHistory(Table table, Position position);
 
-    void fold(const Batch& batch);
-    void bring(const TableUpdate& update);
+    void applyBatch(const Batch& batch);
+    /// A delta is one batch more; a full table replaces the table and its history.
+    void applyUpdate(const TableUpdate& update);
 
     const Table& table() const { return *table_; }
     std::shared_ptr<const Table> snapshot() const { return table_; }
     Position position() const { return position_; }
 
-    // From `since` to the present position: the keys that changed, or the whole table if `since` is not in the history.
+    /// From `since` to the present position: the keys that changed, or the full table if `since` is not in the history.
     TableUpdate updateSince(Position since) const;
-    TableUpdate whole() const;
-    // Of the batches since that position; nothing if it is not in the history.
+    TableUpdate fullUpdate() const;
+    /// Size in bytes of the batches since that position; nothing if it is not in the history.
     std::optional<std::size_t> bytesSince(Position since) const;
     std::size_t batches() const { return batches_.size(); }
 
 private:
-    Table& writable();
-    void remember(Batch batch);
+    Table& mutableTable();
+    void record(Batch batch);
 
     std::shared_ptr<Table> table_;
     Position position_;
-    Position base_;  // of the state before the first batch kept
+    Position base_;  // of the state before the first batch in the history
     std::deque<Batch> batches_;
     std::size_t bytes_ = 0;
 };
--- a/src/replica/view_agreement.cpp
+++ b/src/replica/view_agreement.cpp
@@ -6,14 +6,14 @@
 namespace beechpoint::replica {
 
 // Makes the vote one for `target`. Votes for earlier epochs have no use any more: their views are decided.
-bool Acceptor::open(std::uint64_t target) {
+bool Acceptor::adoptEpoch(std::uint64_t target) {
     if (target < vote_.epoch) return false;
     if (target > vote_.epoch) vote_ = Vote{target, {}, {}, std::nullopt};
     return true;
 }
 
 bool Acceptor::promise(std::uint64_t target, const ProposalNumber& proposal) {
-    if (proposal.round == 0 || !open(target) || proposal < vote_.promised) return false;
+    if (proposal.round == 0 || !adoptEpoch(target) || proposal < vote_.promised) return false;
     vote_.promised = proposal;
     return true;
 }
@@ -54,7 +54,7 @@
     return true;
 }
 
-std::optional<View> Proposer::bound() const {
+std::optional<View> Proposer::highestAcceptedValue() const {
     const Promise* highest = nullptr;
     for (const auto& [acceptor, received] : promises_) {
         if (!received.promise.value) continue;
@@ -63,19 +63,20 @@
     return highest ? highest->value : std::nullopt;
 }
 
-void Proposer::propose(Millis now, View value) {
+void Proposer::beginAccepting(Millis now, View value) {
     phase_ = Phase::accepting;
     since_ = now;
     value_ = std::move(value);
 }
 
-bool Proposer::hasMajority() const {
-    if (phase_ == Phase::idle) return false;
-    const auto votes =
+bool Proposer::hasMajority() const { return phase_ != Phase::idle && votes() >= majority_; }
+
+std::size_t Proposer::votes() const {
+    const auto count =
         phase_ == Phase::preparing
             ? std::ranges::count_if(promises_, [](const auto& entry) { return entry.second.votes; })
             : std::ranges::count_if(accepted_, [](const auto& entry) { return entry.second; });
-    return static_cast<std::size_t>(votes) >= majority_;
+    return static_cast<std::size_t>(count);
 }
 
 bool Proposer::answered(const std::string& acceptor) const {
--- a/src/replica/view_agreement.hpp
+++ b/src/replica/view_agreement.hpp
@@ -1,10 +1,13 @@
-// Single-decree Paxos on the next view: the durable half (acceptor) and the counting half (proposer). Neither sends.
+/// Single-decree Paxos on the next view (Paxos Made Simple, 2.2): the durable half (Acceptor) and the counting half (Proposer).
+/// Neither sends or persists anything; ViewChange does.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "core/clock.hpp"
@@ -13,26 +16,30 @@
 
 namespace beechpoint::replica {
 
-// Changes its vote at once; the caller answers only when the changed vote is durable.
+/// Changes its vote at once; the caller answers only when the changed vote is durable.
+///
+/// Invariant (P1a): it accepts a proposal of number n only if it has not promised a higher number. Vote::epoch names the view
+/// that is agreed on; a vote for a later epoch replaces it.
 class Acceptor {
 public:
     explicit Acceptor(Vote vote) : vote_(std::move(vote)) {}
 
-    // True if the vote now promises this ballot (also when it did so before).
-    bool promise(std::uint64_t target, const ProposalNumber& proposal);
-    // True if the vote now holds this value under this ballot.
-    bool accept(std::uint64_t target, const ProposalNumber& proposal, const View& value);
-    // A view of this epoch is decided: votes up to it have no further use.
+    /// True if the vote now promises this proposal number (also when it did so before).
+    [[nodiscard]] bool promise(std::uint64_t target, const ProposalNumber& proposal);
+    /// True if the vote now holds this value under this proposal number.
+    [[nodiscard]] bool accept(std::uint64_t target, const ProposalNumber& proposal, const View& value);
+    /// A view of this epoch is decided: votes up to it have no further use.
     void decided(std::uint64_t epoch);
 
     const Vote& vote() const { return vote_; }
     ProposalNumber promisedFor(std::uint64_t target) const {
         return vote_.epoch == target ? vote_.promised : ProposalNumber{};
     }
+    /// Has promised for the view that follows this epoch.
     bool sealed(std::uint64_t epoch) const { return vote_.epoch == epoch + 1 && vote_.promised.round > 0; }
 
 private:
-    bool open(std::uint64_t target);
+    bool adoptEpoch(std::uint64_t target);
 
     Vote vote_;
 };
@@ -40,35 +47,40 @@
 struct ReceivedPromise {
     Member from;
     Promise promise;
-    bool votes = true;  // counts towards the majority; else it seals a link of the chain only
+    bool votes = true;  // counts towards the majority; else it only seals a member of the chain
 };
 
-// idle -> preparing (begin) -> accepting (propose) -> idle (decided, stop)
+/// idle -> preparing (begin) -> accepting (beginAccepting) -> idle (stop, once decided or given up)
 class Proposer {
 public:
     enum class Phase { idle, preparing, accepting };
 
+    /// `majority`: number of votes.
     void begin(Millis now, std::uint64_t target, ProposalNumber proposal, std::size_t majority);
     void stop() { phase_ = Phase::idle; }
-    // Acceptors are named by a key that stands for one disk; only those that vote count towards the majority. False: not of the
-    // present ballot and phase.
+    /// Acceptors are named by a key that stands for one disk; only those that vote count towards the majority. False: not of the
+    /// present proposal number and phase.
     bool onPromise(const std::string& acceptor, const Member& from, const Promise& promise,
                    bool votes = true);
     bool onAccepted(const std::string& acceptor, const Accepted& accepted, bool votes = true);
-    // The value that must be proposed, if one may have been chosen already.
-    std::optional<View> bound() const;
-    void propose(Millis now, View value);
+    /// The value that must be proposed (P2c), if one may have been chosen already.
+    std::optional<View> highestAcceptedValue() const;
+    void beginAccepting(Millis now, View value);
 
     Phase phase() const { return phase_; }
     std::uint64_t target() const { return target_; }
     const ProposalNumber& proposal() const { return proposal_; }
     const View& value() const { return value_; }
+    /// When the present phase began.
     Millis since() const { return since_; }
+    /// Of the present phase.
     bool hasMajority() const;
     bool answered(const std::string& acceptor) const;
     const std::map<std::string, ReceivedPromise>& promises() const { return promises_; }
 
 private:
+    std::size_t votes() const;
+
     Phase phase_ = Phase::idle;
     std::uint64_t target_ = 0;
     ProposalNumber proposal_;
@@ -76,7 +88,7 @@
     Millis since_ = 0;
     View value_;
     std::map<std::string, ReceivedPromise> promises_;
-    std::map<std::string, bool> accepted_;  // whether that acceptor votes
+    std::map<std::string, bool> accepted_;  // by acceptor: whether it has a vote
 };
 
 }  // namespace beechpoint::replica
--- a/src/replica/view_change.hpp
+++ b/src/replica/view_change.hpp
@@ -1,6 +1,21 @@
-// Runs the agreement on the next view: founding, noticing that a change is due, proposing, voting, learning the decision.
-//
-//   idle -> preparing -> accepting -> idle, by the next view, a higher ballot or a time-out
+/// Runs the agreement on the next view: founding, noticing that a change is due, proposing, voting, learning the decision.
+///
+/// One instance of single-decree Paxos an epoch (Paxos Made Simple); the acceptors are those of the view in force (Vertical Paxos
+/// 2009). Owns both halves of the agreement (Acceptor, Proposer), the control record on disk and the planner. Called on the thread
+/// of Replica::handle() only.
+///
+///   proposer  | event                                   | what follows
+///   ----------|-----------------------------------------|----------------------------------------------------------
+///   idle      | change due, this process's turn         | Prepare to all acceptors -> preparing
+///   preparing | Promise, majority, value known          | Accept to all acceptors -> accepting
+///   accepting | Accepted, majority                      | Decided to all, view installed here -> idle
+///   any       | Refuse with a higher proposal number,   | back-off -> idle
+///             | time-out                                |
+///   any       | newer view in force                     | -> idle
+///
+/// Invariants:
+///   - A promise seals this process in the epoch before it is sent, and is sent only once it is durable.
+///   - A proposer offers the value of the highest accepted proposal among its promises, if there is one.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +25,9 @@
 
 #include "core/clock.hpp"
 #include "core/splitmix.hpp"
+#include "replica/acceptor_set.hpp"
 #include "replica/chain.hpp"
+#include "replica/control_record_store.hpp"
 #include "replica/durable_state.hpp"
 #include "replica/failure_detector.hpp"
 #include "replica/membership.hpp"
@@ -22,14 +39,17 @@
 
 class ViewChange {
 public:
-    // Puts a decided view in force; it is newer than the present one.
+    /// Puts a decided view in force; it is newer than the present one.
     using Install = std::function<void(Millis now, const View& view)>;
 
     ViewChange(Membership& membership, Outbox& outbox, const FailureDetector& detector, const Chain& chain,
                const ControlRecord& control, std::uint64_t seed, Millis now, Install install);
+    ViewChange(const ViewChange&) = delete;
+    ViewChange& operator=(const ViewChange&) = delete;
 
     void tick(Millis now);
-    void wake(Millis now);
+    /// The process did not run for a while: what it saw before counts no more.
+    void onProcessResumed(Millis now);
     void enterView(Millis now, const View& before);
 
     void onPrepare(Millis now, const Message& message, const Prepare& prepare);
@@ -40,35 +60,30 @@
     void onDecided(Millis now, const View& view);
 
     bool sealed() const { return acceptor_.sealed(membership_.view.epoch); }
-    bool busy() const {
-        return troubleSince_ > 0 || proposer_.phase() != Proposer::Phase::idle || founding();
-    }
-    // What the disk should hold now; written whole by whoever persists it.
-    ControlRecord control() const;
-    // Writes the record if the disk is not known to hold it.
-    void persistControl();
+    /// Something is under way that a timer must look after.
+    bool busy() const;
+    /// What the disk should hold now; written in full by whoever persists it.
+    ControlRecord control() const { return records_.record(); }
+    void persistControl() { records_.persist(); }
 
 private:
-    bool founding() const { return membership_.view.epoch == 0 && !membership_.founders.empty(); }
-    // Acceptors are the voters and, to be sealed, the links of the chain. Empty: no acceptor.
-    std::string acceptorKey(const Member& member) const;
-    bool votes(const Member& member) const { return founding() || membership_.view.findVoter(member); }
-    std::vector<std::string> acceptorAddresses() const;
-    std::size_t majority() const;
     bool mayVote(Millis now, const Message& message, const View& base,
                  const std::vector<std::string>& founders);
+    bool seesNoCause(Millis now, const Prepare& prepare) const;
+    void replyOnceDurable(const Vote& vote, ControlRecordStore::Reply reply);
+    void sendPromise(const std::string& address, std::uint64_t target, const Vote& vote);
 
     void considerFounding(Millis now);
     void considerChange(Millis now);
     void begin(Millis now, bool observed);
     void advance(Millis now);
+    void superviseProposal(Millis now);
     bool waitedLongEnough(Millis now) const;
+    bool needNotWaitFor(const Member& member, Millis now) const;
     void resend(Millis now);
-    void backOff(Millis now);
     void sendRequest(const std::string& address);
-    void announce(const View& view);
-
-    void vote(Millis now, std::function<void()> reply);
+    void backOff(Millis now);
+    void announceDecision(const View& view);
     Millis retryDelay() { return kRetryLow + (kRetryHigh - kRetryLow) * random_(); }
 
     Membership& membership_;
@@ -78,20 +93,18 @@
     SplitMix random_;
     Install install_;
 
+    AcceptorSet acceptors_;
     Acceptor acceptor_;
     Proposer proposer_;
     ViewPlanner planner_;
-    ControlRecord durable_;  // last known to be on disk
-    unsigned votesInFlight_ = 0;
-    unsigned controlsInFlight_ = 0;
-    bool observed_ = false;  // of the present proposal
-    std::uint64_t highestRound_ = 0;
+    ControlRecordStore records_;
+    bool observed_ = false;           // this process saw the cause of the present proposal itself
+    std::uint64_t highestRound_ = 0;  // of the proposal numbers seen
     Millis assessAt_ = 0;
-    Millis troubleSince_ = 0;  // 0: none
+    Millis changeDueSince_ = 0;  // 0: none is due
     Millis resendAt_ = 0;
     Millis backOffUntil_ = 0;
     Millis lastInstallAt_;
-    Millis controlRetryAt_ = 0;
 };
 
 }  // namespace beechpoint::replica
--- /dev/null
+++ b/src/replica/view_composer.cpp
@@ -0,0 +1,128 @@
+#include "replica/view_composer.hpp"
+
+#include <algorithm>
+#include <vector>
+
+namespace beechpoint::replica {
+
+namespace {
+
+using Promises = ViewComposer::Promises;
+
+// What the source of the next view is chosen by.
+struct Stored {
+    std::uint64_t epoch;  // the newest one whose starting state it holds
+    Position position;
+    auto operator<=>(const Stored&) const = default;
+};
+
+// What this acceptor could start the next view from; nothing if it may lack something that was committed. One that is synced
+// into the epoch of `base` has all. One that is not proves by its promise that nothing was committed in that epoch, nor will
+// be. Then all that was committed is in the epoch's starting state, which it may hold without having recorded so, and in the
+// state of whoever is synced into the epoch before.
+std::optional<Stored> storedBy(const ReceivedPromise& received, const View& base) {
+    const Promise& promise = received.promise;
+    const bool holdsStart = promise.position == base.start || promise.appliedPosition == base.start;
+    if (promise.syncedEpoch == base.epoch) return Stored{base.epoch, promise.position};
+    if (holdsStart) return Stored{base.epoch, base.start};
+    if (promise.syncedEpoch + 1 == base.epoch) return Stored{promise.syncedEpoch, promise.position};
+    return std::nullopt;
+}
+
+// What the promises of the chain's members prove. No view follows without one of them: the majority of the voters makes the
+// next view the only one, but it is a sealed member of the chain that ends all acknowledgement in `base`, since each
+// acknowledgement needs every member. One that is synced holds all that was acknowledged; one that is not proves that nothing
+// was, nor will be.
+enum class ChainSeal { none, allHeld, nothingCommitted };
+
+ChainSeal chainSealOf(const Promises& promises, const View& base) {
+    ChainSeal seal = ChainSeal::none;
+    for (const auto& [acceptor, received] : promises) {
+        if (!base.findDisk(received.from)) continue;
+        if (received.promise.syncedEpoch != base.epoch) return ChainSeal::nothingCommitted;
+        seal = ChainSeal::allHeld;
+    }
+    return seal;
+}
+
+const ReceivedPromise* promiseOf(const Member& member, const Promises& promises) {
+    const auto found = std::ranges::find_if(
+        promises, [&](const auto& entry) { return sameDisk(entry.second.from, member); });
+    return found == promises.end() ? nullptr : &found->second;
+}
+
+struct Source {
+    const ReceivedPromise* promise;
+    Stored stored;
+};
+
+// Among equals the first one offered stays, so that the head keeps its role.
+void keepBetter(std::optional<Source>& best, const ReceivedPromise& received, const View& base) {
+    const std::optional<Stored> stored = storedBy(received, base);
+    if (stored && (!best || best->stored < *stored)) best = Source{&received, *stored};
+}
+
+// The members of the chain that go on, and the state that they start from.
+struct ChainPromises {
+    std::vector<const ReceivedPromise*> members;
+    std::optional<Source> source;
+};
+
+ChainPromises chainPromisesOf(const View& base, const Assessment& assessment, const Promises& promises) {
+    ChainPromises chain;
+    std::optional<Source> excludedSource;  // would do as source, though it should be left out
+    for (const Member& member : base.members) {
+        const ReceivedPromise* received = promiseOf(member, promises);
+        if (!received) continue;
+        const bool goesOn =
+            !assessment.excluded.contains(member.internalAddress) && !received->promise.diskFailing;
+        keepBetter(goesOn ? chain.source : excludedSource, *received, base);
+        if (goesOn) chain.members.push_back(received);
+    }
+    if (!chain.source) chain.source = excludedSource;
+    return chain;
+}
+
+// A voter outside the chain may be the source only where nothing was committed in the epoch.
+std::optional<Source> sourceAmongAll(const View& base, const Promises& promises) {
+    std::optional<Source> source;
+    for (const auto& [voter, received] : promises) keepBetter(source, received, base);
+    return source;
+}
+
+}  // namespace
+
+std::optional<View> ViewComposer::compose(Millis now, const Assessment& assessment,
+                                          const Promises& promises) const {
+    const View& base = membership_.view;
+    const ChainSeal seal = chainSealOf(promises, base);
+    if (seal == ChainSeal::none) return std::nullopt;
+    ChainPromises chain = chainPromisesOf(base, assessment, promises);
+    if (!chain.source && seal == ChainSeal::nothingCommitted) chain.source = sourceAmongAll(base, promises);
+    if (!chain.source) return std::nullopt;
+    const ReceivedPromise* head = chain.source->promise;
+    View view;
+    view.epoch = base.epoch + 1;
+    view.start = chain.source->stored.position;
+    view.members.push_back(head->from);
+    for (const ReceivedPromise* received : chain.members)
+        if (received != head) view.members.push_back(received->from);
+    for (const Member& joiner : assessment.joiners)
+        if (view.members.size() < kMaxMembers && !view.find(joiner.name)) view.members.push_back(joiner);
+    if (!requirements_.isSufficient(view.members)) return std::nullopt;
+    view.voters = nextVoters(voters_.present(now, assessment), view.members, requirements_.tolerance());
+    return view;
+}
+
+View ViewComposer::composeFounding(const Promises& promises) const {
+    View view;
+    view.epoch = 1;
+    for (const auto& [voter, received] : promises)
+        if (view.members.size() < kMaxMembers && !view.find(received.from.name))
+            view.members.push_back(received.from);
+    requirements_.dropSurplusUncounted(view.members);
+    view.voters = view.members;
+    return view;
+}
+
+}  // namespace beechpoint::replica
--- /dev/null
+++ b/src/replica/voter_assessment.hpp
@@ -0,0 +1,30 @@
+/// In which state the voters of the view in force are, as far as this process can tell by heartbeats.
+#pragma once
+
+#include <vector>
+
+#include "core/clock.hpp"
+#include "replica/assessment.hpp"
+#include "replica/failure_detector.hpp"
+#include "replica/membership.hpp"
+#include "replica/voters.hpp"
+
+namespace beechpoint::replica {
+
+class VoterAssessment {
+public:
+    VoterAssessment(const Membership& membership, const FailureDetector& detector)
+        : membership_(membership), detector_(detector) {}
+
+    /// The electorate with the state of each; members as their processes last reported themselves.
+    std::vector<Voter> present(Millis now, const Assessment& assessment) const;
+
+private:
+    Voter assess(Millis now, const Member& voter, const Assessment& assessment) const;
+    bool isDiskReplaced(Millis now, const Member& voter) const;
+
+    const Membership& membership_;
+    const FailureDetector& detector_;
+};
+
+}  // namespace beechpoint::replica
--- a/src/replica/voters.cpp
+++ b/src/replica/voters.cpp
@@ -7,17 +7,20 @@
 
 namespace {
 
+bool hasVote(const std::vector<Voter>& voters, const Member& member) {
+    return std::ranges::any_of(voters, [&](const Voter& voter) { return sameDisk(voter.member, member); });
+}
+
 // The members of the chain that may get a vote and have none.
-std::vector<Member> candidatesOf(const std::vector<Voter>& present, const std::vector<Member>& chain,
-                                 const Tolerance& tolerance) {
+std::vector<Member> candidatesAmong(const std::vector<Member>& chain, const std::vector<Voter>& present,
+                                    const Tolerance& tolerance) {
     View counted;
     std::ranges::copy_if(chain, std::back_inserter(counted.members), &Member::counted);
-    const bool all = !tolerance.covers(counted);
+    const bool includeUncounted = !tolerance.covers(counted);
     std::vector<Member> candidates;
     for (const Member& member : chain) {
-        const bool votes =
-            std::ranges::any_of(present, [&](const Voter& voter) { return sameDisk(voter.member, member); });
-        if (!votes && (all || member.counted)) candidates.push_back(member);
+        if (hasVote(present, member)) continue;
+        if (includeUncounted || member.counted) candidates.push_back(member);
     }
     return candidates;
 }
@@ -28,41 +31,43 @@
     return members;
 }
 
-bool bearsWith(std::vector<Voter> voters, std::size_t place, const Member& member,
-               const Tolerance& tolerance) {
-    voters[place].member = member;
-    return bears(membersOf(voters), tolerance);
+bool toleratesLossesWith(std::vector<Voter> voters, std::size_t index, const Member& member,
+                         const Tolerance& tolerance) {
+    voters[index].member = member;
+    return toleratesLosses(membersOf(voters), tolerance);
 }
 
-// The candidate that takes this place over: the same machine first, then one with which the set bears what it must.
-std::vector<Member>::iterator successorOf(const std::vector<Voter>& voters, std::size_t place,
-                                          std::vector<Member>& candidates, const Tolerance& tolerance) {
-    const auto namesake = std::ranges::find(candidates, voters[place].member.name, &Member::name);
+// The candidate that takes this vote over: the same machine first, then one with which the set tolerates what it must.
+std::vector<Member>::iterator replacementFor(const std::vector<Voter>& voters, std::size_t index,
+                                             std::vector<Member>& candidates, const Tolerance& tolerance) {
+    const auto namesake = std::ranges::find(candidates, voters[index].member.name, &Member::name);
     if (namesake != candidates.end()) return namesake;
-    const auto fitting = std::ranges::find_if(
-        candidates, [&](const Member& member) { return bearsWith(voters, place, member, tolerance); });
-    return fitting != candidates.end() ? fitting : candidates.begin();
+    const auto suitable = std::ranges::find_if(candidates, [&](const Member& member) {
+        return toleratesLossesWith(voters, index, member, tolerance);
+    });
+    return suitable != candidates.end() ? suitable : candidates.begin();
 }
 
-void handOver(std::vector<Voter>& voters, Presence presence, std::vector<Member>& candidates,
-              const Tolerance& tolerance) {
-    for (std::size_t place = 0; place < voters.size() && !candidates.empty(); ++place) {
-        if (voters[place].presence != presence) continue;
-        const auto successor = successorOf(voters, place, candidates, tolerance);
-        voters[place] = Voter{*successor, Presence::here};
-        candidates.erase(successor);
+// The votes of all voters in this state, as long as there are candidates.
+void handOverVotes(std::vector<Voter>& voters, VoterState state, std::vector<Member>& candidates,
+                   const Tolerance& tolerance) {
+    for (std::size_t index = 0; index < voters.size() && !candidates.empty(); ++index) {
+        if (voters[index].state != state) continue;
+        const auto replacement = replacementFor(voters, index, candidates, tolerance);
+        voters[index] = Voter{*replacement, VoterState::present};
+        candidates.erase(replacement);
     }
 }
 
-// Gives up a place where the set bears the tolerance without it; false if there is none to give up.
-bool giveUpOne(std::vector<Voter>& voters, const Tolerance& tolerance) {
-    const bool enough = bears(membersOf(voters), tolerance);
+// Removes a voter where the set tolerates the losses without it; false if there is none to remove.
+bool removeOneVoter(std::vector<Voter>& voters, const Tolerance& tolerance) {
+    const bool sufficient = toleratesLosses(membersOf(voters), tolerance);
     for (auto voter = voters.begin(); voter != voters.end(); ++voter) {
-        if (enough && voter->presence == Presence::here) continue;
-        if (voter->presence == Presence::away && voters.size() <= kLeastVoters) continue;
+        if (sufficient && voter->state == VoterState::present) continue;
+        if (voter->state == VoterState::unreachable && voters.size() <= kMinVoters) continue;
         std::vector<Member> others = membersOf(voters);
         others.erase(others.begin() + (voter - voters.begin()));
-        if (!bears(others, tolerance)) continue;
+        if (!toleratesLosses(others, tolerance)) continue;
         voters.erase(voter);
         return true;
     }
@@ -71,7 +76,7 @@
 
 }  // namespace
 
-bool bears(const std::vector<Member>& voters, const Tolerance& tolerance) {
+bool toleratesLosses(const std::vector<Member>& voters, const Tolerance& tolerance) {
     const std::size_t needed = voters.size() / 2 + 1;
     const std::size_t left = voters.size() - std::min(voters.size(), tolerance.machines);
     return left >= needed && remainingAfterZoneLoss(voters, tolerance.zones) >= needed;
@@ -80,16 +85,17 @@
 std::vector<Member> nextVoters(const std::vector<Voter>& present, const std::vector<Member>& chain,
                                const Tolerance& tolerance) {
     std::vector<Voter> voters = present;
-    std::vector<Member> candidates = candidatesOf(present, chain, tolerance);
-    handOver(voters, Presence::lost, candidates, tolerance);
-    handOver(voters, Presence::leaving, candidates, tolerance);
-    handOver(voters, Presence::away, candidates, tolerance);
-    while (!candidates.empty() && voters.size() < kMaxMembers && !bears(membersOf(voters), tolerance)) {
-        voters.push_back(Voter{candidates.front(), Presence::here});
+    std::vector<Member> candidates = candidatesAmong(chain, present, tolerance);
+    handOverVotes(voters, VoterState::diskLost, candidates, tolerance);
+    handOverVotes(voters, VoterState::leaving, candidates, tolerance);
+    handOverVotes(voters, VoterState::unreachable, candidates, tolerance);
+    while (!candidates.empty() && voters.size() < kMaxMembers &&
+           !toleratesLosses(membersOf(voters), tolerance)) {
+        voters.push_back(Voter{candidates.front(), VoterState::present});
         candidates.erase(candidates.begin());
     }
-    while (giveUpOne(voters, tolerance)) {
-    }
+    bool removed = true;
+    while (removed) removed = removeOneVoter(voters, tolerance);
     return membersOf(voters);
 }
 
--- a/tests/replica/flapping_test.cpp
+++ b/tests/replica/flapping_test.cpp
@@ -40,9 +40,9 @@
     const std::uint64_t views = cluster.replica(other).view().epoch - before;
     EXPECT_GE(views, 2u);
     EXPECT_LE(views, kViewsMost) << "too many views for a member that comes and goes";
-    EXPECT_TRUE(cluster.runUntil(kProbationMost + 1'000, [&] { return cluster.whole(); }))
+    EXPECT_TRUE(cluster.runUntil(kMaxProbation + 1'000, [&] { return cluster.whole(); }))
         << cluster.describe();
-    EXPECT_LT(kProbationMost + 1'000, kCatchUp);
+    EXPECT_LT(kMaxProbation + 1'000, kCatchUp);
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
 
--- a/tests/replica/learner_test.cpp
+++ b/tests/replica/learner_test.cpp
@@ -54,21 +54,21 @@
     const Millis began = cluster.now();
     const Millis pause = longestPause(cluster, kCatchUp, [&] { return cluster.whole(); });
     EXPECT_TRUE(cluster.whole()) << cluster.describe();
-    EXPECT_LT(cluster.now() - began, kLearnMost + 500);
+    EXPECT_LT(cluster.now() - began, kMaxLearningTime + 500);
     EXPECT_LT(pause, kPauseMost) << "writes waited for the copy of an empty machine";
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
 
 // The copy takes longer than a learner may wait: it is taken in as it is, well inside the time that a loss counts for.
 TEST_P(LearnerTest, AMachineWhoseCopyIsSlowIsTakenInAllTheSame) {
-    Cluster cluster = make(kLearnMost + 1'000);
+    Cluster cluster = make(kMaxLearningTime + 1'000);
     age(cluster);
     const std::size_t node = GetParam() % 3;
     cluster.losePower(node);
     cluster.wipe(node);
     cluster.runFor(2'000);
     cluster.start(node);
-    EXPECT_TRUE(cluster.runUntil(kLearnMost + 1'000, [&] { return cluster.replica(node).inView(); }))
+    EXPECT_TRUE(cluster.runUntil(kMaxLearningTime + 1'000, [&] { return cluster.replica(node).inView(); }))
         << cluster.describe();
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
--- a/tests/replica/view_agreement_test.cpp
+++ b/tests/replica/view_agreement_test.cpp
@@ -82,7 +82,7 @@
     EXPECT_TRUE(proposer.onPromise("b", {}, promiseOf(3, 2)));
     EXPECT_TRUE(proposer.hasMajority());
     EXPECT_FALSE(proposer.onAccepted("a", Accepted{proposal(3), 2}));
-    proposer.propose(0, viewOf(2, "x"));
+    proposer.beginAccepting(0, viewOf(2, "x"));
     EXPECT_FALSE(proposer.hasMajority());
     EXPECT_TRUE(proposer.onAccepted("a", Accepted{proposal(3), 2}));
     EXPECT_FALSE(proposer.onAccepted("b", Accepted{proposal(2), 2}));
@@ -98,7 +98,7 @@
     proposer.onPromise("a", {}, Promise{proposal(9), 2, proposal(3), viewOf(2, "x"), 1, {}, {}, false});
     proposer.onPromise("b", {}, Promise{proposal(9), 2, proposal(5), viewOf(2, "y"), 1, {}, {}, false});
     proposer.onPromise("c", {}, Promise{proposal(9), 2, {}, std::nullopt, 1, {}, {}, false});
-    EXPECT_EQ(proposer.bound(), viewOf(2, "y"));
+    EXPECT_EQ(proposer.highestAcceptedValue(), viewOf(2, "y"));
 }
 
 // ---- The source of the next view
@@ -206,7 +206,7 @@
 TEST(TableHistory, GivesDeltasAsFarBackAsItRemembers) {
     TableHistory history({{"a", "0"}}, {1, 0});
     for (std::uint64_t sequence = 1; sequence <= kHistoryBatches + 10; ++sequence)
-        history.fold({{1, sequence}, {{fmt::format("k{}", sequence % 3), std::to_string(sequence)}}});
+        history.applyBatch({{1, sequence}, {{fmt::format("k{}", sequence % 3), std::to_string(sequence)}}});
     EXPECT_EQ(history.batches(), kHistoryBatches);
     const Position now = history.position();
     EXPECT_TRUE(history.updateSince(now).changes.empty());
@@ -222,7 +222,7 @@
 TEST(TableHistory, IsBoundedInBytes) {
     TableHistory history({}, {});
     for (std::uint64_t sequence = 1; sequence <= 20; ++sequence)
-        history.fold({{1, sequence}, {{"k", std::string(100'000, 'x')}}});
+        history.applyBatch({{1, sequence}, {{"k", std::string(100'000, 'x')}}});
     EXPECT_LE(history.batches(), 10u);
     EXPECT_TRUE(history.updateSince({1, 1}).whole);
 }
@@ -230,7 +230,7 @@
 TEST(TableHistory, SnapshotsStayAsTheyWere) {
     TableHistory history({{"a", "0"}}, {1, 0});
     const auto before = history.snapshot();
-    history.fold({{1, 1}, {{"a", std::nullopt}, {"b", "1"}}});
+    history.applyBatch({{1, 1}, {{"a", std::nullopt}, {"b", "1"}}});
     EXPECT_EQ(*before, (Table{{"a", "0"}}));
     EXPECT_EQ(history.table(), (Table{{"b", "1"}}));
     const TableUpdate update = history.updateSince({1, 0});
--- a/tests/replica/voters_test.cpp
+++ b/tests/replica/voters_test.cpp
@@ -42,15 +42,15 @@
 
 TEST(NextVoters, KeepThoseThatAreAway) {
     std::vector<Voter> voters = here("abc");
-    voters[0].presence = Presence::away;
+    voters[0].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("bc"), kOne)), "abc");
-    voters[1].presence = Presence::leaving;
+    voters[1].state = VoterState::leaving;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("c"), kOne)), "abc");
 }
 
 TEST(NextVoters, GiveThePlaceOfALostDiskToItsSuccessor) {
     std::vector<Voter> voters = here("abc");
-    voters[1].presence = Presence::lost;
+    voters[1].state = VoterState::diskLost;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("ac"), kOne)), "abc");
     std::vector<Member> chain = chainOf("ac");
     chain.push_back(member("b", "b", 2));
@@ -62,15 +62,15 @@
 
 TEST(NextVoters, GiveThePlaceOfOneThatIsAwayOnlyToAMemberWithoutAVote) {
     std::vector<Voter> voters = here("abc");
-    voters[2].presence = Presence::away;
+    voters[2].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("abd"), kOne)), "abd");
     EXPECT_EQ(namesOf(nextVoters(here("abc"), chainOf("abcd"), kOne)), "abc");
 }
 
 TEST(NextVoters, ALostDiskComesBeforeOneThatIsAway) {
     std::vector<Voter> voters = here("abc");
-    voters[0].presence = Presence::away;
-    voters[1].presence = Presence::lost;
+    voters[0].state = VoterState::unreachable;
+    voters[1].state = VoterState::diskLost;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("cd"), kOne)), "adc");
 }
 
@@ -87,14 +87,14 @@
 
 TEST(NextVoters, GiveUpAPlaceOnlyWhereTheyBearTheToleranceWithoutIt) {
     std::vector<Voter> voters = here("abcd");
-    voters[3].presence = Presence::away;
+    voters[3].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("abc"), kOne)), "abc");
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("abc"), {2, 1})), "abcd");
     // Nothing is tolerated: those that are away are kept all the same, those that leave are not.
     std::vector<Voter> three = here("abc");
-    three[2].presence = Presence::away;
+    three[2].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(three, chainOf("ab"), {0, 0})), "abc");
-    three[2].presence = Presence::leaving;
+    three[2].state = VoterState::leaving;
     EXPECT_EQ(namesOf(nextVoters(three, chainOf("ab"), {0, 0})), "ab");
 }
 
@@ -102,7 +102,7 @@
     std::vector<Member> chain = chainOf("abcd");
     chain[3].counted = false;
     std::vector<Voter> voters = here("abc");
-    voters[2].presence = Presence::away;
+    voters[2].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chain, kOne)), "abc");
     for (Member& each : chain) each.counted = false;
     EXPECT_EQ(namesOf(nextVoters(voters, chain, kOne)), "abd");
