--- a/models/control-view.pml
+++ b/models/control-view.pml
@@ -1,6 +1,6 @@
 /* The view agreement with the chain, as in src/replica, as small as it can be and still go wrong.
  *
- * Epochs 1 to 3. Epoch 1 is decided and settled at the start; epochs 2 and 3 are agreed on by two ballots each. Disks 0, 1
+ * Epochs 1 to 3. Epoch 1 is decided and installed at the start; epochs 2 and 3 are agreed on by two proposals each. Disks 0, 1
  * and 2 are the members and the voters of epoch 1; a view leaves any of them out of the chain, and its voters change only one for
  * one: a voter outside the new chain may hand its vote to a member that has none. Disk 3 is empty: the one that a wiped machine comes back with, or (REPLACEMENT) a
  * spare machine. Each epoch has one batch, named by the epoch; a state is the set of its batches. One disk may be lost, and
@@ -13,7 +13,7 @@
  * Checked at every step:
  *   - one view an epoch
  *   - every acknowledged batch is in the starting state of every later view that is decided
- *   - a read that a majority vouched for holds all that was acknowledged before it began
+ *   - a read that a majority of the voters confirmed holds all that was acknowledged before it began
  *   - states that are shown are prefixes of one history
  *   - after a loss some disk that is left holds all that was acknowledged
  *   - after the loss of one disk a majority of the voters is left (not with REPLACEMENT, where two are lost)
@@ -29,7 +29,7 @@
  *   -DLEAVES_BEFORE_SETTLED     a member that is left out ends once the view is decided (with -DREPLACEMENT)
  */
 
-/* Bounds. Ballots for epoch 2 and for epoch 3; 0: epoch 3 is left out. NO_READS, NO_POWER and NO_LOSS leave
+/* Bounds. Proposals for epoch 2 and for epoch 3; 0: epoch 3 is left out. NO_READS, NO_POWER and NO_LOSS leave
  * out what they say. */
 #ifndef FIRST
 #define FIRST 2
@@ -45,7 +45,7 @@
 #define HAS(set, x) (((set) >> (x)) & 1)
 #define SIZE(set) (HAS(set, 0) + HAS(set, 1) + HAS(set, 2) + HAS(set, 3))
 #define WITHIN(small, large) (((small) & ~(large)) == 0)
-#define SLOT(target, ballot) (((target) - 2) * 2 + (ballot) - 1)
+#define SLOT(target, number) (((target) - 2) * 2 + (number) - 1)
 
 /* Each disk. The vote is one for the epoch after `epoch`. */
 byte living = 0;    /* until all is set up */
@@ -53,10 +53,10 @@
 byte promised[4];
 byte accepted[4];
 byte stored[4];    /* with the pending batch */
-byte folded[4];    /* without it */
+byte applied[4];    /* without it */
 byte synced[4];    /* newest epoch whose starting state was brought here */
 byte session;      /* a bit for each disk, changed by a restart */
-byte settled;      /* a bit for each process: knows that the epoch is settled */
+byte installed;      /* a bit for each process: knows that the epoch is installed */
 #ifdef ACKNOWLEDGED_BEFORE_SYNC
 byte safe[4];      /* what a loss of power leaves of `stored` */
 #endif
@@ -74,13 +74,13 @@
 byte ended = 2;
 byte committed = 0;
 
-/* Promises by ballot and disk, and the proposals. */
+/* Promises by proposal number and disk, and the proposals. */
 byte promisers[4];
 byte promisedSession[4];
 byte reportAccepted[16];
 byte reportSynced[16];
 byte reportStored[16];
-byte reportFolded[16];
+byte reportApplied[16];
 byte proposed;     /* a bit for each slot */
 byte accepters[4];
 byte noted;        /* a bit for each slot that was decided */
@@ -93,9 +93,9 @@
 byte acknowledged = 0;
 byte history = 0;  /* the longest state shown */
 
-/* A read: the process and one, who vouched, what was acknowledged as it began. */
+/* A read: the process and one, who confirmed, what was acknowledged as it began. */
 byte reader = 0;
-byte vouched;
+byte confirmed;
 byte floor;
 
 bool power = false;
@@ -103,8 +103,8 @@
 bool departed = false;
 
 #define VIEW(i) epoch[i]
-#define MAY_VOTE(i, ballot) (HAS(living, i) && HAS(members[VIEW(i)] | voters[VIEW(i)], i) && \
-                             (VIEW(i) == 1 && ballot <= FIRST || VIEW(i) == 2 && ballot <= SECOND))
+#define MAY_VOTE(i, number) (HAS(living, i) && HAS(members[VIEW(i)] | voters[VIEW(i)], i) && \
+                             (VIEW(i) == 1 && number <= FIRST || VIEW(i) == 2 && number <= SECOND))
 #define RANK(i) (i == source[VIEW(i)] -> 0 : 1 + SIZE(members[VIEW(i)] & ~BIT(source[VIEW(i)]) & (BIT(i) - 1)))
 #define LAST(i) (SIZE(members[VIEW(i)]) - 1)
 #define MAJORITY(e) (SIZE(voters[e]) / 2 + 1)
@@ -122,9 +122,9 @@
 #define MAY_OPEN(i) SYNCED(i)
 #endif
 #ifdef READ_WITHOUT_CONTACT
-#define VOUCHED(e) true
+#define CONFIRMED(e) true
 #else
-#define VOUCHED(e) (SIZE(vouched) >= MAJORITY(e))
+#define CONFIRMED(e) (SIZE(confirmed) >= MAJORITY(e))
 #endif
 
 /* States are ordered by their newest batch: one is a prefix of another if it holds all up to its own newest. */
@@ -151,10 +151,10 @@
     :: else
     fi
 }
-inline settle(i) {
-    settled = settled | BIT(i);
-    if :: stored[i] == start[VIEW(i)] -> folded[i] = stored[i] :: else fi;
-    expose(folded[i]);
+inline install(i) {
+    installed = installed | BIT(i);
+    if :: stored[i] == start[VIEW(i)] -> applied[i] = stored[i] :: else fi;
+    expose(applied[i]);
     closeWrite(i, 1);
     closeWrite(i, 2)
 }
@@ -166,19 +166,19 @@
 #endif
 }
 inline endRead(i) {
-    if :: reader == i + 1 -> reader = 0; vouched = 0; floor = 0 :: else fi
+    if :: reader == i + 1 -> reader = 0; confirmed = 0; floor = 0 :: else fi
 }
-inline install(i, e) {
+inline enter_view(i, e) {
     epoch[i] = e;
     promised[i] = 0;
     accepted[i] = 0;
-    settled = settled & ~BIT(i);
+    installed = installed & ~BIT(i);
     endRead(i)
 }
-/* Nobody needs the promise once the ballot's value is proposed. */
-inline promise(i, ballot) {
-    slot = SLOT(VIEW(i) + 1, ballot);
-    promised[i] = ballot;
+/* Nobody needs the promise once the proposal's value is proposed. */
+inline promise(i, number) {
+    slot = SLOT(VIEW(i) + 1, number);
+    promised[i] = number;
     if
     :: !HAS(proposed, slot) ->
        promisers[slot] = promisers[slot] | BIT(i);
@@ -186,7 +186,7 @@
        reportAccepted[slot * 4 + i] = accepted[i];
        reportSynced[slot * 4 + i] = synced[i];
        reportStored[slot * 4 + i] = stored[i];
-       reportFolded[slot * 4 + i] = folded[i]
+       reportApplied[slot * 4 + i] = applied[i]
     :: else
     fi;
     endRead(i);
@@ -210,10 +210,10 @@
     accepters[slot] = 0
 }
 /* A view is decided as soon as a majority has accepted it, whoever learns of that and when. */
-inline accept(i, ballot) {
-    slot = SLOT(VIEW(i) + 1, ballot);
-    promised[i] = ballot;
-    accepted[i] = ballot;
+inline accept(i, number) {
+    slot = SLOT(VIEW(i) + 1, number);
+    promised[i] = number;
+    accepted[i] = number;
     if :: !HAS(noted, slot) -> accepters[slot] = accepters[slot] | BIT(i) :: else fi;
     if
     :: SIZE(accepters[slot] & voters[VIEW(i)]) >= MAJORITY(VIEW(i)) -> decide(VIEW(i) + 1, slot)
@@ -223,8 +223,8 @@
     slot = 0
 }
 inline commit(i) {
-    folded[i] = stored[i];
-    expose(folded[i]);
+    applied[i] = stored[i];
+    expose(applied[i]);
     if :: RANK(i) == 0 -> acknowledge(VIEW(i)) :: else fi
 }
 
@@ -232,8 +232,8 @@
     byte slot;
     do
     /* Learns a view. */
-    :: d_step { HAS(living, _pid) && epoch[_pid] < 2 && HAS(decided, 2) -> install(_pid, 2) }
-    :: d_step { HAS(living, _pid) && epoch[_pid] < 3 && HAS(decided, 3) -> install(_pid, 3) }
+    :: d_step { HAS(living, _pid) && epoch[_pid] < 2 && HAS(decided, 2) -> enter_view(_pid, 2) }
+    :: d_step { HAS(living, _pid) && epoch[_pid] < 3 && HAS(decided, 3) -> enter_view(_pid, 3) }
     /* Votes on the next one. */
     :: d_step { MAY_VOTE(_pid, 1) && promised[_pid] < 1 -> promise(_pid, 1) }
     :: d_step { MAY_VOTE(_pid, 2) && promised[_pid] < 2 -> promise(_pid, 2) }
@@ -243,43 +243,43 @@
                 accept(_pid, 2) }
     /* Brings its disk to the starting state: it has it, or a synced member sends it. */
     :: d_step { HAS(living, _pid) && HAS(members[epoch[_pid]], _pid) && UNSEALED(_pid) && !SYNCED(_pid) &&
-                (stored[_pid] == start[epoch[_pid]] || folded[_pid] == start[epoch[_pid]]) ->
+                (stored[_pid] == start[epoch[_pid]] || applied[_pid] == start[epoch[_pid]]) ->
                 stored[_pid] = start[epoch[_pid]]; forced(_pid); synced[_pid] = epoch[_pid] }
     :: d_step { ACTIVE(_pid) && !SYNCED(_pid) && SYNCED(source[epoch[_pid]]) && HAS(living, source[epoch[_pid]]) &&
-                stored[_pid] != start[epoch[_pid]] && folded[_pid] != start[epoch[_pid]] ->
-                stored[_pid] = start[epoch[_pid]]; folded[_pid] = stored[_pid]; forced(_pid);
+                stored[_pid] != start[epoch[_pid]] && applied[_pid] != start[epoch[_pid]] ->
+                stored[_pid] = start[epoch[_pid]]; applied[_pid] = stored[_pid]; forced(_pid);
                 synced[_pid] = epoch[_pid] }
-    /* The opening runs down the chain; the tail settles, the others hear of it. */
+    /* The opening runs down the chain; the tail installs the view, the others learn of it. */
     :: d_step { ACTIVE(_pid) && MAY_OPEN(_pid) && opened[epoch[_pid]] == RANK(_pid) && RANK(_pid) < LAST(_pid) ->
                 opened[epoch[_pid]]++ }
     :: d_step { ACTIVE(_pid) && MAY_OPEN(_pid) && opened[epoch[_pid]] == LAST(_pid) && RANK(_pid) == LAST(_pid) &&
-                !HAS(settled, _pid) -> ended = ended | BIT(epoch[_pid]); settle(_pid) }
-    :: d_step { ACTIVE(_pid) && SYNCED(_pid) && HAS(ended, epoch[_pid]) && !HAS(settled, _pid) &&
-                RANK(_pid) < LAST(_pid) -> settle(_pid) }
+                !HAS(installed, _pid) -> ended = ended | BIT(epoch[_pid]); install(_pid) }
+    :: d_step { ACTIVE(_pid) && SYNCED(_pid) && HAS(ended, epoch[_pid]) && !HAS(installed, _pid) &&
+                RANK(_pid) < LAST(_pid) -> install(_pid) }
     /* A batch: head, the members between, tail, and the commit. */
-    :: d_step { ACTIVE(_pid) && SYNCED(_pid) && HAS(settled, _pid) && RANK(_pid) == 0 && passed[epoch[_pid]] == 0 &&
+    :: d_step { ACTIVE(_pid) && SYNCED(_pid) && HAS(installed, _pid) && RANK(_pid) == 0 && passed[epoch[_pid]] == 0 &&
                 LAST(_pid) > 0 && epoch[_pid] < 3 ->
                 stored[_pid] = stored[_pid] | BIT(epoch[_pid]); passed[epoch[_pid]] = 1 }
-    :: d_step { ACTIVE(_pid) && SYNCED(_pid) && HAS(settled, _pid) && RANK(_pid) > 0 &&
+    :: d_step { ACTIVE(_pid) && SYNCED(_pid) && HAS(installed, _pid) && RANK(_pid) > 0 &&
                 passed[epoch[_pid]] == RANK(_pid) && RANK(_pid) < LAST(_pid) ->
                 stored[_pid] = stored[_pid] | BIT(epoch[_pid]); passed[epoch[_pid]]++ }
-    :: d_step { ACTIVE(_pid) && SYNCED(_pid) && HAS(settled, _pid) && RANK(_pid) > 0 &&
+    :: d_step { ACTIVE(_pid) && SYNCED(_pid) && HAS(installed, _pid) && RANK(_pid) > 0 &&
                 passed[epoch[_pid]] == RANK(_pid) && RANK(_pid) == LAST(_pid) && !HAS(committed, epoch[_pid]) ->
                 stored[_pid] = stored[_pid] | BIT(epoch[_pid]); committed = committed | BIT(epoch[_pid]);
                 commit(_pid) }
-    :: d_step { ACTIVE(_pid) && HAS(settled, _pid) && HAS(committed, epoch[_pid]) &&
-                HAS(stored[_pid], epoch[_pid]) && !HAS(folded[_pid], epoch[_pid]) -> commit(_pid) }
+    :: d_step { ACTIVE(_pid) && HAS(installed, _pid) && HAS(committed, epoch[_pid]) &&
+                HAS(stored[_pid], epoch[_pid]) && !HAS(applied[_pid], epoch[_pid]) -> commit(_pid) }
 #ifdef ACKNOWLEDGED_BEFORE_SYNC
     :: d_step { HAS(living, _pid) && safe[_pid] != stored[_pid] -> safe[_pid] = stored[_pid] }
 #endif
 #ifndef NO_READS
-    /* A read at the tail: begun, vouched for, answered. */
-    :: d_step { reader == 0 && acknowledged != 0 && ACTIVE(_pid) && HAS(settled, _pid) && RANK(_pid) == LAST(_pid) ->
-                reader = _pid + 1; vouched = BIT(_pid) & voters[epoch[_pid]]; floor = acknowledged }
+    /* A read at the tail: begun, confirmed, answered. */
+    :: d_step { reader == 0 && acknowledged != 0 && ACTIVE(_pid) && HAS(installed, _pid) && RANK(_pid) == LAST(_pid) ->
+                reader = _pid + 1; confirmed = BIT(_pid) & voters[epoch[_pid]]; floor = acknowledged }
     :: d_step { reader != 0 && HAS(living, _pid) && epoch[_pid] == epoch[reader - 1] && UNSEALED(_pid) &&
-                HAS(voters[epoch[_pid]], _pid) && !HAS(vouched, _pid) -> vouched = vouched | BIT(_pid) }
-    :: d_step { reader == _pid + 1 && ACTIVE(_pid) && HAS(settled, _pid) && VOUCHED(epoch[_pid]) ->
-                assert(WITHIN(floor, folded[_pid])); reader = 0; vouched = 0; floor = 0 }
+                HAS(voters[epoch[_pid]], _pid) && !HAS(confirmed, _pid) -> confirmed = confirmed | BIT(_pid) }
+    :: d_step { reader == _pid + 1 && ACTIVE(_pid) && HAS(installed, _pid) && CONFIRMED(epoch[_pid]) ->
+                assert(WITHIN(floor, applied[_pid])); reader = 0; confirmed = 0; floor = 0 }
 #endif
     od
 }
@@ -289,7 +289,7 @@
     if
     :: reportSynced[report] == base -> weight = base + 1; state = reportStored[report]
     :: reportSynced[report] != base &&
-       (reportStored[report] == start[base] || reportFolded[report] == start[base]) ->
+       (reportStored[report] == start[base] || reportApplied[report] == start[base]) ->
        weight = base + 1; state = start[base]
     :: else ->
        if
@@ -332,7 +332,7 @@
 }
 #define NOT_SYNCED(slot, base, i) \
     (HAS(promisers[slot] & members[base], i) && reportSynced[(slot) * 4 + i] != base)
-#define UNSYNCED_LINK(slot, base) \
+#define UNSYNCED_MEMBER(slot, base) \
     (NOT_SYNCED(slot, base, 0) || NOT_SYNCED(slot, base, 1) || NOT_SYNCED(slot, base, 2) || NOT_SYNCED(slot, base, 3))
 /* A voter outside the new chain hands its vote to a member without one, or keeps it. */
 #define HANDS_OVER(slot, base, i) (HAS(voters[base], i) && !HAS(valueMembers[slot], i) && \
@@ -354,8 +354,8 @@
     wanted = promisers[slot] & members[base] & ~excluded;
     chooseSource(base, slot, wanted);
     if :: best == 0 -> chooseSource(base, slot, promisers[slot] & members[base]) :: else fi;
-    /* A voter outside the chain, where a link proves that nothing was acknowledged in it. */
-    if :: best == 0 && UNSYNCED_LINK(slot, base) -> chooseSource(base, slot, promisers[slot]) :: else fi;
+    /* A voter outside the chain, where a member of the chain proves that nothing was acknowledged in it. */
+    if :: best == 0 && UNSYNCED_MEMBER(slot, base) -> chooseSource(base, slot, promisers[slot]) :: else fi;
     if
     :: best > 0 && SIZE(wanted | BIT(valueSource[slot]) | joiner) >= LEAST ->
        valueMembers[slot] = wanted | BIT(valueSource[slot]) | joiner;
@@ -389,13 +389,13 @@
        reportAccepted[slot * 4 + i] = 0;
        reportSynced[slot * 4 + i] = 0;
        reportStored[slot * 4 + i] = 0;
-       reportFolded[slot * 4 + i] = 0;
+       reportApplied[slot * 4 + i] = 0;
        i++
     :: else -> break
     od
 }
-inline propose(target, ballot) {
-    base = target - 1; slot = SLOT(target, ballot); i = 0; best = 0;
+inline propose(target, number) {
+    base = target - 1; slot = SLOT(target, number); i = 0; best = 0;
     do
     :: i < 4 ->
        if
@@ -412,10 +412,10 @@
     if :: HAS(proposed, slot) -> forget(slot) :: else fi;
     base = 0; slot = 0; i = 0; best = 0; weight = 0; state = 0; wanted = 0; excluded = 0; joiner = 0
 }
-#define LINKED(set) ((set) != 0)
+#define SEALED_CHAIN(set) ((set) != 0)
 #define MAY_PROPOSE(t, b) \
     (HAS(decided, t - 1) && !HAS(proposed, SLOT(t, b)) && SIZE(promisers[SLOT(t, b)] & voters[t - 1]) >= MAJORITY(t - 1) && \
-     LINKED(promisers[SLOT(t, b)] & members[t - 1]))
+     SEALED_CHAIN(promisers[SLOT(t, b)] & members[t - 1]))
 
 active proctype Proposals() {
     byte base, slot, i, best, weight, state, wanted, excluded, joiner;
@@ -429,30 +429,30 @@
 
 inline restart(disk) {
     session = session ^ BIT(disk);
-    settled = settled & ~BIT(disk);
+    installed = installed & ~BIT(disk);
     endRead(disk);
 #ifdef FORGOTTEN_VOTE
     promised[disk] = 0; accepted[disk] = 0;
 #endif
 #ifdef ACKNOWLEDGED_BEFORE_SYNC
-    stored[disk] = safe[disk]; folded[disk] = folded[disk] & stored[disk];
+    stored[disk] = safe[disk]; applied[disk] = applied[disk] & stored[disk];
 #endif
     power = true
 }
 #define COPY(disk) (HAS(living, disk) && WITHIN(acknowledged, stored[disk]))
 inline lose(disk) {
     living = living & ~BIT(disk);
-    settled = settled & ~BIT(disk);
+    installed = installed & ~BIT(disk);
     endRead(disk);
     epoch[disk] = 0; promised[disk] = 0; accepted[disk] = 0;
-    stored[disk] = 0; folded[disk] = 0; synced[disk] = 0;
+    stored[disk] = 0; applied[disk] = 0; synced[disk] = 0;
     assert(COPY(0) || COPY(1) || COPY(2) || COPY(3));
 #ifndef REPLACEMENT
     assert(!HAS(decided, 2) || SIZE(voters[2] & living) >= MAJORITY(2))
 #endif
 }
 /* A member that the newest view leaves out may end for good. */
-#ifdef LEAVES_BEFORE_SETTLED
+#ifdef LEAVES_BEFORE_INSTALLED
 #define MAY_LEAVE(disk) (HAS(decided, 2) && !HAS(members[2], disk))
 #else
 #define MAY_LEAVE(disk) (HAS(decided, 2) && !HAS(members[2], disk) && HAS(ended, 2))
@@ -486,9 +486,9 @@
         epoch[0] = 1; epoch[1] = 1; epoch[2] = 1; epoch[3] = 1;
         synced[0] = 1; synced[1] = 1; synced[2] = 1;
 #ifdef REPLACEMENT
-        members[1] = 3; voters[1] = 3; settled = 3; living = 11
+        members[1] = 3; voters[1] = 3; installed = 3; living = 11
 #else
-        members[1] = 7; voters[1] = 7; settled = 7; living = 7
+        members[1] = 7; voters[1] = 7; installed = 7; living = 7
 #endif
     }
 }
--- a/src/replica/chain.cpp
+++ b/src/replica/chain.cpp
@@ -245,7 +245,7 @@
     write_.reset();
 }
 
-// ---- What others are told
+// ---- Progress, of the chain and of others
 
 std::string Chain::stalledMember(Millis now, const FailureDetector& detector) const {
     if (!membership_.active() || !membership_.isHead() || storedItems_ == 0) return {};
--- a/src/replica/durable_state.hpp
+++ b/src/replica/durable_state.hpp
@@ -1,4 +1,4 @@
-// What a replica keeps on disk, and the atomic changes that it asks its storage for.
+/// What a replica keeps on disk, and the atomic changes that it asks its storage for.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace beechpoint::replica {
 
-// Small record that is always written whole.
+/// Small record that is always written in full.
 struct ControlRecord {
     std::uint64_t incarnation = 0;      // 0: empty disk
     std::vector<std::string> founders;  // control addresses, sorted; not empty: may vote on the first view
@@ -20,7 +20,7 @@
     bool operator==(const ControlRecord&) const = default;
 };
 
-// Loaded at start. A store that does not check counts as an empty disk, and then the process must not bootstrap.
+/// Loaded at start. A store that does not check counts as an empty disk, and then the process must not bootstrap.
 struct DurableState {
     ControlRecord control;
     std::uint64_t syncedEpoch = 0;  // newest epoch whose starting state this disk was brought to
@@ -29,11 +29,10 @@
     std::optional<Batch> pending;  // follows `position`; not known to be committed
 };
 
-// One atomic change, carried out in the order of the fields. Updates take effect in the order in which they were issued.
-// One that was reported as failed may have taken effect, but must not do so later.
+/// One atomic change, carried out in the order of the fields. Updates take effect in the order in which they were issued.
+/// One that was reported as failed may have taken effect, but must not do so later.
 struct DurableUpdate {
-    std::optional<TableUpdate>
-        table;  // changes (may be applied already: doing it again does no harm) or whole table
+    std::optional<TableUpdate> table;  // changes (idempotent: they may be applied already) or the full table
     bool clearPending = false;
     std::optional<Batch> pending;
     std::optional<std::uint64_t> syncedEpoch;
--- a/src/replica/events.hpp
+++ b/src/replica/events.hpp
@@ -1,4 +1,4 @@
-// What goes into a replica and what comes out of it.
+/// What goes into a replica and what comes out of it.
 #pragma once
 
 #include <cstdint>
@@ -24,24 +24,24 @@
     std::string reason;
 };
 struct Tick {};
-// Changes computed from the head's committed table in the same call of the event loop.
+/// Changes computed from the head's committed table in the same call of the event loop.
 struct ClientWrite {
     std::uint64_t token = 0;
     std::vector<Change> changes;
 };
-// Answered by ReadDone: if ok, committedTable() then holds everything acknowledged before the call.
+/// Answered by ReadDone: if ok, committedTable() then holds everything acknowledged before the call.
 struct ReadBarrier {
     std::uint64_t token = 0;
 };
-// What the driver knows of the disk beyond the answers to Persist.
+/// What the driver knows of the disk beyond the answers to Persist.
 struct DiskHealth {
     bool failing = false;
 };
-// The settings were read again.
+/// The settings were read again.
 struct SeedsChanged {
     std::vector<std::string> seeds;  // control addresses
 };
-// This process is to end. It stays a full member until a view without it holds its starting state; see Replica::hasLeft().
+/// This process is to end. It stays a full member until a view without it holds its starting state; see Replica::hasLeft().
 struct Leave {};
 using Event = std::variant<MessageReceived, Persisted, PersistFailed, Tick, ClientWrite, ReadBarrier,
                            DiskHealth, SeedsChanged, Leave>;
@@ -50,7 +50,7 @@
     std::string address;  // internal address
     Message message;
 };
-// To be carried out in order; answered by Persisted or PersistFailed, in order.
+/// To be carried out in order; answered by Persisted or PersistFailed, in order.
 struct Persist {
     std::uint64_t token = 0;
     DurableUpdate update;
@@ -67,15 +67,15 @@
     std::uint64_t token = 0;
     bool ok = false;
 };
-// The committed table moved by this batch.
+/// The committed table moved by this batch.
 struct Committed {
     Batch batch;
 };
-// The committed table moved by more than one batch; see committedTable().
+/// The committed table moved by more than one batch; see committedTable().
 struct TableReplaced {
     Position position;
 };
-// Call handle(Tick) at this time, or soon after; replaces the earlier one.
+/// Call handle(Tick) at this time, or soon after; replaces the earlier one.
 struct SetTimer {
     Millis at = 0;
 };
--- a/src/replica/messages.hpp
+++ b/src/replica/messages.hpp
@@ -1,4 +1,6 @@
-// Messages between replicas. All are one-way, may be lost, doubled, delayed and reordered.
+/// Messages between replicas. All are one-way, and may be lost, duplicated, delayed and reordered.
+///
+/// The order of the members is that of the fields on the wire (control/replica_codec.cpp): new ones go last.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +15,24 @@
 
 namespace beechpoint::replica {
 
-// Asks for the receiver's status; also tells that the sender is there.
+/// Asks for the receiver's status; shows too that the sender runs.
 struct Heartbeat {
     std::uint64_t sequence = 0;  // of the sender's rounds
     Millis sentAt = 0;           // by the sender's clock; echoed
 };
 
-// What a process says of itself. Other processes are named by their internal addresses.
+/// What a process reports of itself. Other processes are named by their internal addresses.
 struct Status {
     bool sealed = false;     // has promised for the next epoch
-    bool installed = false;  // knows that all members of the epoch hold its starting state
+    bool installed = false;  // knows that all members of the view hold its starting state
     bool diskFailing = false;
     std::uint64_t syncedEpoch = 0;
     std::uint64_t storedItems = 0;  // items of the chain (opening, batches) stored in this epoch
     Position committed;
-    std::vector<std::string> reachablePeers;  // answered lately
+    std::vector<std::string> reachablePeers;  // have answered lately
     std::vector<std::string>
-        unresponsivePeers;      // members of the view that have not answered for the suspicion time
-    std::string stalledMember;  // member at which the sender's batch hangs; empty: none
+        unresponsivePeers;      // members of the view that have not answered for kSuspectAfter
+    std::string stalledMember;  // has not stored the sender's item for too long; empty: none
     Position stored;            // of the table on disk; a learner's progress
     bool leaving = false;       // is to end: asks for a view without it, and not to be taken in
 };
@@ -42,10 +44,11 @@
     Status status;
 };
 
-// From a process that no view lists: asks to be taken in. Answered by Decided when a view is known.
+/// From a process that no view lists: asks to be taken in. Answered by Decided when a view is known.
 struct Join {};
 
-// Agreement on the view base.epoch + 1 among the members of `base` (among `founders` where base.epoch is 0).
+/// Phase 1 (Paxos Made Simple, 2.2) of the agreement on the view base.epoch + 1 among the acceptors of `base` (among `founders`
+/// where base.epoch is 0).
 struct Prepare {
     ProposalNumber proposal;
     View base;
@@ -59,18 +62,19 @@
     ProposalNumber accepted;
     std::optional<View> value;
     std::uint64_t syncedEpoch = 0;
-    Position position;         // with the pending batch
-    Position appliedPosition;  // without it
+    Position position;         // of all that is stored, the pending batch included
+    Position appliedPosition;  // without the pending batch
     bool diskFailing = false;
 };
 
-// The receiver of Prepare or Accept has promised a higher ballot, or sees no cause (then `promised` is empty).
+/// The receiver of Prepare or Accept has promised a higher proposal number, or sees no cause (then `promised` is empty).
 struct Refuse {
     ProposalNumber proposal;  // refused
     std::uint64_t target = 0;
     ProposalNumber promised;
 };
 
+/// Phase 2.
 struct Accept {
     ProposalNumber proposal;
     View base;
@@ -87,20 +91,20 @@
     View view;
 };
 
-// Down the chain, from head to tail. The opening is the first item of an epoch: whoever passes it on holds the
-// starting state on disk. Once it is acknowledged the starting state counts as committed.
+/// Down the chain, from head to tail. The opening is the first item of an epoch: whoever passes it on holds the starting state on
+/// disk. Once it is acknowledged the starting state counts as committed.
 struct Propose {
     bool opening = false;
     Position previous;  // the state that the batch follows
     Batch batch;        // opening: its position is the view's start
 };
 
-// Up the chain: everything up to `position` is committed.
+/// Up the chain: everything up to `position` is committed.
 struct Commit {
     Position position;
 };
 
-// From a member of the view: answered with the starting state. From a process outside of it: with the committed state.
+/// From a member of the view: answered with the starting state. From a process outside of it: with the committed state.
 struct SyncRequest {
     Position position;  // of the asker's table
     bool full = false;  // a delta will not do
--- a/src/replica/settings.hpp
+++ b/src/replica/settings.hpp
@@ -1,4 +1,4 @@
-// What a replica is told at its start, and the times it works with (ms).
+/// Settings of a replica, and the constants it works with. Times are in ms.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 inline constexpr Millis kHeartbeatEvery = 250;
 inline constexpr Millis kSuspectAfter = 1'000;  // a member that has not answered is left out
-inline constexpr Millis kReachableFor = 600;    // an answer proves a link for so long
+inline constexpr Millis kReachableFor = 600;    // an answer proves that a peer is reachable for so long
 inline constexpr Millis kFreshFor = 600;        // an answer of a majority lets polls be answered for so long
 inline constexpr Millis kWakeGap = 500;         // no event for so long: the process was frozen
 inline constexpr Millis kAssessEvery = 20;      // whether the view must change
@@ -25,11 +25,11 @@
 inline constexpr Millis kRetryLow = 200;           // messages are sent again after 200 to 400
 inline constexpr Millis kRetryHigh = 400;
 inline constexpr Millis kChainRetry = 250;
-// Doublings of kChainRetry, with each round of requests for the starting state.
+/// Doublings of kChainRetry, with each round of requests for the starting state.
 inline constexpr std::size_t kSyncRetryDoublings = 2;
-inline constexpr Millis kStallAfter = 1'000;  // a batch that hangs: its member is left out
+inline constexpr Millis kStallAfter = 1'000;  // a member that has not stored a batch for so long is left out
 inline constexpr Millis kOpeningStallAfter =
-    1'600;                                 // the same for the opening, which may wait for a whole table
+    1'600;                                 // the same for the opening, which may wait for a full table
 inline constexpr Millis kProbation = 500;  // a removed process must have answered for so long
 inline constexpr Millis kMaxProbation =
     2'000;  // it doubles with each removal of the process within the window
@@ -40,8 +40,8 @@
 inline constexpr Millis kMaxLearningTime = 2'000;  // then it is taken in as it is
 inline constexpr Millis kMaxRepeatedLearningTime =
     16'000;  // the same for one that was left out again and again
-inline constexpr std::size_t kMaxCatchUpBytes = 64
-                                                << 10;  // of changes that a learner lacks: it may be taken in
+inline constexpr std::size_t kMaxCatchUpBytes =
+    64 << 10;  // of changes that a learner lacks at most when it is taken in
 inline constexpr Millis kJoinEvery = 250;
 inline constexpr Millis kJoinerForgottenAfter = 2'000;
 inline constexpr Millis kWriteTimeout = 4'000;
--- a/src/replica/view.cpp
+++ b/src/replica/view.cpp
@@ -13,7 +13,7 @@
     for (const auto& [zone, size] : byZone) sizes.push_back(size);
     std::ranges::sort(sizes, std::greater<>{});
     std::size_t left = members.size();
-    for (std::size_t place = 0; place < std::min(zones, sizes.size()); ++place) left -= sizes[place];
+    for (std::size_t index = 0; index < std::min(zones, sizes.size()); ++index) left -= sizes[index];
     return left;
 }
 
--- a/src/replica/view.hpp
+++ b/src/replica/view.hpp
@@ -1,5 +1,5 @@
-// The agreed view: which processes hold the replicated table, in which order, from which state their epoch starts, and who
-// decides on the next view.
+/// The agreed view: which processes hold the replicated table, in which order, from which state their epoch starts, and who
+/// decides on the next view.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 
 inline constexpr std::size_t kMaxMembers = 9;
 
-// One process of the control role.
+/// One process of the control role.
 struct Member {
     std::string name;
     std::uint64_t incarnation = 0;  // drawn when the disk was first used; never 0 in a view
@@ -31,7 +31,7 @@
     bool operator==(const Member&) const = default;
 };
 
-// Votes are durable, so a voter is a disk: a restarted process keeps them.
+/// Votes are durable, so a voter is a disk: a restarted process keeps them.
 inline bool sameDisk(const Member& left, const Member& right) {
     return left.name == right.name && left.incarnation == right.incarnation;
 }
@@ -39,13 +39,13 @@
     return sameDisk(left, right) && left.session == right.session;
 }
 
-// Epoch 0 is the time before the first view: no members.
+/// Epoch 0 is the time before the first view: no members.
 struct View {
     std::uint64_t epoch = 0;
     std::vector<Member> members;  // head first, tail last; the head is the source of the starting state
     Position start;               // the state that every member of the epoch starts from
-    // Who decides on the next view (replica/voters.hpp); read by electorate(). Empty: the members, as in views of earlier
-    // releases.
+    /// Who decides on the next view (replica/voters.hpp); read by electorate(). Empty: the members, as in views of earlier
+    /// releases.
     std::vector<Member> voters = {};
     bool operator==(const View&) const = default;
 
@@ -53,19 +53,19 @@
         const auto found = std::ranges::find(members, name, &Member::name);
         return found == members.end() ? nullptr : &*found;
     }
-    // The entry of this disk, whichever its session.
+    /// The entry of this disk, whichever its session.
     const Member* findDisk(const Member& member) const {
         const Member* found = find(member.name);
         return found && sameDisk(*found, member) ? found : nullptr;
     }
     const std::vector<Member>& electorate() const { return voters.empty() ? members : voters; }
-    // The entry of this disk among those who decide on the next view.
+    /// The entry of this disk among those who decide on the next view.
     const Member* findVoter(const Member& member) const {
         const auto found =
             std::ranges::find_if(electorate(), [&](const Member& voter) { return sameDisk(voter, member); });
         return found == electorate().end() ? nullptr : &*found;
     }
-    // The members of the chain, and the voters that are not among them.
+    /// The members of the chain, and the voters that are not among them.
     std::vector<Member> membersAndVoters() const {
         std::vector<Member> listed = members;
         for (const Member& voter : electorate())
@@ -77,7 +77,7 @@
             if (sameProcess(members[index], member)) return index;
         return std::nullopt;
     }
-    // Of the voters.
+    /// Of the voters.
     std::size_t majority() const { return electorate().size() / 2 + 1; }
     std::size_t zones() const {
         std::set<std::string_view> names;
@@ -86,22 +86,22 @@
     }
 };
 
-// What may be lost at once: acknowledgements need one more of each.
+/// What may be lost at once: acknowledgements need one more of each.
 struct Tolerance {
     std::size_t machines = 1;
     std::size_t zones = 1;
     bool covers(const View& view) const { return view.members.size() > machines && view.zones() > zones; }
 };
 
-// How many of these members are left when the largest zones that may be lost have gone.
+/// How many of these members are left when the `zones` largest zones are lost.
 std::size_t remainingAfterZoneLoss(const std::vector<Member>& members, std::size_t zones);
 
-// Whether all the uncounted among these members may go with a majority left: the counted are one, and stay one after each loss
-// that they would bear among themselves. Where they are too few to acknowledge anything alone, nothing better can be had than
-// to count all.
+/// Whether all the uncounted among these members may go with a majority left: the counted are one, and stay one after each loss
+/// that they would bear among themselves. Where they are too few to acknowledge anything alone, nothing better can be had than
+/// to count all.
 bool majoritySurvivesWithoutUncounted(const std::vector<Member>& members, const Tolerance& tolerance);
 
-// Number of a proposal; unique, as a session never uses a round twice.
+/// Number of a proposal (Paxos Made Simple, 2.2); unique, as a session never uses a round twice.
 struct ProposalNumber {
     std::uint64_t round = 0;  // 0: none
     std::string member;
@@ -109,7 +109,7 @@
     auto operator<=>(const ProposalNumber&) const = default;
 };
 
-// What a member has promised and accepted in the agreement on the view `epoch`.
+/// What a member has promised and accepted in the agreement on the view `epoch`.
 struct Vote {
     std::uint64_t epoch = 0;
     ProposalNumber promised;
--- a/src/replica/view_planner.cpp
+++ b/src/replica/view_planner.cpp
@@ -169,8 +169,8 @@
     }
 }
 
-// Leaves out as many of the leaving as can be spared, the later in order first, with a joiner in the place of each where one
-// waits.
+// Leaves out as many of the leaving as can be spared, the later in order first, with a joiner instead of each where one is
+// ready.
 void ViewPlanner::assessLeavers(Millis now, Assessment& assessment) const {
     if (!chain_.installed()) return;
     for (const Member& member : membership_.view.members | std::views::reverse) {
--- a/tests/replica/explore_test.cpp
+++ b/tests/replica/explore_test.cpp
@@ -41,7 +41,7 @@
 
 class Exploration : public testing::TestWithParam<std::size_t> {};
 
-TEST_P(Exploration, NeverWrongWhateverDeviates) {
+TEST_P(Exploration, KeepsInvariantsUnderEveryDeviation) {
     const Scenario& scenario = scenarios()[GetParam()];
     Explorer explorer(stridesOfThisRun(), std::numeric_limits<std::size_t>::max());
     explorer.explore(scenario);
--- a/tests/replica/explore_world.hpp
+++ b/tests/replica/explore_world.hpp
@@ -1,4 +1,4 @@
-// A small deterministic world of three replicas for exploration: fixed delays, no luck. Each message that is sent and each
+// A small deterministic world of three replicas for exploration: fixed delays, no random draws. Each message that is sent and each
 // update that is given to a disk is a numbered point of the run; a plan says at which points what deviates.
 #pragma once
 
@@ -20,19 +20,20 @@
 namespace beechpoint::replica::exploration {
 
 inline constexpr std::size_t kFounders = 3;
-inline constexpr std::size_t kNodes = 4;  // the last one is a spare, which a scenario may start
+inline constexpr Millis kFreshLag = 1'300;  // a fresh member shows all that was acknowledged so long ago
+inline constexpr std::size_t kNodes = 4;    // the last one is a spare, which a scenario may start
 
 enum class Deviation {
     // of a message
     lost,
-    lostForAWhile,  // with all of its step between the two
-    repeated,       // comes a second time, much later
+    lostForSomeTime,  // with all of its step between the two
+    repeated,         // comes a second time, much later
     late,
-    senderCutOff,  // both ways, for a while
+    senderIsolated,  // both ways, for a while
     senderFrozen,
     // of an update of a disk
     powerBefore,  // the machine loses its power; the update is not there
-    powerAfter,   // the update is there; nobody was told
+    powerAfter,   // the update is there; it was not reported
     allPowerBefore,
     allPowerAfter,
     wiped,  // the machine comes back with an empty disk
@@ -54,11 +55,13 @@
     opening,
     batch,
     commit,
-    handOver,
+    stateTransfer,
     otherRecord
 };
 inline constexpr std::size_t kSteps = 10;
 const char* nameOf(Step step);
+Step stepOf(const Body& body);
+Step stepOf(const DurableUpdate& update);
 
 struct Point {
     Step step;
@@ -98,16 +101,16 @@
     void losePower(std::size_t node);
     void wipe(std::size_t node);  // loses its power and its disk
     void start(std::size_t node);
-    void cut(std::size_t from, std::size_t to, Millis span);
-    void cutOff(std::size_t node, Millis span);
+    void partition(std::size_t from, std::size_t to, Millis span);
+    void isolate(std::size_t node, Millis span);
     void freeze(std::size_t node, Millis span);
     // Leaves by agreement, and ends once it has left.
     void leave(std::size_t node);
     // Messages of handing over are lost for so long.
-    void loseHandOver(Millis span) { handOverLostUntil_ = now_ + span; }
+    void loseStateTransfer(Millis span) { stateTransferLostUntil_ = now_ + span; }
     // The tail misses a view; the member between loses its disk, the head its power, and the cut heals: the disk of the tail is back.
-    void loseDiskBehindCut();
-    // The node at this place of the newest view.
+    void loseDiskDuringPartition();
+    // The node at this position of the newest view.
     std::size_t head() const;
     std::size_t tail() const;
     std::size_t between() const { return kFounders - head() - tail(); }  // of a view of the founders
@@ -121,7 +124,7 @@
     struct Node {
         Member member;
         std::unique_ptr<Replica> replica;
-        std::uint64_t life = 0;
+        std::uint64_t session = 0;
         bool leaving = false;
         bool gone = false;  // for good
         Millis frozenUntil = 0;
@@ -133,7 +136,7 @@
         std::uint64_t diskOrder = 0;
         Millis diskStalledUntil = 0;
         Millis timer = 0;
-        Position shown;
+        Position lastShown;
         std::uint64_t hash = 0;
     };
     struct Due {
@@ -164,7 +167,7 @@
     void transmit(std::size_t from, std::size_t to, const Message& message, Millis delay);
     void startPersist(std::size_t node);
     void finishPersist(std::size_t node);
-    bool strikeDisk(std::size_t node, const QueuedPersist& persist);
+    bool injectDiskFault(std::size_t node, const QueuedPersist& persist);
     void losePowerAndReturn(std::size_t node);
     void thaw(std::size_t node);
     void client();
@@ -177,7 +180,7 @@
     void know(std::size_t node, Position position, const Table& table);
     void fail(const std::string& text);
     bool failed() const { return !outcome_.failure.empty(); }
-    bool whole() const;
+    bool isComplete() const;
     void endIfLeft(std::size_t node);
     void checkCopies(const View& view);
     void remember(std::size_t node);
@@ -190,9 +193,9 @@
     std::uint64_t order_ = 0;
     std::vector<Due> due_;  // a heap, earliest first
     std::deque<Node> nodes_;
-    std::map<std::pair<std::size_t, std::size_t>, Millis> cutUntil_;
+    std::map<std::pair<std::size_t, std::size_t>, Millis> partitionedUntil_;
     std::map<std::tuple<std::size_t, std::size_t, Step>, Millis> lostUntil_;
-    Millis handOverLostUntil_ = 0;
+    Millis stateTransferLostUntil_ = 0;
     std::uint64_t inFlight_ = 0;  // sum of the hashes of the messages on their way
     Millis begunAt_ = std::numeric_limits<Millis>::infinity();  // the scenario
     bool clientRuns_ = true;
--- a/tests/replica/explorer.hpp
+++ b/tests/replica/explorer.hpp
@@ -35,7 +35,7 @@
     std::size_t runs = 0;
     std::size_t acknowledged = 0;
     std::size_t reads = 0;
-    std::size_t unfinished = 0;  // runs that did not end whole
+    std::size_t unfinished = 0;  // runs that did not end complete
     std::unordered_set<std::uint64_t> states;
     std::array<std::size_t, kDeviations> byDeviation{};
     std::array<std::size_t, kSteps> byStep{};
--- a/tests/replica/flapping_test.cpp
+++ b/tests/replica/flapping_test.cpp
@@ -7,40 +7,40 @@
 namespace beechpoint::replica::simulation {
 namespace {
 
-constexpr Millis kAway = 1'300;  // long enough to be left out
-constexpr Millis kBack = 1'100;  // long enough to be taken in again after the first pause
+constexpr Millis kOutage = 1'300;  // long enough to be left out
+constexpr Millis kBack = 1'100;    // long enough to be taken in again after the first pause
 constexpr int kRounds = 8;
-constexpr std::uint64_t kViewsMost = 6;  // of three times in and out
+constexpr std::uint64_t kMaxViews = 6;  // of three times in and out
 constexpr Millis kCatchUp = 4'000;
 
-void cutOff(Cluster& cluster, std::size_t node, bool cut) {
+void isolate(Cluster& cluster, std::size_t node, bool cut) {
     for (std::size_t peer = 0; peer < cluster.nodes(); ++peer) {
-        cluster.cut(node, peer, cut && peer != node);
-        cluster.cut(peer, node, cut && peer != node);
+        cluster.partition(node, peer, cut && peer != node);
+        cluster.partition(peer, node, cut && peer != node);
     }
 }
 
 class FlappingTest : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(FlappingTest, OneThatComesAndGoesIsTakenInMoreAndMoreSeldom) {
+TEST_P(FlappingTest, FlappingMemberIsTakenInLessAndLessOften) {
     ClusterOptions options;
     options.seed = GetParam();
     Cluster cluster(options);
     cluster.startClient();
-    ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.whole(); })) << cluster.describe();
+    ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.isComplete(); })) << cluster.describe();
     const std::size_t node = GetParam() % 3;
     const std::size_t other = (node + 1) % 3;
     const std::uint64_t before = cluster.replica(other).view().epoch;
     for (int round = 0; round < kRounds; ++round) {
-        cutOff(cluster, node, true);
-        cluster.runFor(kAway);
-        cutOff(cluster, node, false);
+        isolate(cluster, node, true);
+        cluster.runFor(kOutage);
+        isolate(cluster, node, false);
         cluster.runFor(kBack);
     }
     const std::uint64_t views = cluster.replica(other).view().epoch - before;
     EXPECT_GE(views, 2u);
-    EXPECT_LE(views, kViewsMost) << "too many views for a member that comes and goes";
-    EXPECT_TRUE(cluster.runUntil(kMaxProbation + 1'000, [&] { return cluster.whole(); }))
+    EXPECT_LE(views, kMaxViews) << "too many views for a member that comes and goes";
+    EXPECT_TRUE(cluster.runUntil(kMaxProbation + 1'000, [&] { return cluster.isComplete(); }))
         << cluster.describe();
     EXPECT_LT(kMaxProbation + 1'000, kCatchUp);
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
--- a/tests/replica/learner_test.cpp
+++ b/tests/replica/learner_test.cpp
@@ -10,21 +10,21 @@
 namespace {
 
 constexpr Millis kCatchUp = 4'000;
-constexpr Millis kCopy = 700;       // that a whole table takes
-constexpr Millis kPauseMost = 450;  // between two acknowledgements, view changes and all
+constexpr Millis kCopy = 700;      // that a whole table takes
+constexpr Millis kMaxPause = 450;  // between two acknowledgements, view changes and all
 
 class LearnerTest : public ::testing::TestWithParam<std::uint64_t> {
 protected:
-    Cluster make(Millis wholeCopy) const {
+    Cluster make(Millis fullTableDelay) const {
         ClusterOptions options;
         options.seed = GetParam();
-        options.wholeCopy = wholeCopy;
+        options.fullTableDelay = fullTableDelay;
         return Cluster(options);
     }
     // Founded, and with more batches behind it than the history keeps.
     static void age(Cluster& cluster) {
         cluster.startClient();
-        ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.whole(); })) << cluster.describe();
+        ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.isComplete(); })) << cluster.describe();
         const std::uint64_t enough = cluster.acknowledged() + kHistoryBatches + 20;
         ASSERT_TRUE(cluster.runUntil(60'000, [&] { return cluster.acknowledged() >= enough; }));
     }
@@ -43,7 +43,7 @@
     }
 };
 
-TEST_P(LearnerTest, WritesDoNotWaitForTheCopyOfAnEmptyMachine) {
+TEST_P(LearnerTest, WritesDoNotWaitForTransferToEmptyMachine) {
     Cluster cluster = make(kCopy);
     age(cluster);
     const std::size_t node = GetParam() % 3;
@@ -52,15 +52,15 @@
     cluster.runFor(2'000);
     cluster.start(node);
     const Millis began = cluster.now();
-    const Millis pause = longestPause(cluster, kCatchUp, [&] { return cluster.whole(); });
-    EXPECT_TRUE(cluster.whole()) << cluster.describe();
+    const Millis pause = longestPause(cluster, kCatchUp, [&] { return cluster.isComplete(); });
+    EXPECT_TRUE(cluster.isComplete()) << cluster.describe();
     EXPECT_LT(cluster.now() - began, kMaxLearningTime + 500);
-    EXPECT_LT(pause, kPauseMost) << "writes waited for the copy of an empty machine";
+    EXPECT_LT(pause, kMaxPause) << "writes waited for the copy of an empty machine";
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
 
 // The copy takes longer than a learner may wait: it is taken in as it is, well inside the time that a loss counts for.
-TEST_P(LearnerTest, AMachineWhoseCopyIsSlowIsTakenInAllTheSame) {
+TEST_P(LearnerTest, JoinsWithSlowTransferAfterMaximumTime) {
     Cluster cluster = make(kMaxLearningTime + 1'000);
     age(cluster);
     const std::size_t node = GetParam() % 3;
--- a/tests/replica/leaving_test.cpp
+++ b/tests/replica/leaving_test.cpp
@@ -1,4 +1,4 @@
-// Leaving by agreement, in virtual time: a process that is told to end stays a full member until a view without it is settled.
+// Leaving by agreement, in virtual time: a process that is told to end stays a full member until a view without it is installed.
 #include <gtest/gtest.h>
 
 #include "simulated_cluster.hpp"
@@ -22,7 +22,7 @@
     }
     static void found(Cluster& cluster) {
         cluster.startClient();
-        ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.whole(); })) << cluster.describe();
+        ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.isComplete(); })) << cluster.describe();
         cluster.runFor(500);
     }
     static bool recovers(Cluster& cluster) {
@@ -54,12 +54,12 @@
     EXPECT_EQ(cluster.leftByAgreement(), 1u);
     EXPECT_TRUE(recovers(cluster));
     cluster.start(node);
-    EXPECT_TRUE(cluster.runUntil(kRecoverWithin, [&] { return cluster.whole(); })) << cluster.describe();
+    EXPECT_TRUE(cluster.runUntil(kRecoverWithin, [&] { return cluster.isComplete(); })) << cluster.describe();
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
 
 // The new one comes first, then the old one is told to end; right when it has ended a second machine loses its disk.
-TEST_P(LeavingTest, AWipeRightAfterAPlannedReplacementLeavesAMajority) {
+TEST_P(LeavingTest, WipeRightAfterPlannedReplacementLeavesMajority) {
     Cluster cluster = make(3);
     found(cluster);
     const std::size_t old = GetParam() % 3;
@@ -82,7 +82,7 @@
 }
 
 // Two members that must both hold everything: the one that ends is exchanged for one that waits, whose disk is slow.
-TEST_P(LeavingTest, TheOnlyOtherCopyWaitsUntilItsSuccessorHoldsTheState) {
+TEST_P(LeavingTest, OnlyOtherCopyWaitsUntilReplacementHoldsState) {
     Cluster cluster = make(2);
     found(cluster);
     const std::size_t added = cluster.addReplacement(1, false);
@@ -100,7 +100,7 @@
 }
 
 // Nobody can take its place: it serves to the end of its time.
-TEST_P(LeavingTest, AMemberThatCanNotBeSparedStaysToTheBound) {
+TEST_P(LeavingTest, MemberThatCannotBeSparedServesUntilTimeout) {
     Cluster cluster = make(2);
     found(cluster);
     const Millis began = cluster.now();
@@ -113,7 +113,7 @@
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
 
-TEST_P(LeavingTest, MembersAreRolledOneAfterAnother) {
+TEST_P(LeavingTest, RollingRestartKeepsServing) {
     for (const std::size_t nodes : {3, 5}) {
         Cluster cluster = make(nodes, {nodes / 2, 1});
         found(cluster);
@@ -124,7 +124,7 @@
             cluster.runFor(cluster.draw(100, 800));
             cluster.start(node);
             EXPECT_TRUE(recovers(cluster)) << cluster.describe();
-            ASSERT_TRUE(cluster.runUntil(kRecoverWithin, [&] { return cluster.whole(); }))
+            ASSERT_TRUE(cluster.runUntil(kRecoverWithin, [&] { return cluster.isComplete(); }))
                 << cluster.describe();
         }
         EXPECT_EQ(cluster.leftByAgreement(), nodes);
@@ -132,7 +132,7 @@
     }
 }
 
-TEST_P(LeavingTest, AllAtOnceEndInsideTheBoundWithoutALoopOfViews) {
+TEST_P(LeavingTest, AllLeavingAtOnceEndInTimeWithoutRepeatedViews) {
     for (const std::size_t nodes : {3, 5}) {
         Cluster cluster = make(nodes, {nodes / 2, 1});
         found(cluster);
@@ -148,14 +148,14 @@
             newest = std::max(newest, cluster.disk(node).control.view.epoch);
         EXPECT_LE(newest, epoch + nodes);
         for (std::size_t node = 0; node < nodes; ++node) cluster.start(node);
-        EXPECT_TRUE(cluster.runUntil(kCatchUp, [&] { return cluster.whole(); })) << cluster.describe();
+        EXPECT_TRUE(cluster.runUntil(kCatchUp, [&] { return cluster.isComplete(); })) << cluster.describe();
         EXPECT_TRUE(recovers(cluster));
         EXPECT_FALSE(cluster.failed()) << cluster.failure();
     }
 }
 
 // Ended and started again at once: the new session simply joins.
-TEST_P(LeavingTest, ALeavingHeadThatIsRestartedJoinsAgain) {
+TEST_P(LeavingTest, RestartedLeavingHeadJoinsAgain) {
     Cluster cluster = make(3);
     found(cluster);
     const std::size_t node = headOf(cluster);
@@ -164,7 +164,7 @@
     cluster.kill(node);
     cluster.runFor(cluster.draw(10, 300));
     cluster.start(node);
-    EXPECT_TRUE(cluster.runUntil(kRecoverWithin, [&] { return cluster.whole(); })) << cluster.describe();
+    EXPECT_TRUE(cluster.runUntil(kRecoverWithin, [&] { return cluster.isComplete(); })) << cluster.describe();
     EXPECT_TRUE(recovers(cluster));
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
--- a/tests/replica/restarts_test.cpp
+++ b/tests/replica/restarts_test.cpp
@@ -12,8 +12,8 @@
 
 constexpr Millis kCatchUp = 4'000;
 constexpr Millis kRecoverWithin = 3'000;
-constexpr Millis kWholeCopy = 400;   // of the large table
-constexpr Millis kSlowCopy = 2'600;  // longer than a learner may take
+constexpr Millis kFullTableDelay = 400;  // of the large table
+constexpr Millis kSlowCopy = 2'600;      // longer than a learner may take
 constexpr Millis kWriteEvery = 20;
 constexpr int kRounds = 8;
 constexpr std::uint64_t kChanges = 500;  // in each run, at least
@@ -33,23 +33,23 @@
 
 class RestartsTest : public ::testing::TestWithParam<std::uint64_t> {
 protected:
-    Cluster make(Millis wholeCopy = kWholeCopy) const {
+    Cluster make(Millis fullTableDelay = kFullTableDelay) const {
         ClusterOptions options;
         options.seed = GetParam();
         options.nodes = GetParam() % 3 == 0 ? 5 : 3;
-        options.wholeCopy = wholeCopy;
+        options.fullTableDelay = fullTableDelay;
         options.writeEvery = kWriteEvery;
         return Cluster(options);
     }
     static void found(Cluster& cluster) {
         cluster.startClient();
-        ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.whole(); })) << cluster.describe();
+        ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.isComplete(); })) << cluster.describe();
     }
     static bool recovers(Cluster& cluster) {
         const std::uint64_t before = cluster.acknowledged();
         return cluster.runUntil(kRecoverWithin, [&] { return cluster.acknowledged() > before; });
     }
-    // Starts it; the time until it vouches for all that was acknowledged before.
+    // Starts it; the time until it is fresh and holds all that was acknowledged before.
     static Millis catchUp(Cluster& cluster, std::size_t node) {
         const Millis began = cluster.now();
         const Position wanted = cluster.lastAcknowledged();
@@ -63,7 +63,7 @@
     }
 };
 
-TEST_P(RestartsTest, AMemberCatchesUpFromEveryDistanceWhileWritesGoOn) {
+TEST_P(RestartsTest, MemberCatchesUpFromEveryDistanceDuringWrites) {
     Cluster cluster = make();
     found(cluster);
     Millis slowest = 0;
@@ -75,7 +75,7 @@
         fallBehind(cluster, distance);
         slowest = std::max(slowest, catchUp(cluster, node));
         EXPECT_TRUE(recovers(cluster)) << cluster.describe();
-        cluster.runUntil(kCatchUp, [&] { return cluster.whole(); });
+        cluster.runUntil(kCatchUp, [&] { return cluster.isComplete(); });
     }
     EXPECT_GT(cluster.acknowledged(), kChanges);
     EXPECT_FALSE(cluster.failed()) << cluster.failure() << "\n" << cluster.describe();
@@ -85,7 +85,7 @@
 }
 
 // One was away for long; then all others lose their power, and it starts first. It must not lead with what it has.
-TEST_P(RestartsTest, AMemberWithOldStateDoesNotLead) {
+TEST_P(RestartsTest, MemberWithOldStateIsNotSource) {
     Cluster cluster = make();
     found(cluster);
     for (int round = 0; round < kRounds && !cluster.failed(); ++round) {
@@ -98,7 +98,7 @@
             cluster.at(cluster.now() + cluster.draw(0, 900), [&cluster, node] { cluster.start(node); });
         cluster.runFor(900);
         EXPECT_TRUE(recovers(cluster)) << cluster.describe();
-        EXPECT_TRUE(cluster.runUntil(kCatchUp, [&] { return cluster.whole(); })) << cluster.describe();
+        EXPECT_TRUE(cluster.runUntil(kCatchUp, [&] { return cluster.isComplete(); })) << cluster.describe();
     }
     cluster.runFor(500);
     cluster.stopClient();
@@ -110,7 +110,7 @@
 }
 
 // It stands in the view and lacks the state, as its copy is slow, when another member goes and comes back.
-TEST_P(RestartsTest, AMemberThatIsStillBeingBroughtUpDoesNotLead) {
+TEST_P(RestartsTest, MemberNotYetSyncedIsNotSource) {
     Cluster cluster = make(kSlowCopy);
     found(cluster);
     for (int round = 0; round < 2 && !cluster.failed(); ++round) {
@@ -126,7 +126,8 @@
         cluster.start(other);
         EXPECT_TRUE(recovers(cluster)) << "no write beside a member whose copy is slow\n"
                                        << cluster.describe();
-        EXPECT_TRUE(cluster.runUntil(3 * kCatchUp, [&] { return cluster.whole(); })) << cluster.describe();
+        EXPECT_TRUE(cluster.runUntil(3 * kCatchUp, [&] { return cluster.isComplete(); }))
+            << cluster.describe();
     }
     EXPECT_FALSE(cluster.failed()) << cluster.failure() << "\n" << cluster.describe();
 }
--- a/tests/replica/simulated_cluster.hpp
+++ b/tests/replica/simulated_cluster.hpp
@@ -26,11 +26,11 @@
     Millis startSpread = 300;         // processes start within so long of each other
     std::set<std::size_t> uncounted;  // nodes whose loss is not one of those tolerated
     Millis writeEvery = 60;           // of the client, on average
-    Millis wholeCopy = 0;             // that a message with a whole table takes longer than others
+    Millis fullTableDelay = 0;        // that a message with a full table takes longer than others
 };
 
 // What of the network is harmed at present.
-struct NetworkTrouble {
+struct NetworkFaults {
     double loss = 0;
     double duplicate = 0;
     Millis extraDelay = 0;  // at most, drawn for each message
@@ -38,7 +38,7 @@
 };
 
 // What of all disks is harmed at present.
-struct DiskTrouble {
+struct DiskFaults {
     Millis slowest = 4;        // a forced write takes 1 ms to this
     double failure = 0;        // share of the writes that fail
     double failedThere = 0.1;  // share of the failed writes that took effect all the same
@@ -83,10 +83,10 @@
     void thaw(std::size_t node);
     void stallDisk(std::size_t node, Millis until);
     void failDisk(std::size_t node, bool failing);
-    void cut(std::size_t from, std::size_t to, bool cut);
-    void joinAll();  // no cuts
-    NetworkTrouble& network() { return network_; }
-    DiskTrouble& disks() { return disks_; }
+    void partition(std::size_t from, std::size_t to, bool cut);
+    void healPartitions();  // no cuts
+    NetworkFaults& network() { return network_; }
+    DiskFaults& disks() { return disks_; }
     // Called for each message as it is sent.
     void onSend(std::function<void(std::size_t from, const Body& body)> action) {
         onSend_ = std::move(action);
@@ -112,8 +112,8 @@
     void onNextView(std::function<void()> action) { afterView_ = std::move(action); }
     std::uint64_t acknowledged() const { return counters_.writesAcknowledged; }
     Position lastAcknowledged() const { return acknowledged_; }
-    // Every process that is not gone runs, is listed in the same view and vouches for it.
-    bool whole() const;
+    // Every process that is not gone runs, is listed in a view of all nodes and is fresh.
+    bool isComplete() const;
 
     Counters& counters() { return counters_; }
     void countFault();
@@ -137,10 +137,10 @@
         Member member;
         std::vector<std::string> seeds;
         std::unique_ptr<Replica> replica;
-        std::uint64_t life = 0;  // of the process: events of an earlier one are void
+        std::uint64_t session = 0;  // of the process: events of an earlier one are void
         bool frozen = false;
         bool gone = false;          // for good
-        bool leaving = false;       // was told to, and runs still
+        bool leaving = false;       // was asked to leave, and runs still
         std::deque<Event> waiting;  // while frozen
         DurableState written;       // what the operating system has
         DurableState synced;        // what a loss of power leaves
@@ -150,7 +150,7 @@
         Millis diskStalledUntil = 0;
         bool diskFails = false;
         Millis timer = 0;
-        Position shown;  // committed position last seen in this life
+        Position lastShown;  // committed position last seen in this session
     };
     struct Step {
         Millis time;
@@ -162,16 +162,16 @@
     };
     struct OpenWrite {
         std::size_t node;
-        std::uint64_t life;
+        std::uint64_t session;
         std::string key;
         std::string value;
     };
     struct OpenRead {
         std::size_t node;
-        std::uint64_t life;
+        std::uint64_t session;
         Position floor;  // acknowledged when it began
     };
-    struct Canon {
+    struct CommittedState {
         Position position;
         Table table;
     };
@@ -179,7 +179,7 @@
     void deliver(std::size_t node, Event event);
     void carryOut(std::size_t node, const std::vector<Action>& actions);
     void send(std::size_t from, const Send& send);
-    Millis copyTime(const Message& message) const;
+    Millis transferTime(const Message& message) const;
     void armTimer(std::size_t node, Millis at);
     void startPersist(std::size_t node);
     void finishPersist(std::size_t node);
@@ -195,7 +195,7 @@
     void onCommitted(std::size_t node, const Batch& batch);
     std::string address(std::size_t node) const { return nodes_[node].member.internalAddress; }
     std::vector<std::string> currentSeeds() const;
-    void note(const std::string& text);
+    void record(const std::string& text);
 
     ClusterOptions options_;
     SplitMix random_;
@@ -204,9 +204,9 @@
     std::vector<Step> steps_;  // a heap, earliest first
     std::deque<Node> nodes_;
     std::map<std::string, std::size_t> byAddress_;
-    std::set<std::pair<std::size_t, std::size_t>> cuts_;
-    NetworkTrouble network_;
-    DiskTrouble disks_;
+    std::set<std::pair<std::size_t, std::size_t>> partitions_;
+    NetworkFaults network_;
+    DiskFaults disks_;
     std::function<void(std::size_t, const Body&)> onSend_;
 
     bool clientRuns_ = false;
@@ -221,7 +221,7 @@
     std::uint64_t leftByAgreement_ = 0;
     Position acknowledged_;
     std::deque<std::pair<Millis, Position>> acknowledgements_;
-    std::map<std::uint64_t, Canon> canon_;  // by sequence: the one history
+    std::map<std::uint64_t, CommittedState> history_;  // by sequence: the one history
 
     Counters counters_;
     std::string failure_;
--- a/tests/replica/simulation_test.cpp
+++ b/tests/replica/simulation_test.cpp
@@ -1,4 +1,4 @@
-// The promises of the control state under faults drawn from a seed.
+// The invariants of the control state under faults drawn from a seed.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -49,7 +49,7 @@
     const Millis began = cluster.now();
     if (!recovers(cluster) && !cluster.failed()) cluster.fail("no write within 3 s of the end of the faults");
     const Millis left = began + kReturnWithin - cluster.now();
-    const bool whole = cluster.runUntil(left, [&] { return cluster.whole(); });
+    const bool whole = cluster.runUntil(left, [&] { return cluster.isComplete(); });
     if (!whole && !cluster.failed()) cluster.fail("not all were taken in again within 3 s");
     cluster.counters().slowestReturn = cluster.now() - began;
     cluster.runFor(1'000);
@@ -95,7 +95,7 @@
 }
 
 // Runs the fault now, right after an acknowledgement, or while a write is under way; waits for it.
-void strike(Cluster& cluster, const std::function<void()>& fault) {
+void injectFault(Cluster& cluster, const std::function<void()>& fault) {
     // Scheduled steps may run after this function: they hold what they need, and do nothing once it has given up.
     const auto done = std::make_shared<bool>(false);
     const auto counted = [&cluster, fault, done] {
@@ -131,46 +131,46 @@
     const double kind = cluster.random()();
     const Millis span = cluster.draw(100, 3'500);
     if (kind < 0.15) {
-        strike(cluster, [&] { cluster.kill(node); });
+        injectFault(cluster, [&] { cluster.kill(node); });
         cluster.runFor(cluster.draw(50, 1'500));
         cluster.start(node);
     } else if (kind < 0.25) {
-        strike(cluster, [&] { cluster.losePower(node); });
+        injectFault(cluster, [&] { cluster.losePower(node); });
         cluster.runFor(span);
         cluster.start(node);
     } else if (kind < 0.4) {
-        strike(cluster, [&] {
+        injectFault(cluster, [&] {
             cluster.losePower(node);
             cluster.wipe(node);
         });
         cluster.runFor(cluster.draw(50, 2'000));
         cluster.start(node);
     } else if (kind < 0.5) {
-        strike(cluster, [&] { cluster.freeze(node); });
+        injectFault(cluster, [&] { cluster.freeze(node); });
         cluster.runFor(span);
         cluster.thaw(node);
     } else if (kind < 0.6) {
-        strike(cluster, [&] { cluster.stallDisk(node, cluster.now() + span); });
+        injectFault(cluster, [&] { cluster.stallDisk(node, cluster.now() + span); });
         cluster.runFor(span);
     } else if (kind < 0.7) {
-        strike(cluster, [&] { cluster.failDisk(node, true); });
+        injectFault(cluster, [&] { cluster.failDisk(node, true); });
         cluster.runFor(span);
         cluster.failDisk(node, false);
     } else if (kind < 0.8) {
-        strike(cluster, [&] { cluster.cut(node, other, true); });
+        injectFault(cluster, [&] { cluster.partition(node, other, true); });
         cluster.runFor(span);
-        cluster.joinAll();
+        cluster.healPartitions();
     } else if (kind < 0.9) {
-        strike(cluster, [&] {
+        injectFault(cluster, [&] {
             for (std::size_t peer = 0; peer < cluster.nodes(); ++peer) {
-                cluster.cut(node, peer, peer != node);
-                if (cluster.random()() < 0.7) cluster.cut(peer, node, peer != node);
+                cluster.partition(node, peer, peer != node);
+                if (cluster.random()() < 0.7) cluster.partition(peer, node, peer != node);
             }
         });
         cluster.runFor(span);
-        cluster.joinAll();
+        cluster.healPartitions();
     } else {
-        strike(cluster, [&] {
+        injectFault(cluster, [&] {
             cluster.losePower(node);
             cluster.setGone(node);
         });
@@ -190,11 +190,11 @@
     });
 }
 
-TEST(Simulation, WritesGoOnWhileOneMachineIsLost) {
+TEST(Simulation, ServesWritesWhileOneMachineIsLost) {
     play("one machine lost", [](Cluster& cluster) {
         const std::size_t node = anyNode(cluster);
         const double kind = cluster.random()();
-        strike(cluster, [&] {
+        injectFault(cluster, [&] {
             if (kind < 0.4)
                 cluster.losePower(node);
             else if (kind < 0.6)
@@ -203,7 +203,7 @@
                 cluster.stallDisk(node, cluster.now() + 60'000);
             else
                 for (std::size_t peer = 0; peer < cluster.nodes(); ++peer)
-                    cluster.cut(node, peer, peer != node);
+                    cluster.partition(node, peer, peer != node);
         });
         if (!recovers(cluster) && !cluster.failed()) cluster.fail("no write within 3 s of a loss");
         cluster.runFor(cluster.draw(0, 3'000));
@@ -216,7 +216,7 @@
         const bool power = cluster.random()() < 0.6;
         const bool wiped = cluster.random()() < 0.5;
         const std::size_t victim = anyNode(cluster);
-        strike(cluster, [&] {
+        injectFault(cluster, [&] {
             for (std::size_t node = 0; node < cluster.nodes(); ++node)
                 power || (wiped && node == victim) ? cluster.losePower(node) : cluster.kill(node);
             if (wiped) cluster.wipe(victim);
@@ -232,8 +232,8 @@
     play("faults during repair", [](Cluster& cluster) {
         for (int round = 0; round < 3 && !cluster.failed(); ++round) {
             const std::size_t first = anyNode(cluster);
-            strike(cluster, [&] {
-                const bool whole = cluster.whole();
+            injectFault(cluster, [&] {
+                const bool whole = cluster.isComplete();
                 cluster.losePower(first);
                 if (whole && cluster.random()() < 0.6) cluster.wipe(first);
             });
@@ -263,7 +263,7 @@
             }
             cluster.heal();
             if (!recovers(cluster) && !cluster.failed()) cluster.fail("no write within 3 s of the repair");
-            cluster.runUntil(3'000, [&] { return cluster.whole(); });
+            cluster.runUntil(3'000, [&] { return cluster.isComplete(); });
         }
     });
 }
@@ -289,7 +289,7 @@
     return added;
 }
 
-TEST(Simulation, ASecondLossRightAfterAReplacement) {
+TEST(Simulation, SecondLossRightAfterReplacement) {
     play("a second loss right after a replacement", [](Cluster& cluster) {
         for (int round = 0; round < 3 && !cluster.failed(); ++round) {
             replaceMachine(cluster, anyNode(cluster), cluster.random()() < 0.5);
@@ -299,17 +299,18 @@
             if (kind < 0.8) cluster.losePower(second);
             if (kind < 0.5) cluster.wipe(second);
             for (std::size_t peer = 0; peer < cluster.nodes(); ++peer)
-                if (kind >= 0.8) cluster.cut(second, peer, peer != second);
+                if (kind >= 0.8) cluster.partition(second, peer, peer != second);
             if (!recovers(cluster) && !cluster.failed())
                 cluster.fail("no write within 3 s of the second loss");
             cluster.runFor(cluster.draw(0, 1'000));
-            cluster.joinAll();
+            cluster.healPartitions();
             cluster.start(second);
             cluster.runFor(kCatchUp);
-            if (!cluster.whole() && !cluster.failed()) cluster.fail("not whole when the second loss is over");
+            if (!cluster.isComplete() && !cluster.failed())
+                cluster.fail("not whole when the second loss is over");
         }
         // The last one is struck while a write is under way, as in the other mixes.
-        strike(cluster, [&] { cluster.losePower(anyNode(cluster)); });
+        injectFault(cluster, [&] { cluster.losePower(anyNode(cluster)); });
         cluster.heal();
     });
 }
@@ -318,7 +319,7 @@
     const std::size_t node = anyNode(cluster);
     const std::size_t other = anyNode(cluster);
     const double kind = cluster.random()();
-    if (cluster.whole() && cluster.random()() < 0.3) {
+    if (cluster.isComplete() && cluster.random()() < 0.3) {
         cluster.losePower(node);
         cluster.wipe(node);
     } else if (kind < 0.1) {
@@ -332,9 +333,9 @@
     } else if (kind < 0.34) {
         cluster.failDisk(node, true);
     } else if (kind < 0.4) {
-        cluster.cut(node, other, true);
+        cluster.partition(node, other, true);
     } else if (kind < 0.45) {
-        cluster.joinAll();
+        cluster.healPartitions();
     } else if (kind < 0.55) {
         cluster.failDisk(node, false);
         cluster.thaw(node);
@@ -343,7 +344,7 @@
     }
 }
 
-TEST(Simulation, ManyFaultsAtOnceAndABadNetwork) {
+TEST(Simulation, ManyFaultsAtOnceOnFaultyNetwork) {
     play("many faults at once", [](Cluster& cluster) {
         const Millis end = cluster.now() + 12'000;
         cluster.network() = {cluster.draw(0, 0.1), 0.05, cluster.draw(0, 40), 0.02};
@@ -375,14 +376,14 @@
             if (kind < 0.5) return cluster.losePower(from);
             if (kind < 0.6) return cluster.freeze(from);
             for (std::size_t peer = 0; peer < cluster.nodes(); ++peer) {
-                if (kind < 0.9) cluster.cut(from, peer, peer != from);
-                if (kind > 0.7) cluster.cut(peer, from, peer != from);
+                if (kind < 0.9) cluster.partition(from, peer, peer != from);
+                if (kind > 0.7) cluster.partition(peer, from, peer != from);
             }
         });
         cluster.at(when + cluster.draw(30, 1'500), [&cluster, from] {
             for (std::size_t peer = 0; peer < cluster.nodes(); ++peer) {
-                cluster.cut(from, peer, false);
-                cluster.cut(peer, from, false);
+                cluster.partition(from, peer, false);
+                cluster.partition(peer, from, false);
             }
             cluster.thaw(from);
             cluster.start(from);
@@ -425,7 +426,7 @@
         while (cluster.now() < end && !cluster.failed()) {
             cluster.runFor(cluster.draw(5, 800));
             cluster.countFault();
-            const bool whole = cluster.whole();
+            const bool whole = cluster.isComplete();
             if (cluster.random()() < (whole ? 0.5 : 0.1))
                 wipeOrReplace(cluster);
             else if (cluster.random()() < 0.15)
@@ -464,8 +465,8 @@
         for (int count = 0; count < 6; ++count) {
             cluster.runFor(cluster.draw(10, 400));
             const std::size_t node = anyNode(cluster);
-            cluster.cut(node, anyNode(cluster), true);
-            if (cluster.random()() < 0.2) cluster.joinAll();
+            cluster.partition(node, anyNode(cluster), true);
+            if (cluster.random()() < 0.2) cluster.healPartitions();
             const bool power = cluster.random()() < 0.5;
             if (!cluster.up(node)) continue;
             power ? cluster.losePower(node) : cluster.kill(node);
@@ -476,7 +477,7 @@
         }
         cluster.runFor(options.startSpread + 900);
         cluster.network() = {};
-        cluster.joinAll();
+        cluster.healPartitions();
         if (!cluster.failed()) settleAndCheck(cluster);
         EXPECT_FALSE(cluster.failed())
             << "founding seed " << seed << ": " << cluster.failure() << "\n"
--- a/tests/replica/uncounted_test.cpp
+++ b/tests/replica/uncounted_test.cpp
@@ -45,7 +45,7 @@
 class UncountedTest : public ::testing::TestWithParam<std::uint64_t> {};
 
 // Two uncounted ones beside three counted: all uncounted go, and one counted loses its disk in the same moment.
-TEST_P(UncountedTest, AllUncountedAndOneCountedMayGoAtOnce) {
+TEST_P(UncountedTest, ServesAfterLossOfAllUncountedAndOneCounted) {
     ClusterOptions options;
     options.seed = GetParam();
     options.nodes = 5;
@@ -71,7 +71,7 @@
 }
 
 // A spare copies the table and never says that it is fresh: polls go elsewhere.
-TEST_P(UncountedTest, ASpareHoldsACopyAndVouchesForNothing) {
+TEST_P(UncountedTest, SpareHoldsCopyAndIsNeverFresh) {
     ClusterOptions options;
     options.seed = GetParam();
     options.nodes = 4;
--- a/tests/replica/view_agreement_test.cpp
+++ b/tests/replica/view_agreement_test.cpp
@@ -51,7 +51,7 @@
     EXPECT_EQ(acceptor.vote().value, viewOf(2, "y"));
 }
 
-TEST(Acceptor, PromiseKeepsWhatWasAccepted) {
+TEST(Acceptor, PromiseKeepsAcceptedValue) {
     Acceptor acceptor{Vote{}};
     ASSERT_TRUE(acceptor.accept(2, proposal(3), viewOf(2, "x")));
     ASSERT_TRUE(acceptor.promise(2, proposal(5)));
@@ -59,7 +59,7 @@
     EXPECT_EQ(acceptor.vote().value, viewOf(2, "x"));
 }
 
-TEST(Acceptor, HasOneEpochAtATime) {
+TEST(Acceptor, HoldsVoteForOneEpoch) {
     Acceptor acceptor{Vote{}};
     ASSERT_TRUE(acceptor.accept(2, proposal(3), viewOf(2, "x")));
     ASSERT_TRUE(acceptor.promise(3, proposal(1)));
@@ -71,7 +71,7 @@
     EXPECT_EQ(acceptor.vote(), Vote{});
 }
 
-TEST(Proposer, CountsOnlyAnswersToItsBallot) {
+TEST(Proposer, CountsOnlyAnswersToItsProposalNumber) {
     Proposer proposer;
     proposer.begin(0, 2, proposal(3), 2);
     EXPECT_TRUE(proposer.onPromise("a", {}, promiseOf(3, 2)));
@@ -92,7 +92,7 @@
     EXPECT_FALSE(proposer.hasMajority());
 }
 
-TEST(Proposer, IsBoundToTheHighestAcceptedValue) {
+TEST(Proposer, ProposesHighestAcceptedValue) {
     Proposer proposer;
     proposer.begin(0, 2, proposal(9), 3);
     proposer.onPromise("a", {}, Promise{proposal(9), 2, proposal(3), viewOf(2, "x"), 1, {}, {}, false});
@@ -134,7 +134,7 @@
     std::map<std::string, ReceivedPromise> promises_;
 };
 
-TEST_F(SourceChoice, TakesTheHighestPositionAmongTheSynced) {
+TEST_F(SourceChoice, IsHighestPositionAmongSynced) {
     promise(0, 5, {5, 7});
     promise(1, 5, {5, 8});
     promise(2, 4, {4, 9});
@@ -146,14 +146,14 @@
     EXPECT_EQ(view->epoch, 6u);
 }
 
-TEST_F(SourceChoice, KeepsTheHeadAmongEquals) {
+TEST_F(SourceChoice, IsHeadAmongEquals) {
     promise(0, 5, {5, 8});
     promise(1, 5, {5, 8});
     promise(2, 5, {5, 8});
     EXPECT_EQ(compose()->members.front().name, "a");
 }
 
-TEST_F(SourceChoice, TakesOneOfTheEpochBeforeOnlyIfNothingWasCommittedSince) {
+TEST_F(SourceChoice, IsOfEpochBeforeOnlyIfNothingWasCommittedSince) {
     promise(1, 4, {4, 3});
     promise(2, 3, {3, 9});
     const auto view = compose();
@@ -163,7 +163,7 @@
 }
 
 // Found by the simulation: the source of the epoch had lost its power before it could record that it is synced.
-TEST_F(SourceChoice, TakesOneWhoHoldsTheStartingStateWithoutHavingRecordedIt) {
+TEST_F(SourceChoice, MayHoldStartingStateWithoutHavingRecordedIt) {
     membership_.view.start = {2, 28};
     promise(1, 3, {2, 28});
     promise(2, 0, {});
@@ -177,13 +177,13 @@
     EXPECT_FALSE(compose());
 }
 
-TEST_F(SourceChoice, TakesNobodyWhoMayLackWhatWasCommitted) {
+TEST_F(SourceChoice, IsNobodyWhoMayLackCommittedBatches) {
     promise(1, 3, {3, 9});
     promise(2, 0, {});
     EXPECT_FALSE(compose());
 }
 
-TEST_F(SourceChoice, LeavesOutAFailingDiskUnlessOnlyItWillDo) {
+TEST_F(SourceChoice, IsFailingDiskOnlyIfNoOtherQualifies) {
     promise(0, 5, {5, 8}, true);
     promise(1, 5, {5, 7});
     EXPECT_EQ(compose()->members.front().name, "b");
@@ -192,7 +192,7 @@
     EXPECT_EQ(compose()->members.front().name, "a");
 }
 
-TEST_F(SourceChoice, DoesNotShrinkBelowTheTolerance) {
+TEST_F(SourceChoice, RefusesViewBelowTolerance) {
     membership_.settings.tolerance = {2, 2};
     promise(0, 5, {5, 8});
     promise(1, 5, {5, 8});
@@ -203,7 +203,7 @@
 
 // ---- History of the table
 
-TEST(TableHistory, GivesDeltasAsFarBackAsItRemembers) {
+TEST(TableHistory, ReturnsDeltasWithinHistoryAndFullTableBeyond) {
     TableHistory history({{"a", "0"}}, {1, 0});
     for (std::uint64_t sequence = 1; sequence <= kHistoryBatches + 10; ++sequence)
         history.applyBatch({{1, sequence}, {{fmt::format("k{}", sequence % 3), std::to_string(sequence)}}});
@@ -227,7 +227,7 @@
     EXPECT_TRUE(history.updateSince({1, 1}).whole);
 }
 
-TEST(TableHistory, SnapshotsStayAsTheyWere) {
+TEST(TableHistory, KeepsSnapshotsUnchanged) {
     TableHistory history({{"a", "0"}}, {1, 0});
     const auto before = history.snapshot();
     history.applyBatch({{1, 1}, {{"a", std::nullopt}, {"b", "1"}}});
--- a/tests/replica/voters_test.cpp
+++ b/tests/replica/voters_test.cpp
@@ -40,7 +40,7 @@
     return names;
 }
 
-TEST(NextVoters, KeepThoseThatAreAway) {
+TEST(NextVoters, KeepUnreachableVoters) {
     std::vector<Voter> voters = here("abc");
     voters[0].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("bc"), kOne)), "abc");
@@ -48,7 +48,7 @@
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("c"), kOne)), "abc");
 }
 
-TEST(NextVoters, GiveThePlaceOfALostDiskToItsSuccessor) {
+TEST(NextVoters, HandVoteOfLostDiskToItsReplacement) {
     std::vector<Voter> voters = here("abc");
     voters[1].state = VoterState::diskLost;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("ac"), kOne)), "abc");
@@ -60,21 +60,21 @@
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("acd"), kOne)), "adc");
 }
 
-TEST(NextVoters, GiveThePlaceOfOneThatIsAwayOnlyToAMemberWithoutAVote) {
+TEST(NextVoters, HandVoteOfUnreachableOnlyToMemberWithoutVote) {
     std::vector<Voter> voters = here("abc");
     voters[2].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("abd"), kOne)), "abd");
     EXPECT_EQ(namesOf(nextVoters(here("abc"), chainOf("abcd"), kOne)), "abc");
 }
 
-TEST(NextVoters, ALostDiskComesBeforeOneThatIsAway) {
+TEST(NextVoters, ReplaceLostDiskBeforeUnreachableVoter) {
     std::vector<Voter> voters = here("abc");
     voters[0].state = VoterState::unreachable;
     voters[1].state = VoterState::diskLost;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("cd"), kOne)), "adc");
 }
 
-TEST(NextVoters, GrowUntilTheyBearWhatIsTolerated) {
+TEST(NextVoters, GrowUntilTheyTolerateLosses) {
     EXPECT_EQ(namesOf(nextVoters(here("abc"), chainOf("abcd"), kTwo)), "abcd");
     EXPECT_EQ(namesOf(nextVoters(here("abc"), chainOf("abcdef"), kTwo)), "abcde");
 }
@@ -85,7 +85,7 @@
     EXPECT_EQ(namesOf(nextVoters(voters, chain, kOne)), "bcd");
 }
 
-TEST(NextVoters, GiveUpAPlaceOnlyWhereTheyBearTheToleranceWithoutIt) {
+TEST(NextVoters, RemoveVoterOnlyIfLossesAreToleratedWithoutIt) {
     std::vector<Voter> voters = here("abcd");
     voters[3].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("abc"), kOne)), "abc");
@@ -98,7 +98,7 @@
     EXPECT_EQ(namesOf(nextVoters(three, chainOf("ab"), {0, 0})), "ab");
 }
 
-TEST(NextVoters, LeaveOutTheUncountedWhereTheCountedAreEnough) {
+TEST(NextVoters, LeaveOutUncountedIfCountedSuffice) {
     std::vector<Member> chain = chainOf("abcd");
     chain[3].counted = false;
     std::vector<Voter> voters = here("abc");
@@ -108,7 +108,7 @@
     EXPECT_EQ(namesOf(nextVoters(voters, chain, kOne)), "abd");
 }
 
-TEST(NextVoters, AViewWithoutVotersIsDecidedOnByItsMembers) {
+TEST(NextVoters, OfViewWithoutVotersAreItsMembers) {
     View view;
     view.members = chainOf("ab");
     EXPECT_EQ(namesOf(view.electorate()), "ab");
@@ -129,14 +129,14 @@
     }
     void founded(Cluster& cluster) {
         cluster.startClient();
-        ASSERT_TRUE(cluster.runUntil(8'000, [&] { return cluster.whole(); })) << cluster.describe();
+        ASSERT_TRUE(cluster.runUntil(8'000, [&] { return cluster.isComplete(); })) << cluster.describe();
         cluster.runFor(1'000);
     }
-    void cutOff(Cluster& cluster, std::size_t count, bool cut) {
+    void isolate(Cluster& cluster, std::size_t count, bool cut) {
         for (std::size_t one = 0; one < count; ++one)
             for (std::size_t other = count; other < options_.nodes; ++other) {
-                cluster.cut(one, other, cut);
-                cluster.cut(other, one, cut);
+                cluster.partition(one, other, cut);
+                cluster.partition(other, one, cut);
             }
     }
     void requireServedAgain(Cluster& cluster) {
@@ -144,7 +144,8 @@
         EXPECT_TRUE(cluster.runUntil(kServedAgain, [&] { return cluster.acknowledged() > before; }))
             << "not served again though one disk was lost\n"
             << cluster.describe();
-        EXPECT_TRUE(cluster.runUntil(kServedAgain, [&] { return cluster.whole(); })) << cluster.describe();
+        EXPECT_TRUE(cluster.runUntil(kServedAgain, [&] { return cluster.isComplete(); }))
+            << cluster.describe();
         EXPECT_FALSE(cluster.failed()) << cluster.failure();
     }
 
@@ -152,17 +153,17 @@
 };
 
 // A minority misses changes; then one of the others loses its disk, the rest are dark, and the cut heals.
-TEST_P(VotersTest, AMinorityThatWasAwayCountsWhenAnotherDiskIsLost) {
+TEST_P(VotersTest, PartitionedMinorityCountsWhenAnotherDiskIsLost) {
     Cluster cluster(options_);
     founded(cluster);
     const std::size_t away = (options_.nodes - 1) / 2;
-    cutOff(cluster, away, true);
+    isolate(cluster, away, true);
     const std::uint64_t before = cluster.acknowledged();
     cluster.runFor(2'500);
     EXPECT_GT(cluster.acknowledged(), before);
     for (std::size_t node = away; node < options_.nodes; ++node) cluster.losePower(node);
     cluster.wipe(options_.nodes - 1);
-    cutOff(cluster, away, false);
+    isolate(cluster, away, false);
     cluster.runFor(1'000);
     cluster.start(options_.nodes - 1);
     cluster.runFor(1'500);
@@ -171,7 +172,7 @@
 }
 
 // A planned restart leaves a view of the others; one of these loses its disk before the first one is back.
-TEST_P(VotersTest, APlannedRestartKeepsItsVote) {
+TEST_P(VotersTest, PlannedRestartKeepsVote) {
     Cluster cluster(options_);
     founded(cluster);
     cluster.leave(0);
@@ -186,22 +187,22 @@
 }
 
 // In halves nobody goes on, or the larger one does; together they all do, also if one loses its disk meanwhile.
-TEST_P(VotersTest, HalvesComeTogetherAgain) {
+TEST_P(VotersTest, PartitionedHalvesRecoverOnceHealed) {
     Cluster cluster(options_);
     founded(cluster);
-    cutOff(cluster, options_.nodes / 2, true);
+    isolate(cluster, options_.nodes / 2, true);
     cluster.runFor(cluster.draw(500, 4'000));
     const std::size_t lost = GetParam() / 2 % options_.nodes;
     cluster.losePower(lost);
     cluster.wipe(lost);
     cluster.runFor(500);
-    cutOff(cluster, options_.nodes / 2, false);
+    isolate(cluster, options_.nodes / 2, false);
     cluster.start(lost);
     requireServedAgain(cluster);
 }
 
 // A machine that is gone for good hands its vote to the one that comes in its place; then the next disk may be lost.
-TEST_P(VotersTest, ASuccessorTakesThePlaceOfOneThatIsGone) {
+TEST_P(VotersTest, ReplacementTakesOverVoteOfRemovedMachine) {
     Cluster cluster(options_);
     founded(cluster);
     cluster.losePower(0);
@@ -209,7 +210,7 @@
     cluster.runFor(1'000);
     const std::size_t successor = cluster.addReplacement(0, false);
     cluster.start(successor);
-    ASSERT_TRUE(cluster.runUntil(4'000, [&] { return cluster.whole(); })) << cluster.describe();
+    ASSERT_TRUE(cluster.runUntil(4'000, [&] { return cluster.isComplete(); })) << cluster.describe();
     EXPECT_NE(cluster.replica(1).view().findVoter(cluster.replica(successor).self()), nullptr);
     EXPECT_EQ(cluster.replica(1).view().electorate().size(), options_.nodes);
     cluster.losePower(1);
