--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -32,7 +32,7 @@
     o.self = self;
     for (const auto& [name, address] : s.members) o.members.push_back(name);
     o.voters = s.voters;
-    o.willing = s.holds;
+    o.holdsRoles = s.holds;
     o.proberDuty = s.proberDuty;
     return o;
 }
@@ -40,29 +40,31 @@
 }  // namespace
 
 // The folder's: two processes that were started with the same folder and name are never both the member.
-class Group::Lock {
+class ClusterMember::FolderLock {
 public:
-    explicit Lock(const std::string& path) : fd_(::open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600)) {}
-    ~Lock() {
+    explicit FolderLock(const std::string& path)
+        : fd_(::open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600)) {}
+    ~FolderLock() {
         if (fd_ >= 0) ::close(fd_);
     }
-    Lock(const Lock&) = delete;
-    Lock& operator=(const Lock&) = delete;
-    bool there() const { return fd_ >= 0; }
-    bool take() const { return fd_ >= 0 && ::flock(fd_, LOCK_EX | LOCK_NB) == 0; }
+    FolderLock(const FolderLock&) = delete;
+    FolderLock& operator=(const FolderLock&) = delete;
+    bool isOpen() const { return fd_ >= 0; }
+    bool tryLock() const { return fd_ >= 0 && ::flock(fd_, LOCK_EX | LOCK_NB) == 0; }
 
 private:
     int fd_;
 };
 
-Group::Store::Store(asio::io_context& io, const Settings& settings, const std::string& self,
-                    raft::ProcessIncarnation processIncarnation)
+ClusterMember::DurableStore::DurableStore(asio::io_context& io, const Settings& settings,
+                                          const std::string& self,
+                                          raft::ProcessIncarnation processIncarnation)
     : folder(disk, settings.folder, settings.name, self),
-      journal(settings.name, self, processIncarnation),
+      encoder(settings.name, self, processIncarnation),
       thread(io) {}
 
-Group::Group(asio::io_context& io, const Clock& clock, Counters& counters, Logger& log,
-             const Settings& settings, const std::string& self)
+ClusterMember::ClusterMember(asio::io_context& io, const Clock& clock, Counters& counters, Logger& log,
+                             const Settings& settings, const std::string& self)
     : io_(io),
       clock_(clock),
       counters_(counters),
@@ -76,21 +78,21 @@
     Core(optionsOf(settings, self), processIncarnation_, 0,
          clock.now());  // what can't work is said at the start
     if (settings_.folder.empty()) return;
-    lock_ = std::make_unique<Lock>(settings_.folder + "/" + self_ + ".lock");
-    if (!lock_->there())
+    lock_ = std::make_unique<FolderLock>(settings_.folder + "/" + self_ + ".lock");
+    if (!lock_->isOpen())
         throw std::invalid_argument("group: the folder " + settings_.folder + " can't be written");
 }
-Group::~Group() = default;
+ClusterMember::~ClusterMember() = default;
 
-void Group::start() {
-    tryAgain();
+void ClusterMember::start() {
+    tryToJoin();
     started_ = true;
 }
 
 // ---- becoming the member
 
-bool Group::bind(asio::error_code& error) {
-    if (lock_ && !lock_->take()) return false;
+bool ClusterMember::bind(asio::error_code& error) {
+    if (lock_ && !lock_->tryLock()) return false;
     socket_.open(settings_.listen.protocol(), error);
     if (!error) socket_.bind(settings_.listen, error);
     if (!error) return true;
@@ -98,33 +100,33 @@
     socket_.close(ignored);
     return false;
 }
-void Group::tryAgain() {
-    if (closed_ || handing_) return;
+void ClusterMember::tryToJoin() {
+    if (closed_ || handingOver_) return;
     asio::error_code error;
-    if (bind(error)) return begin();
+    if (bind(error)) return becomeMember();
     // At the start a wrong address is an error of the file. Later the process serves, and goes on without the group.
     if (error && error != asio::error::address_in_use && !started_) throw asio::system_error(error, "group");
-    if (!std::exchange(said_, true))
-        log_.info("group: another process has {}:{} or the folder; this one joins once it is free",
+    if (!std::exchange(loggedAddressInUse_, true))
+        log_.info("group: address {}:{} or the folder is in use by another process; joining once it is free",
                   field("address", settings_.listen.address().to_string()),
                   field("port", settings_.listen.port()));
     waitTimer_.expires_after(kWait);
     waitTimer_.async_wait([this](asio::error_code error) {
-        if (!error) tryAgain();
+        if (!error) tryToJoin();
     });
 }
 // Reads what was kept, once, before anything is said. What can't be used is as good as nothing: this member then asks the
 // others.
-void Group::begin() {
+void ClusterMember::becomeMember() {
     std::optional<raft::PersistentState> kept;
     if (!settings_.folder.empty()) {
-        store_ = std::make_unique<Store>(io_, settings_, self_, processIncarnation_);
+        store_ = std::make_unique<DurableStore>(io_, settings_, self_, processIncarnation_);
         std::string note;
-        kept = store_->folder.load(note).kept;
-        if (!note.empty()) log_.info("group: kept state in {}", field("what", note));
-        lease_sessions::Table trial;
-        if (kept && !raft::RaftConsensus::readable(*kept, trial)) {
-            log_.warn("group: the kept state is of another version; this member begins with nothing");
+        kept = store_->folder.load(note).state;
+        if (!note.empty()) log_.info("group: persistent state in {}", field("what", note));
+        lease_sessions::SessionTable trial;
+        if (kept && !raft::RaftConsensus::isReadable(*kept, trial)) {
+            log_.warn("group: the persistent state is of another version; this member starts without state");
             kept.reset();
         }
     }
@@ -134,38 +136,38 @@
               field("name", self_), field("address", endpoint().address().to_string()),
               field("port", endpoint().port()), field("members", settings_.members.size()));
     receive();
-    wake();
+    armTimer();
 }
 
 // ---- leaving
 
-void Group::leave(bool forGood) {
-    ended_ = ended_ || forGood;
-    giveUpAll(forGood);
+void ClusterMember::leave(bool forGood) {
+    leftForGood_ = leftForGood_ || forGood;
+    endSession(forGood);
 }
-void Group::giveUpAll(bool forGood) {
-    if (!in()) return;
+void ClusterMember::endSession(bool forGood) {
+    if (!isMember()) return;
     Step out;
     core_->leave(clock_.now(), out, forGood);
-    carry(out);
+    carryOut(out);
 }
-void Group::resume() {
-    if (!in() || handing_) return;
+void ClusterMember::resume() {
+    if (!isMember() || handingOver_) return;
     Step out;
     core_->resume(clock_.now(), out);
-    carry(out);
+    carryOut(out);
 }
-void Group::handOver() {
-    if (std::exchange(handing_, true) || closed_) return;
-    giveUpAll(true);
-    if (in()) log_.info("group: another process of this gatherer is the member from now on");
+void ClusterMember::handOver() {
+    if (std::exchange(handingOver_, true) || closed_) return;
+    endSession(true);
+    if (isMember()) log_.info("group: handed over; another process of this gatherer is now the member");
     waitTimer_.expires_after(kLastWords);
     waitTimer_.async_wait([this](asio::error_code error) {
         if (!error) close();
     });
 }
-void Group::takeBack() {
-    if (!handing_ || ended_) return;
+void ClusterMember::takeBack() {
+    if (!handingOver_ || leftForGood_) return;
     if (!closed_ || store_) {  // its last words, or its last write, are still under way
         waitTimer_.expires_after(closed_ ? kWait : kLastWords);
         waitTimer_.async_wait([this](asio::error_code error) {
@@ -175,22 +177,23 @@
         });
         return;
     }
-    log_.info("group: the other process of this gatherer has gone; this one joins anew");
-    handing_ = closed_ = failed_ = said_ = false;
+    log_.info("group: the other process of this gatherer has exited; this one joins again");
+    handingOver_ = closed_ = failed_ = loggedAddressInUse_ = false;
     core_.reset();
     outbox_ = Outbox();
-    wantAt_ = -1e300;
-    conflictsSaid_ = refusedSaid_ = 0;
+    defineRolesAt_ = -1e300;
+    countedConflicts_ = countedRefused_ = 0;
     processIncarnation_ = chance() | 1;
-    if (!settings_.folder.empty()) lock_ = std::make_unique<Lock>(settings_.folder + "/" + self_ + ".lock");
-    tryAgain();
+    if (!settings_.folder.empty())
+        lock_ = std::make_unique<FolderLock>(settings_.folder + "/" + self_ + ".lock");
+    tryToJoin();
 }
 // The folder is free once all that was begun is written, and the loop waits for no disk.
-void Group::close() {
+void ClusterMember::close() {
     if (std::exchange(closed_, true)) return;
     timer_.cancel();
     waitTimer_.cancel();
-    for (const auto& [request, then] : std::exchange(calls_, {})) then({});
+    for (const auto& [request, then] : std::exchange(operatorCalls_, {})) then({});
     asio::error_code ignored;
     socket_.close(ignored);
     const auto free = [this](bool) {
@@ -200,81 +203,84 @@
     store_ ? store_->thread->post([] { return true; }, free) : free(true);
 }
 
-std::optional<std::uint64_t> Group::mayAct(const std::string& singletonRole) const {
-    return in() ? core_->holder().mayAct(clock_.now(), singletonRole) : std::nullopt;
+std::optional<std::uint64_t> ClusterMember::mayAct(const std::string& singletonRole) const {
+    return isMember() ? core_->leaseClient().mayAct(clock_.now(), singletonRole) : std::nullopt;
 }
-bool Group::found(std::uint64_t number) {
-    if (number >> 31 != 0 || !in()) return false;
+bool ClusterMember::foundGroup(std::uint64_t number) {
+    if (number >> 31 != 0 || !isMember()) return false;
     Step out;
-    const bool begun = core_->found(clock_.now(), number, out);
+    const bool begun = core_->foundGroup(clock_.now(), number, out);
     log_.info("an operator founds the group under number {}: {}", field("number", number),
               field("reply", begun ? "asking the others" : "no"));
-    carry(out);
+    carryOut(out);
     return begun;
 }
 
-bool Group::away(const std::string& host) {
-    if (!in()) return false;
+bool ClusterMember::isTakenAsUnreachable(const std::string& host) {
+    if (!isMember()) return false;
     Step out;
-    const bool yes = core_->away(clock_.now(), host, out);
-    send(outbox_.put(std::move(out.send), false));
+    const bool yes = core_->isTakenAsUnreachable(clock_.now(), host, out);
+    send(outbox_.enqueue(std::move(out.send), false));
     return yes;
 }
-void Group::saw(const std::string& host, bool there) {
-    if (in()) core_->saw(clock_.now(), host, there);
+void ClusterMember::recordProbe(const std::string& host, bool there) {
+    if (isMember()) core_->recordProbe(clock_.now(), host, there);
 }
 
 // ---- operators' requests, through the ledger
 
-void Group::await(std::uint64_t request, std::function<void(Settled)> then) {
-    calls_[request] = std::move(then);
+void ClusterMember::awaitOutcome(std::uint64_t request, std::function<void(OperationEnd)> then) {
+    operatorCalls_[request] = std::move(then);
     Step out;
     core_->advance(clock_.now(), out);
-    carry(out);
+    carryOut(out);
 }
-void Group::take(const std::string& singletonRole, std::function<void(Settled)> then) {
-    if (!in() || calls_.size() >= kMostCalls || singletonRole.size() > lease_sessions::kMaxRoleNameBytes)
+void ClusterMember::acquireRole(const std::string& singletonRole, std::function<void(OperationEnd)> then) {
+    if (!isMember() || operatorCalls_.size() >= kMostCalls ||
+        singletonRole.size() > lease_sessions::kMaxRoleNameBytes)
         return then({true, false, 0});
-    await(core_->holder().take(singletonRole), std::move(then));
+    awaitOutcome(core_->leaseClient().acquire(singletonRole), std::move(then));
 }
-void Group::give(const std::string& singletonRole, const std::string& to, std::function<void(Settled)> then) {
+void ClusterMember::releaseRole(const std::string& singletonRole, const std::string& to,
+                                std::function<void(OperationEnd)> then) {
     const auto fencingToken = mayAct(singletonRole);
-    if (!fencingToken || calls_.size() >= kMostCalls || (!to.empty() && !settings_.members.contains(to)))
+    if (!fencingToken || operatorCalls_.size() >= kMostCalls ||
+        (!to.empty() && !settings_.members.contains(to)))
         return then({true, false, 0});
     // The ledger's answer to a hand-over names the next one's number.
-    await(core_->holder().giveUp(singletonRole, to),
-          [then = std::move(then), fencingToken = *fencingToken](Settled end) {
-              end.fencingToken = fencingToken;
-              then(end);
-          });
+    awaitOutcome(core_->leaseClient().release(singletonRole, to),
+                 [then = std::move(then), fencingToken = *fencingToken](OperationEnd end) {
+                     end.fencingToken = fencingToken;
+                     then(end);
+                 });
 }
-void Group::answer() {
-    for (const lease_sessions::Outcome& o : core_->holder().takeOutcomes()) {
-        const auto call = calls_.find(o.request);
-        if (call == calls_.end()) continue;
+void ClusterMember::answerOperators() {
+    for (const lease_sessions::CommandOutcome& o : core_->leaseClient().takeOutcomes()) {
+        const auto call = operatorCalls_.find(o.request);
+        if (call == operatorCalls_.end()) continue;
         const auto then = std::move(call->second);
-        calls_.erase(call);
+        operatorCalls_.erase(call);
         // Handed to one that is in no session: it is given up all the same, and free.
         then({o.known,
-              o.result.verdict == lease_sessions::Verdict::yes ||
-                  o.result.verdict == lease_sessions::Verdict::wait,
+              o.result.verdict == lease_sessions::Verdict::done ||
+                  o.result.verdict == lease_sessions::Verdict::retryLater,
               o.result.fencingToken});
     }
 }
 
 // ---- datagrams and time
 
-void Group::receive() {
-    socket_.async_receive_from(asio::buffer(buffer_), from_, [this](asio::error_code error, std::size_t n) {
-        if (!in() || error == asio::error::operation_aborted) return;
+void ClusterMember::receive() {
+    socket_.async_receive_from(asio::buffer(buffer_), sender_, [this](asio::error_code error, std::size_t n) {
+        if (!isMember() || error == asio::error::operation_aborted) return;
         if (!error) {
             const bool known = std::any_of(settings_.members.begin(), settings_.members.end(),
-                                           [&](const auto& m) { return m.second == from_; });
+                                           [&](const auto& m) { return m.second == sender_; });
             counters_.add(known ? Counter::groupReceived : Counter::groupRefused);
             if (known) {
                 Step out;
                 core_->receive(clock_.now(), {buffer_.data(), n}, out);
-                carry(out);
+                carryOut(out);
             } else {
                 ++strangers_;
             }
@@ -282,22 +288,22 @@
         receive();
     });
 }
-void Group::carry(const Step& step) {
-    for (const std::string& note : step.notes) log_.info("group: {}", field("what", note));
+void ClusterMember::carryOut(const Step& step) {
+    for (const std::string& note : step.events) log_.info("group: {}", field("what", note));
     counters_.add(Counter::groupPresenceChanges, step.presenceChanges);
-    raft::Write write;
-    if (store_ && step.keep) write = store_->journal.changes(core_->raft());
+    raft::StateWrite write;
+    if (store_ && step.mustPersist) write = store_->encoder.encodeChanges(core_->raft());
     const bool keeps = !write.bytes.empty();
     if (keeps)
         store_->thread->post(
-            [store = store_.get(), write = std::move(write)] { return store->folder.keep(write); },
-            [this](bool done) { written(done); });
-    send(outbox_.put(step.send, keeps));
-    answer();
-    changed();
-    wake();
+            [store = store_.get(), write = std::move(write)] { return store->folder.persist(write); },
+            [this](bool done) { writeFinished(done); });
+    send(outbox_.enqueue(step.send, keeps));
+    answerOperators();
+    reportChanges();
+    armTimer();
 }
-void Group::send(const std::vector<Datagram>& datagrams) {
+void ClusterMember::send(const std::vector<Datagram>& datagrams) {
     for (const Datagram& d : datagrams) {
         const auto to = settings_.members.find(d.to);
         if (to == settings_.members.end()) continue;
@@ -307,63 +313,64 @@
         if (error) ++notSent_;  // as if it had been lost on its way
     }
 }
-void Group::written(bool done) {
-    if (!in()) return;
-    if (done) return send(outbox_.written());
+void ClusterMember::writeFinished(bool done) {
+    if (!isMember()) return;
+    if (done) return send(outbox_.releaseOldestWrite());
     failed_ = true;
     outbox_.clear();
     timer_.cancel();
-    log_.warn("group: the folder {} can't be written: this member takes no part until it is started again",
+    log_.warn("group: the folder {} can't be written: this member takes no part until it is restarted",
               field("folder", settings_.folder));
 }
-void Group::wake() {
-    if (!in()) return;
-    const Millis wait = std::clamp(core_->next() - clock_.now(), 0.0, 60'000.0);
+void ClusterMember::armTimer() {
+    if (!isMember()) return;
+    const Millis wait = std::clamp(core_->nextDeadline() - clock_.now(), 0.0, 60'000.0);
     timer_.expires_after(std::chrono::microseconds(static_cast<long long>(wait * 1000) + 50));
     timer_.async_wait([this](asio::error_code error) {
-        if (error || !in()) return;
+        if (error || !isMember()) return;
         Step out;
         core_->advance(clock_.now(), out);
-        carry(out);
+        carryOut(out);
     });
 }
 // One line for each change that staff would ask about, and duties asked for once there is a session.
-void Group::changed() {
-    if (const Millis now = clock_.now(); core_->holder().inSession(now) && now >= wantAt_) {
-        wantAt_ = now + kWantAgain;
+void ClusterMember::reportChanges() {
+    if (const Millis now = clock_.now(); core_->leaseClient().inSession(now) && now >= defineRolesAt_) {
+        defineRolesAt_ = now + kDefineRolesInterval;
         for (const std::string& singletonRole : settings_.singletonRoles)
-            if (core_->table().singletonRole(singletonRole) == nullptr) core_->holder().want(singletonRole);
+            if (core_->table().singletonRole(singletonRole) == nullptr)
+                core_->leaseClient().defineRole(singletonRole);
     }
-    if (const std::string& leader = core_->raft().leader(); leader != leaderSaid_) {
-        leaderSaid_ = leader;
+    if (const std::string& leader = core_->raft().leader(); leader != loggedLeader_) {
+        loggedLeader_ = leader;
         counters_.add(Counter::groupLeaderChanges);
         log_.info("group: leader {} in term {}", field("leader", leader.empty() ? "none" : leader),
-                  field("term", core_->raft().term()));
+                  field("term", core_->raft().currentTerm()));
     }
-    const auto& held = core_->holder().held();
+    const auto& held = core_->leaseClient().heldLeases();
     for (const auto& [singletonRole, fencingToken] : held)
-        if (const auto said = heldSaid_.find(singletonRole);
-            said == heldSaid_.end() || said->second != fencingToken) {
+        if (const auto said = loggedLeases_.find(singletonRole);
+            said == loggedLeases_.end() || said->second != fencingToken) {
             counters_.add(Counter::groupDutiesTaken);
-            log_.info("group: holds duty {} under {}", field("duty", singletonRole),
-                      field("fence", fencingToken));
+            log_.info("group: holds the lease of singleton role {} with fencing token {}",
+                      field("singletonRole", singletonRole), field("fencingToken", fencingToken));
         }
-    for (const auto& [singletonRole, fencingToken] : heldSaid_)
+    for (const auto& [singletonRole, fencingToken] : loggedLeases_)
         if (!held.contains(singletonRole)) {
             counters_.add(Counter::groupDutiesEnded);
-            log_.info("group: no longer holds duty {} under {}", field("duty", singletonRole),
-                      field("fence", fencingToken));
+            log_.info("group: no longer holds the lease of singleton role {} with fencing token {}",
+                      field("singletonRole", singletonRole), field("fencingToken", fencingToken));
         }
-    if (heldSaid_ != held) heldSaid_ = held;
-    counters_.add(Counter::groupConflicts, core_->raft().counters().conflicts - conflictsSaid_);
-    conflictsSaid_ = core_->raft().counters().conflicts;
+    if (loggedLeases_ != held) loggedLeases_ = held;
+    counters_.add(Counter::groupConflicts, core_->raft().counters().conflicts - countedConflicts_);
+    countedConflicts_ = core_->raft().counters().conflicts;
     std::uint64_t refused = core_->traffic().unreadable;
     for (const auto& [reason, n] : core_->traffic().refused) refused += n;
-    counters_.add(Counter::groupRefused, refused - refusedSaid_);
-    refusedSaid_ = refused;
+    counters_.add(Counter::groupRefused, refused - countedRefused_);
+    countedRefused_ = refused;
 }
 
-std::string Group::show() const {
+std::string ClusterMember::show() const {
     using Json = nlohmann::json;
     if (!core_)
         return Json{
@@ -374,23 +381,23 @@
     Json members = Json::array(), singletonRoles = Json::array(), acts = Json::object();
     for (const auto& [name, address] : settings_.members) {
         const lease_sessions::Session* s = core_->table().session(name);
-        const Millis heard = core_->membership().heard(name);
+        const Millis heard = core_->membership().lastHeard(name);
         Json age;  // null: itself, or never heard
         if (name != self_ && heard > 0) age = now - heard;
         members.push_back({{"name", name},
-                           {"presence", nameOf(core_->membership().of(name))},
+                           {"presence", nameOf(core_->membership().presenceOf(name))},
                            {"heardMsAgo", age},
                            {"voter", l.isVoter(name)},
                            {"session", s != nullptr ? s->number : 0}});
     }
     for (const auto& [name, d] : core_->table().singletonRoles())
         singletonRoles.push_back({{"name", name}, {"holder", d.holder}, {"fence", d.fencingToken}});
-    for (const auto& [name, fencingToken] : core_->holder().held())
+    for (const auto& [name, fencingToken] : core_->leaseClient().heldLeases())
         if (mayAct(name)) acts[name] = fencingToken;
     const Traffic& t = core_->traffic();
     return Json{
         {"group", settings_.name},
-        {"number", l.number()},
+        {"number", l.groupNumber()},
         {"self", self_},
         {"role", failed_   ? "failed"
                  : closed_ ? "left"
@@ -398,16 +405,17 @@
         {"folder", settings_.folder.empty() ? "none"
                    : failed_                ? "failed"
                                             : "kept"},
-        {"term", l.term()},
+        {"term", l.currentTerm()},
         {"leader", l.leader()},
-        {"leaderHeardMsAgo", l.leads() ? 0 : std::min(1e9, std::max(0.0, now - l.leaderHeard()))},
-        {"entry", l.commit()},
-        {"digest", fmt::format("{:016x}", l.digestAt(l.commit()))},
+        {"leaderHeardMsAgo", l.isLeader() ? 0 : std::min(1e9, std::max(0.0, now - l.lastLeaderContact()))},
+        {"entry", l.commitIndex()},
+        {"digest", fmt::format("{:016x}", l.digestAt(l.commitIndex()))},
         {"conflicts", l.counters().conflicts},
         {"members", std::move(members)},
         {"duties", std::move(singletonRoles)},
         {"mayAct", std::move(acts)},
-        {"sessionEndsInMs", core_->holder().inSession(now) ? core_->holder().sessionUntil() - now : 0},
+        {"sessionEndsInMs",
+         core_->leaseClient().inSession(now) ? core_->leaseClient().sessionUntil() - now : 0},
         {"datagrams",
          {{"sent", t.sent},
           {"received", t.received},
--- a/src/cluster/cluster.hpp
+++ b/src/cluster/cluster.hpp
@@ -33,12 +33,12 @@
 
 namespace beechpoint::cluster {
 
-class Group {
+class ClusterMember {
 public:
     // `self`: the gatherer's name. Throws std::invalid_argument for a group it can't work with.
-    Group(asio::io_context& io, const Clock& clock, Counters& counters, Logger& log, const Settings& settings,
-          const std::string& self);
-    ~Group();
+    ClusterMember(asio::io_context& io, const Clock& clock, Counters& counters, Logger& log,
+                  const Settings& settings, const std::string& self);
+    ~ClusterMember();
     void start();
     // Stops acting on every duty at once, and tells the leader so that others take them; resume() undoes it: a drain.
     void leave(bool forGood = true);
@@ -54,43 +54,44 @@
     // For operators: members, voters, leader, duties, JSON.
     std::string show() const;
     // Begins a group under `number`, by an operator's word; false: it has a state, is no voter, or 0 was given.
-    bool found(std::uint64_t number);
+    bool foundGroup(std::uint64_t number);
     // By an operator's word: takes a free duty for this member, or gives one up that it holds (`to`: to that member). `then`
     // is called once, within some seconds; known: whether it is settled.
-    struct Settled {
-        bool known = false, yes = false;
+    struct OperationEnd {
+        bool isKnown = false, succeeded = false;
         std::uint64_t fencingToken = 0;  // take: its new number; give: the one that was given up
     };
-    void take(const std::string& singletonRole, std::function<void(Settled)> then);
-    void give(const std::string& singletonRole, const std::string& to, std::function<void(Settled)> then);
+    void acquireRole(const std::string& singletonRole, std::function<void(OperationEnd)> then);
+    void releaseRole(const std::string& singletonRole, const std::string& to,
+                     std::function<void(OperationEnd)> then);
     // Looks at hosts that are avoided (Core::away, Core::saw).
-    bool away(const std::string& host);
-    void saw(const std::string& host, bool there);
-    bool in() const { return core_.has_value() && !failed_ && !closed_; }
+    bool isTakenAsUnreachable(const std::string& host);
+    void recordProbe(const std::string& host, bool there);
+    bool isMember() const { return core_.has_value() && !failed_ && !closed_; }
     asio::ip::udp::endpoint endpoint() const { return socket_.local_endpoint(); }
 
 private:
-    struct Store {  // where a folder lasts
-        Store(asio::io_context& io, const Settings& settings, const std::string& self,
-              raft::ProcessIncarnation processIncarnation);
-        durable_files::Disk disk;
-        raft::Folder folder;
-        raft::Journal journal;
+    struct DurableStore {  // where a folder lasts
+        DurableStore(asio::io_context& io, const Settings& settings, const std::string& self,
+                     raft::ProcessIncarnation processIncarnation);
+        durable_files::FileSystem disk;
+        raft::StateFolder folder;
+        raft::StateEncoder encoder;
         std::optional<durable_files::DiskThread> thread;  // last: its end comes first
     };
-    class Lock;
-    void giveUpAll(bool forGood);
+    class FolderLock;
+    void endSession(bool forGood);
     bool bind(asio::error_code& error);
-    void begin();
-    void tryAgain();
+    void becomeMember();
+    void tryToJoin();
     void receive();
-    void carry(const Step& step);
+    void carryOut(const Step& step);
     void send(const std::vector<Datagram>& datagrams);
-    void written(bool done);
-    void wake();
-    void changed();
-    void await(std::uint64_t request, std::function<void(Settled)> then);
-    void answer();
+    void writeFinished(bool done);
+    void armTimer();
+    void reportChanges();
+    void awaitOutcome(std::uint64_t request, std::function<void(OperationEnd)> then);
+    void answerOperators();
 
     asio::io_context& io_;
     const Clock& clock_;
@@ -101,23 +102,24 @@
     asio::ip::udp::socket socket_;
     asio::steady_timer timer_, waitTimer_;
     raft::ProcessIncarnation processIncarnation_;
-    std::unique_ptr<Lock> lock_;
-    std::unique_ptr<Store> store_;
+    std::unique_ptr<FolderLock> lock_;
+    std::unique_ptr<DurableStore> store_;
     std::optional<Core> core_;  // from when this process is the member
     Outbox outbox_;
     std::array<char, 512> buffer_{};
-    asio::ip::udp::endpoint from_;
-    std::map<std::uint64_t, std::function<void(Settled)>> calls_;  // of operators, that wait for their end
-    Millis wantAt_ = -1e300;  // when to ask again for duties that there are to be
-    std::string leaderSaid_;
-    std::map<std::string, std::uint64_t> heldSaid_;
+    asio::ip::udp::endpoint sender_;
+    std::map<std::uint64_t, std::function<void(OperationEnd)>>
+        operatorCalls_;              // of operators, that wait for their end
+    Millis defineRolesAt_ = -1e300;  // when to ask again for duties that there are to be
+    std::string loggedLeader_;
+    std::map<std::string, std::uint64_t> loggedLeases_;
     std::uint64_t strangers_ = 0, notSent_ = 0;
-    std::uint64_t conflictsSaid_ = 0, refusedSaid_ = 0;
-    bool started_ = false;  // from here on an address that can't be had is waited for
-    bool said_ = false;     // that another process has the address
-    bool failed_ = false;   // the folder could not be written
-    bool handing_ = false;  // another process is to be the member
-    bool ended_ = false;    // told to leave for good
+    std::uint64_t countedConflicts_ = 0, countedRefused_ = 0;
+    bool started_ = false;             // from here on an address that can't be had is waited for
+    bool loggedAddressInUse_ = false;  // that another process has the address
+    bool failed_ = false;              // the folder could not be written
+    bool handingOver_ = false;         // another process is to be the member
+    bool leftForGood_ = false;         // told to leave for good
     bool closed_ = false;
 };
 
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -19,14 +19,14 @@
 
 // A member in session asks for the duties that there are to be, and again after so long for those that there are not yet:
 // a request may end unknown.
-inline constexpr Millis kWantAgain = 9000;
+inline constexpr Millis kDefineRolesInterval = 9000;
 
 struct Options {
     std::string group = "gatherers";
     std::string self;
     std::vector<std::string> members;  // all, by name
     std::vector<std::string> voters;   // that a new group begins with
-    bool willing = true;               // to hold duties
+    bool holdsRoles = true;            // to hold duties
     raft::Options raft;
     lease_sessions::Times times;
     gossip::MembershipOptions membership;
@@ -40,14 +40,14 @@
 };
 struct Step {
     std::vector<Datagram> send;
-    bool keep = false;  // Core::kept() first
-    std::vector<std::string> notes;
+    bool mustPersist = false;  // Core::kept() first
+    std::vector<std::string> events;
     std::size_t presenceChanges = 0;
 };
 
 struct Traffic {
     std::uint64_t sent = 0, sentBytes = 0, received = 0, tooLong = 0, unreadable = 0;
-    std::map<gossip::Refusal, std::uint64_t> refused;
+    std::map<gossip::DropReason, std::uint64_t> refused;
 };
 
 class Core {
@@ -58,9 +58,9 @@
 
     void receive(Millis now, std::string_view bytes, Step& out);
     void advance(Millis now, Step& out);
-    Millis next() const;
+    Millis nextDeadline() const;
 
-    bool found(Millis now, std::uint64_t number, Step& out);
+    bool foundGroup(Millis now, std::uint64_t number, Step& out);
     bool changeVoters(Millis now, std::vector<std::string> voters, Step& out);
     // Stops acting on every duty at once and says so; resume() takes part again, unless it was for good.
     void leave(Millis now, Step& out, bool forGood = true);
@@ -68,27 +68,30 @@
 
     // A look at a host that is avoided: whether the holder's word that it is away stands for it; else it is to be looked at,
     // and saw() tells how that ended.
-    bool away(Millis now, const std::string& host, Step& out);
-    void saw(Millis now, const std::string& host, bool there) { prober_.saw(now, host, there); }
+    bool isTakenAsUnreachable(Millis now, const std::string& host, Step& out);
+    void recordProbe(Millis now, const std::string& host, bool there) {
+        prober_.recordProbe(now, host, there);
+    }
 
     const health_check::HostProber& prober() const { return prober_; }
-    lease_sessions::LeaseClient& holder() { return leaseClient_; }
-    const lease_sessions::LeaseClient& holder() const { return leaseClient_; }
+    lease_sessions::LeaseClient& leaseClient() { return leaseClient_; }
+    const lease_sessions::LeaseClient& leaseClient() const { return leaseClient_; }
     const raft::RaftConsensus& raft() const { return raft_; }
-    const lease_sessions::Table& table() const { return table_; }
-    const lease_sessions::LeaseManager& keeper() const { return leaseManager_; }
+    const lease_sessions::SessionTable& table() const { return table_; }
+    const lease_sessions::LeaseManager& leaseManager() const { return leaseManager_; }
     const gossip::Membership& membership() const { return membership_; }
     const Traffic& traffic() const { return traffic_; }
-    raft::PersistentState kept() const { return raft_.kept(); }
+    raft::PersistentState persistentState() const { return raft_.persistentState(); }
 
 private:
-    void settle(Millis now, raft::Actions& actions, std::vector<lease_sessions::Message>& said, Step& out);
-    void put(gossip::Channel room, const std::string& to, const std::string& body, Step& out);
-    void put(const std::vector<gossip::Message>& said, Step& out);
+    void finishStep(Millis now, raft::Actions& actions, std::vector<lease_sessions::Message>& said,
+                    Step& out);
+    void enqueue(gossip::Channel room, const std::string& to, const std::string& body, Step& out);
+    void enqueue(const std::vector<gossip::Message>& said, Step& out);
 
     Options options_;
     raft::ProcessIncarnation processIncarnation_;
-    lease_sessions::Table table_;
+    lease_sessions::SessionTable table_;
     raft::RaftConsensus raft_;
     lease_sessions::LeaseManager leaseManager_;
     lease_sessions::LeaseClient leaseClient_;
--- a/src/cluster/outbox.hpp
+++ b/src/cluster/outbox.hpp
@@ -15,12 +15,12 @@
 
 class Outbox {
 public:
-    explicit Outbox(std::size_t most = 1024) : most_(most) {}
+    explicit Outbox(std::size_t most = 1024) : maxSteps_(most) {}
 
     // Returns what may leave now. `keeps`: a write was begun for this step, whose end written() will tell.
-    std::vector<Datagram> put(std::vector<Datagram> send, bool keeps) {
+    std::vector<Datagram> enqueue(std::vector<Datagram> send, bool keeps) {
         if (!keeps && waiting_.empty()) return send;
-        if (waiting_.size() >= most_) {
+        if (waiting_.size() >= maxSteps_) {
             dropped_ += send.size();
             send.clear();
             if (!keeps) return {};
@@ -29,7 +29,7 @@
         return {};
     }
     // The oldest write that was begun is durable.
-    std::vector<Datagram> written() {
+    std::vector<Datagram> releaseOldestWrite() {
         std::vector<Datagram> out;
         bool passed = false;
         while (!waiting_.empty() && (!passed || !waiting_.front().gate)) {
@@ -45,12 +45,12 @@
     std::uint64_t dropped() const { return dropped_; }
 
 private:
-    struct Held {
+    struct PendingStep {
         std::vector<Datagram> send;
         bool gate = false;
     };
-    std::size_t most_;
-    std::deque<Held> waiting_;
+    std::size_t maxSteps_;
+    std::deque<PendingStep> waiting_;
     std::uint64_t dropped_ = 0;
 };
 
--- a/src/cluster/wire.cpp
+++ b/src/cluster/wire.cpp
@@ -7,25 +7,32 @@
 namespace beechpoint::raft {
 
 static auto fields(Entry& x) { return std::tie(x.term, x.kind, x.data); }
-static auto fields(PreVote& x) { return std::tie(x.term, x.last, x.lastTerm); }
-static auto fields(PreVoteReply& x) { return std::tie(x.term, x.yes, x.known); }
-static auto fields(VoteRequest& x) { return std::tie(x.term, x.last, x.lastTerm); }
-static auto fields(VoteReply& x) { return std::tie(x.term, x.yes); }
-static auto fields(Append& x) {
-    return std::tie(x.term, x.prev, x.prevDigest, x.commit, x.round, x.holds, x.entry);
+static auto fields(PreVote& x) { return std::tie(x.term, x.lastLogIndex, x.lastLogTerm); }
+static auto fields(PreVoteReply& x) { return std::tie(x.term, x.voteGranted, x.newestTerm); }
+static auto fields(RequestVote& x) { return std::tie(x.term, x.lastLogIndex, x.lastLogTerm); }
+static auto fields(RequestVoteReply& x) { return std::tie(x.term, x.voteGranted); }
+static auto fields(AppendEntries& x) {
+    return std::tie(x.term, x.prevLogIndex, x.prevLogDigest, x.leaderCommit, x.heartbeatRound, x.hasEntry,
+                    x.entry);
 }
-static auto fields(AppendReply& x) { return std::tie(x.term, x.ok, x.match, x.round, x.counts); }
-static auto fields(StateRequest& x) { return std::tie(x.nonce); }
-static auto fields(StateReply& x) {
-    return std::tie(x.nonce, x.standing, x.term, x.promised, x.leads, x.last, x.number, x.voter);
+static auto fields(AppendEntriesReply& x) {
+    return std::tie(x.term, x.success, x.matchIndex, x.heartbeatRound, x.canVote);
 }
-static auto fields(Found& x) { return std::tie(x.number, x.processIncarnation); }
+static auto fields(RecoveryRequest& x) { return std::tie(x.nonce); }
+static auto fields(RecoveryResponse& x) {
+    return std::tie(x.nonce, x.status, x.term, x.promisedTerm, x.isLeader, x.lastLogIndex, x.groupNumber,
+                    x.askerIsVoter);
+}
+static auto fields(FoundGroup& x) { return std::tie(x.groupNumber, x.processIncarnation); }
 static auto fields(SnapshotChunk& x) {
-    return std::tie(x.term, x.index, x.indexTerm, x.digest, x.sum, x.offset, x.total, x.bytes);
+    return std::tie(x.term, x.lastIncludedIndex, x.lastIncludedTerm, x.lastIncludedDigest, x.checksum,
+                    x.offset, x.totalBytes, x.bytes);
+}
+static auto fields(SnapshotChunkReply& x) { return std::tie(x.term, x.lastIncludedIndex, x.nextOffset); }
+static auto fields(CatchUpRequest& x) { return std::tie(x.commitIndex, x.commitDigest); }
+static auto fields(CatchUpReply& x) {
+    return std::tie(x.prevLogIndex, x.prevLogDigest, x.commitIndex, x.hasEntry, x.entry);
 }
-static auto fields(SnapshotChunkReply& x) { return std::tie(x.term, x.index, x.offset); }
-static auto fields(Pull& x) { return std::tie(x.last, x.digest); }
-static auto fields(Tail& x) { return std::tie(x.prev, x.prevDigest, x.commit, x.holds, x.entry); }
 
 }  // namespace beechpoint::raft
 
@@ -36,19 +43,21 @@
                     x.fencingToken, x.to);
 }
 static auto fields(Result& x) { return std::tie(x.verdict, x.fencingToken, x.session); }
-static auto fields(Ask& x) { return std::tie(x.command); }
-static auto fields(Answer& x) { return std::tie(x.to, x.number, x.result, x.leader); }
-static auto fields(Renew& x) { return std::tie(x.session, x.number); }
-static auto fields(Renewed& x) { return std::tie(x.to, x.number, x.verdict, x.session, x.leader, x.held); }
-static auto fields(Granted& x) { return std::tie(x.to, x.session, x.singletonRole, x.fencingToken); }
+static auto fields(CommandRequest& x) { return std::tie(x.command); }
+static auto fields(CommandReply& x) { return std::tie(x.to, x.number, x.result, x.leader); }
+static auto fields(RenewRequest& x) { return std::tie(x.session, x.number); }
+static auto fields(RenewReply& x) {
+    return std::tie(x.to, x.number, x.verdict, x.session, x.leader, x.leases);
+}
+static auto fields(GrantNotice& x) { return std::tie(x.to, x.session, x.singletonRole, x.fencingToken); }
 
 }  // namespace beechpoint::lease_sessions
 
 namespace beechpoint::gossip {
 
-static auto fields(Rumour& x) { return std::tie(x.member, x.presence, x.incarnation, x.by); }
+static auto fields(Rumour& x) { return std::tie(x.member, x.presence, x.incarnation, x.suspectedBy); }
 static auto fields(Ping& x) { return std::tie(x.number, x.rumours); }
-static auto fields(PingAsk& x) { return std::tie(x.number, x.target, x.rumours); }
+static auto fields(PingRequest& x) { return std::tie(x.number, x.target, x.rumours); }
 static auto fields(Ack& x) { return std::tie(x.number, x.rumours); }
 static auto fields(Nack& x) { return std::tie(x.number); }
 
@@ -56,8 +65,8 @@
 
 namespace beechpoint::health_check {
 
-static auto fields(Ask& x) { return std::tie(x.host, x.number); }
-static auto fields(Word& x) { return std::tie(x.host, x.number, x.there, x.ageMs); }
+static auto fields(HealthQuery& x) { return std::tie(x.host, x.number); }
+static auto fields(HealthReport& x) { return std::tie(x.host, x.number, x.reachable, x.ageMs); }
 
 }  // namespace beechpoint::health_check
 
@@ -79,12 +88,15 @@
 std::optional<raft::Body> readRaft(std::string_view bytes) {
     auto body = readAs(bytes, static_cast<const raft::Body*>(nullptr));
     const auto senseless = [](const raft::Entry& e) {
-        return e.data.size() > raft::kMaxEntryBytes || e.kind > raft::Kind::voters;
+        return e.data.size() > raft::kMaxEntryBytes || e.kind > raft::EntryKind::voters;
     };
     if (body) {
-        if (const auto* a = std::get_if<raft::Append>(&*body); a && senseless(a->entry)) return std::nullopt;
-        if (const auto* t = std::get_if<raft::Tail>(&*body); t && senseless(t->entry)) return std::nullopt;
-        if (const auto* r = std::get_if<raft::StateReply>(&*body); r && r->standing > raft::Standing::normal)
+        if (const auto* a = std::get_if<raft::AppendEntries>(&*body); a && senseless(a->entry))
+            return std::nullopt;
+        if (const auto* t = std::get_if<raft::CatchUpReply>(&*body); t && senseless(t->entry))
+            return std::nullopt;
+        if (const auto* r = std::get_if<raft::RecoveryResponse>(&*body);
+            r && r->status > raft::RecoveryStatus::normal)
             return std::nullopt;
     }
     return body;
@@ -92,8 +104,8 @@
 std::optional<lease_sessions::Body> readLeaseSessions(std::string_view bytes) {
     auto body = readAs(bytes, static_cast<const lease_sessions::Body*>(nullptr));
     if (!body) return body;
-    if (const auto* a = std::get_if<lease_sessions::Ask>(&*body);
-        a && a->command.op > lease_sessions::Op::hand)
+    if (const auto* a = std::get_if<lease_sessions::CommandRequest>(&*body);
+        a && a->command.op > lease_sessions::Operation::transfer)
         return std::nullopt;
     return body;
 }
@@ -106,9 +118,9 @@
     if (!body) return body;
     const std::vector<gossip::Rumour>* told = nullptr;
     if (const auto* p = std::get_if<gossip::Ping>(&*body)) told = &p->rumours;
-    if (const auto* p = std::get_if<gossip::PingAsk>(&*body)) told = &p->rumours;
+    if (const auto* p = std::get_if<gossip::PingRequest>(&*body)) told = &p->rumours;
     if (const auto* p = std::get_if<gossip::Ack>(&*body)) told = &p->rumours;
-    if (told != nullptr && (told->size() > gossip::kRumours ||
+    if (told != nullptr && (told->size() > gossip::kMaxRumours ||
                             std::any_of(told->begin(), told->end(), [](const gossip::Rumour& r) {
                                 return r.presence > gossip::Presence::left;
                             })))
--- a/src/durable_files/disk.cpp
+++ b/src/durable_files/disk.cpp
@@ -39,25 +39,25 @@
 
 }  // namespace
 
-std::optional<std::string> Disk::read(const std::string& path) {
+std::optional<std::string> FileSystem::read(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     if (!file) return std::nullopt;
     std::string all(std::istreambuf_iterator<char>(file), {});
     return file.bad() ? std::nullopt : std::optional(std::move(all));
 }
-bool Disk::write(const std::string& path, std::string_view bytes) {
+bool FileSystem::write(const std::string& path, std::string_view bytes) {
     return Open(path, O_CREAT | O_WRONLY | O_TRUNC).all(bytes);
 }
-bool Disk::append(const std::string& path, std::string_view bytes) {
+bool FileSystem::append(const std::string& path, std::string_view bytes) {
     return Open(path, O_CREAT | O_WRONLY | O_APPEND).all(bytes);
 }
-bool Disk::sync(const std::string& path) { return Open(path, O_WRONLY).sync(); }
-bool Disk::rename(const std::string& from, const std::string& to) {
+bool FileSystem::sync(const std::string& path) { return Open(path, O_WRONLY).sync(); }
+bool FileSystem::rename(const std::string& from, const std::string& to) {
     return std::rename(from.c_str(), to.c_str()) == 0;
 }
-bool Disk::remove(const std::string& path) { return ::unlink(path.c_str()) == 0; }
-bool Disk::syncFolder(const std::string& folder) { return Open(folder, O_RDONLY | O_DIRECTORY).sync(); }
-std::vector<std::string> Disk::list(const std::string& folder) {
+bool FileSystem::remove(const std::string& path) { return ::unlink(path.c_str()) == 0; }
+bool FileSystem::syncFolder(const std::string& folder) { return Open(folder, O_RDONLY | O_DIRECTORY).sync(); }
+std::vector<std::string> FileSystem::list(const std::string& folder) {
     std::vector<std::string> names;
     std::error_code error;
     for (std::filesystem::directory_iterator i(folder, error), end; !error && i != end; i.increment(error))
--- a/src/durable_files/files.hpp
+++ b/src/durable_files/files.hpp
@@ -27,7 +27,7 @@
     virtual std::vector<std::string> list(const std::string& folder) = 0;  // names, in order
 };
 
-class Disk : public Files {
+class FileSystem : public Files {
 public:
     std::optional<std::string> read(const std::string& path) override;
     bool write(const std::string& path, std::string_view bytes) override;
--- a/src/emulator/group_run.cpp
+++ b/src/emulator/group_run.cpp
@@ -81,12 +81,12 @@
     plan.scripted = true;
     plan.delayFrom = s.delayMs[0], plan.delayTo = s.delayMs[1];
     plan.twice = s.twice, plan.spoilt = s.spoilt;
-    if (s.broken == "noMargin") plan.times.drift = plan.times.margin = plan.times.settle = 0;
+    if (s.broken == "noMargin") plan.times.drift = plan.times.margin = plan.times.stabilization = 0;
     if (s.broken == "forgetsVote") plan.safeguards.recovery = false;
     if (s.broken == "noPreVote") plan.safeguards.preVote = false;
     if (s.broken == "olderTerm") plan.safeguards.ownTermCommit = false;
     if (s.broken == "noFence") plan.fencesChecked = false;
-    if (s.broken == "notProlonged") plan.times.prolong = false;
+    if (s.broken == "notProlonged") plan.times.extendOnElection = false;
     return plan;
 }
 GroupSweep sweepGroup(const GroupScenario& scenario, std::uint64_t from, std::uint64_t count) {
--- a/src/emulator/group_world.cpp
+++ b/src/emulator/group_world.cpp
@@ -28,9 +28,9 @@
         m->options.self = names[static_cast<std::size_t>(i)];
         m->options.members = names;
         m->options.voters = voters;
-        m->options.willing = i < plan_.willing;
+        m->options.holdsRoles = i < plan_.willing;
         m->options.raft.safeguards = plan_.safeguards;
-        m->options.raft.mostEntries = 40;  // cut often
+        m->options.raft.maxLogEntries = 40;  // cut often
         m->options.times = plan_.times;
         m->rate = 1 + plan_.drift * (2 * unit() - 1);
         if (!plan_.rates.empty()) m->rate = plan_.rates[static_cast<std::size_t>(i)];
@@ -98,7 +98,7 @@
                 break;
             case Event::Kind::act: {
                 if (e.epoch != m.processIncarnation) break;
-                act(e.member);
+                actOnLeases(e.member);
                 Event next = e;
                 next.at = now_ + kActEvery / m.rate;
                 next.order = ++order_;
--- a/src/emulator/group_world.hpp
+++ b/src/emulator/group_world.hpp
@@ -120,13 +120,13 @@
     double unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
     Millis between(Millis a, Millis b) { return a + (b - a) * unit(); }
     void carry(int member, const cluster::Step& step);
-    bool keep(int member);
+    bool persist(int member);
     void step(int member, const std::function<void(cluster::Core&, Millis, cluster::Step&)>& call);
     void schedule(int member);
     void transit(int from, int to, const std::string& bytes);
-    void act(int member);
-    void land(int member, const std::string& singletonRole, std::uint64_t fencingToken, bool late);
-    void look(int member);
+    void actOnLeases(int member);
+    void carryOutAct(int member, const std::string& singletonRole, std::uint64_t fencingToken, bool late);
+    void checkMember(int member);
     void violate(const std::string& kind, const std::string& text);
     void fault();
     void killAndRestart(int member);
--- a/src/emulator/group_world_checks.cpp
+++ b/src/emulator/group_world_checks.cpp
@@ -17,8 +17,8 @@
 int GroupWorld::leader() const {
     int best = -1;
     for (int i = 0; i < plan_.members; ++i)
-        if (alive(i) && core(i).raft().ready() &&
-            (best < 0 || core(i).raft().term() > core(best).raft().term()))
+        if (alive(i) && core(i).raft().isReadyLeader() &&
+            (best < 0 || core(i).raft().currentTerm() > core(best).raft().currentTerm()))
             best = i;
     return best;
 }
@@ -26,77 +26,79 @@
 int GroupWorld::holder(const std::string& singletonRole) const {
     for (int i = 0; i < plan_.members; ++i) {
         const Member& m = *members_[static_cast<std::size_t>(i)];
-        if (m.core && !m.stopped && m.core->holder().mayAct(m.local(now_), singletonRole)) return i;
+        if (m.core && !m.stopped && m.core->leaseClient().mayAct(m.local(now_), singletonRole)) return i;
     }
     return -1;
 }
 
-void GroupWorld::look(int member) {
+void GroupWorld::checkMember(int member) {
     Member& m = *members_[static_cast<std::size_t>(member)];
     const raft::RaftConsensus& l = m.core->raft();
     collect(member);
-    if (l.leads()) {
-        const auto [it, fresh] = leaders_.try_emplace({l.number(), l.term()}, member);
+    if (l.isLeader()) {
+        const auto [it, fresh] = leaders_.try_emplace({l.groupNumber(), l.currentTerm()}, member);
         if (fresh) ++report_.leaders;
         if (it->second != member)
-            violate("two leaders", fmt::format("g{} and g{} in term {}", it->second, member, l.term()));
+            violate("two leaders",
+                    fmt::format("g{} and g{} in term {}", it->second, member, l.currentTerm()));
         raft::Index most = 0;
-        for (auto t = most_.lower_bound({l.number(), 0});
-             t != most_.end() && t->first < std::pair{l.number(), l.term()}; ++t)
+        for (auto t = most_.lower_bound({l.groupNumber(), 0});
+             t != most_.end() && t->first < std::pair{l.groupNumber(), l.currentTerm()}; ++t)
             most = std::max(most, t->second);
-        if (fresh && l.last() < most)
+        if (fresh && l.lastLogIndex() < most)
             violate("settled entry lost",
-                    fmt::format("g{} leads with {} entries of {}", member, l.last(), most));
+                    fmt::format("g{} leads with {} entries of {}", member, l.lastLogIndex(), most));
     }
-    for (raft::Index i = m.seen + 1; i <= l.commit(); ++i) {
+    for (raft::Index i = m.seen + 1; i <= l.commitIndex(); ++i) {
         const raft::Digest d = l.digestAt(i);
         if (d == 0) continue;
-        const auto [it, fresh] = settled_.try_emplace({l.number(), i}, d);
+        const auto [it, fresh] = settled_.try_emplace({l.groupNumber(), i}, d);
         if (fresh) ++report_.commits;
         if (it->second != d) violate("settled entries differ", fmt::format("entry {} at g{}", i, member));
     }
     if (trace) {
         std::string may;
-        for (const auto& [singletonRole, fencingToken] : m.core->holder().held())
+        for (const auto& [singletonRole, fencingToken] : m.core->leaseClient().heldLeases())
             may += fmt::format(" {}/{}", singletonRole, fencingToken & 0xffffffff);
         if (may != m.told)
             trace(fmt::format("{:9.1f} g{} holds{} session until {:.0f}", now_, member, may,
-                              m.world(m.core->holder().sessionUntil())));
+                              m.world(m.core->leaseClient().sessionUntil())));
         m.told = may;
     }
-    m.seen = std::max(m.seen, l.commit());
-    if (l.leads()) {
-        raft::Index& most = most_[{l.number(), l.term()}];
-        most = std::max(most, l.commit());
+    m.seen = std::max(m.seen, l.commitIndex());
+    if (l.isLeader()) {
+        raft::Index& most = most_[{l.groupNumber(), l.currentTerm()}];
+        most = std::max(most, l.commitIndex());
     }
-    report_.terms = std::max<std::uint64_t>(report_.terms, l.term());
+    report_.terms = std::max<std::uint64_t>(report_.terms, l.currentTerm());
     if (m.core->traffic().tooLong > m.tooLong)
         violate("datagram too long", fmt::format("g{}", member)), m.tooLong = m.core->traffic().tooLong;
-    if (l.number() == 0) return;
+    if (l.groupNumber() == 0) return;
     // As the driver does (group/group.cpp): what there is to be and is not is asked for, and again if the asking came to nothing.
-    if (!m.core->holder().inSession(m.local(now_)) || m.local(now_) < m.wantAt) return;
-    m.wantAt = m.local(now_) + cluster::kWantAgain;
+    if (!m.core->leaseClient().inSession(m.local(now_)) || m.local(now_) < m.wantAt) return;
+    m.wantAt = m.local(now_) + cluster::kDefineRolesInterval;
     for (int d = 0; d < plan_.singletonRoles; ++d)
         if (m.core->table().singletonRole(singletonRoleName(d)) == nullptr)
-            m.core->holder().want(singletonRoleName(d));
+            m.core->leaseClient().defineRole(singletonRoleName(d));
 }
 
-void GroupWorld::act(int member) {
+void GroupWorld::actOnLeases(int member) {
     Member& m = *members_[static_cast<std::size_t>(member)];
     if (!m.core || m.stopped) return;
-    for (const auto& [singletonRole, fencingToken] : m.core->holder().held()) {
-        if (!m.core->holder().mayAct(m.local(now_), singletonRole)) continue;
+    for (const auto& [singletonRole, fencingToken] : m.core->leaseClient().heldLeases()) {
+        if (!m.core->leaseClient().mayAct(m.local(now_), singletonRole)) continue;
         for (int i = 0; i < plan_.members; ++i) {
             const Member& o = *members_[static_cast<std::size_t>(i)];
             if (i == member || !o.core || o.stopped) continue;
-            if (o.core->holder().mayAct(o.local(now_), singletonRole))
+            if (o.core->leaseClient().mayAct(o.local(now_), singletonRole))
                 violate("two holders", fmt::format("{}: g{} and g{}", singletonRole, member, i));
         }
-        land(member, singletonRole, fencingToken, false);
+        carryOutAct(member, singletonRole, fencingToken, false);
     }
 }
 
-void GroupWorld::land(int member, const std::string& singletonRole, std::uint64_t fencingToken, bool late) {
+void GroupWorld::carryOutAct(int member, const std::string& singletonRole, std::uint64_t fencingToken,
+                             bool late) {
     Resource& r = resources_[singletonRole];
     if (fencingToken < r.fencingToken) {
         if (!late)
@@ -126,14 +128,14 @@
     const int lead = leader();
     const auto why = [&](std::string text) { report_.restless = std::move(text); };
     if (lead < 0) return why("nobody leads");
-    const raft::Index settled = core(lead).raft().commit();
+    const raft::Index settled = core(lead).raft().commitIndex();
     for (int i = 0; i < plan_.members; ++i) {
         const raft::RaftConsensus& l = core(i).raft();
         const bool voter = core(lead).raft().isVoter(name(i));
         if (voter && l.role() < raft::Role::follower)
             return why(fmt::format("g{} is {}", i, nameOf(l.role())));
-        if (l.commit() + (voter ? 8 : 64) < settled)
-            return why(fmt::format("g{} has {} of {} entries", i, l.commit(), settled));
+        if (l.commitIndex() + (voter ? 8 : 64) < settled)
+            return why(fmt::format("g{} has {} of {} entries", i, l.commitIndex(), settled));
     }
     for (int d = 0; d < plan_.singletonRoles; ++d)
         if (holder(singletonRoleName(d)) < 0) {
@@ -158,7 +160,7 @@
             history_[call.first].push_back(call.second);
         }
         for (const auto& [reason, count] : m.core->traffic().refused) report_.refused += count;
-        report_.snapshots += m.core->raft().counters().snapshots;
+        report_.snapshots += m.core->raft().counters().snapshotsInstalled;
         report_.mostBytesPerS =
             std::max(report_.mostBytesPerS, static_cast<double>(m.sentBytes) / std::max(now_ / 1000, 0.001));
     }
--- a/src/emulator/group_world_faults.cpp
+++ b/src/emulator/group_world_faults.cpp
@@ -29,8 +29,8 @@
     if (!alive(member)) return;
     const auto& l = core(member).raft();
     ++report_.met[kind + " at a " + nameOf(l.role())];
-    if (!core(member).holder().held().empty()) ++report_.met[kind + " at a holder"];
-    if (core(member).holder().pending() > 0) ++report_.met[kind + " during a request"];
+    if (!core(member).leaseClient().heldLeases().empty()) ++report_.met[kind + " at a holder"];
+    if (core(member).leaseClient().pending() > 0) ++report_.met[kind + " during a request"];
 }
 
 void GroupWorld::wipe(int member) {
--- a/src/emulator/group_world_member.hpp
+++ b/src/emulator/group_world_member.hpp
@@ -23,8 +23,8 @@
     bool stopped = false;
     std::uint64_t epoch = 0;
     FaultyFiles files{1};
-    std::optional<raft::Journal> journal;
-    std::optional<raft::Folder> folder;
+    std::optional<raft::StateEncoder> journal;
+    std::optional<raft::StateFolder> folder;
     std::map<std::string, std::string> first;  // the folder as it was when the group had just begun
     std::vector<std::string> buffer;
     raft::Index seen = 0;
--- a/src/emulator/group_world_members.cpp
+++ b/src/emulator/group_world_members.cpp
@@ -15,15 +15,15 @@
     cluster::Step out;
     call(*m.core, m.local(now_), out);
     carry(member, out);
-    look(member);
+    checkMember(member);
     schedule(member);
 }
 
 void GroupWorld::carry(int member, const cluster::Step& step) {
     Member& m = *members_[static_cast<std::size_t>(member)];
-    if (step.keep && plan_.lasting && !keep(member)) return;
+    if (step.mustPersist && plan_.lasting && !persist(member)) return;
     if (trace)
-        for (const std::string& note : step.notes) trace(fmt::format("{:9.1f} g{} {}", now_, member, note));
+        for (const std::string& note : step.events) trace(fmt::format("{:9.1f} g{} {}", now_, member, note));
     for (const cluster::Datagram& d : step.send) {
         const int to = std::stoi(d.to.substr(1));
         m.sentBytes += d.bytes.size();
@@ -33,18 +33,18 @@
 }
 
 // False: the machine stopped in the middle, or its disk failed, and nothing of that step ever left it.
-bool GroupWorld::keep(int member) {
+bool GroupWorld::persist(int member) {
     Member& m = *members_[static_cast<std::size_t>(member)];
-    const raft::Write write = m.journal->changes(m.core->raft(), 4096);
+    const raft::StateWrite write = m.journal->encodeChanges(m.core->raft(), 4096);
     bool kept = false;
     try {
-        kept = m.folder->keep(write);
+        kept = m.folder->persist(write);
     } catch (const Crash&) {
         ++report_.met["crash in a write at a " + std::string(nameOf(m.core->raft().role()))];
         m.files.crash();
     }
     if (kept) {
-        if (m.first.empty() && m.core->raft().number() != 0) m.first = m.files.all();
+        if (m.first.empty() && m.core->raft().groupNumber() != 0) m.first = m.files.all();
         return true;
     }
     at(now_, [this, member] { kill(member); });
@@ -55,7 +55,7 @@
 
 void GroupWorld::schedule(int member) {
     Member& m = *members_[static_cast<std::size_t>(member)];
-    const Millis next = m.core->next();
+    const Millis next = m.core->nextDeadline();
     if (next > 1e200) return;
     Event e;
     e.at = std::max(now_ + 0.05, m.world(next));
@@ -98,9 +98,9 @@
         std::string note;
         m.folder.emplace(m.files, "folder", m.options.group, m.options.self);
         m.journal.emplace(m.options.group, m.options.self, m.processIncarnation);
-        raft::Read read = m.folder->load(note);
-        ++report_.folders[nameOf(read.how)];
-        kept = std::move(read.kept);
+        raft::ReadState read = m.folder->load(note);
+        ++report_.folders[nameOf(read.outcome)];
+        kept = std::move(read.state);
         if (trace && !note.empty()) trace(fmt::format("{:9.1f} g{} {}", now_, member, note));
     }
     m.core = std::make_unique<cluster::Core>(m.options, m.processIncarnation, random_(), m.local(now_), kept);
@@ -117,8 +117,8 @@
     Member& m = *members_[static_cast<std::size_t>(member)];
     if (!m.core || m.stopped) return;
     // At the worst moment: between the check and the act.
-    for (const auto& [singletonRole, fencingToken] : m.core->holder().held())
-        if (m.core->holder().mayAct(m.local(now_), singletonRole))
+    for (const auto& [singletonRole, fencingToken] : m.core->leaseClient().heldLeases())
+        if (m.core->leaseClient().mayAct(m.local(now_), singletonRole))
             m.begun.emplace_back(singletonRole, fencingToken);
     m.stopped = true;
 }
@@ -128,8 +128,8 @@
     if (!m.core || !m.stopped) return;
     m.stopped = false;
     for (const auto& [singletonRole, fencingToken] : std::exchange(m.begun, {}))
-        land(member, singletonRole, fencingToken, true);
-    act(member);  // its first thought after waking, before it has read anything
+        carryOutAct(member, singletonRole, fencingToken, true);
+    actOnLeases(member);  // its first thought after waking, before it has read anything
     for (const std::string& bytes : std::exchange(m.buffer, {}))
         step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) { c.receive(t, bytes, out); });
     step(member, [](cluster::Core& c, Millis t, cluster::Step& out) { c.advance(t, out); });
@@ -144,27 +144,27 @@
 }
 
 void GroupWorld::found(int member, std::uint64_t number) {
-    step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) { c.found(t, number, out); });
+    step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) { c.foundGroup(t, number, out); });
 }
 
 void GroupWorld::take(int member, const std::string& singletonRole) {
     step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) {
         DutyOp op;
         op.kind = DutyOp::Kind::take, op.member = name(member), op.from = now_;
-        members_[static_cast<std::size_t>(member)]->calls[c.holder().take(singletonRole)] = {singletonRole,
-                                                                                             op};
+        members_[static_cast<std::size_t>(member)]->calls[c.leaseClient().acquire(singletonRole)] = {
+            singletonRole, op};
         c.advance(t, out);
     });
 }
 
 void GroupWorld::giveUp(int member, const std::string& singletonRole, const std::string& to) {
     step(member, [&](cluster::Core& c, Millis t, cluster::Step& out) {
-        const auto held = c.holder().held().find(singletonRole);
-        if (held == c.holder().held().end()) return;
+        const auto held = c.leaseClient().heldLeases().find(singletonRole);
+        if (held == c.leaseClient().heldLeases().end()) return;
         DutyOp op;
         op.kind = DutyOp::Kind::giveUp, op.member = name(member), op.from = now_,
         op.fencingToken = held->second;
-        members_[static_cast<std::size_t>(member)]->calls[c.holder().giveUp(singletonRole, to)] = {
+        members_[static_cast<std::size_t>(member)]->calls[c.leaseClient().release(singletonRole, to)] = {
             singletonRole, op};
         c.advance(t, out);
     });
@@ -172,7 +172,7 @@
 
 void GroupWorld::collect(int member) {
     Member& m = *members_[static_cast<std::size_t>(member)];
-    for (const lease_sessions::Outcome& o : m.core->holder().takeOutcomes()) {
+    for (const lease_sessions::CommandOutcome& o : m.core->leaseClient().takeOutcomes()) {
         const auto call = m.calls.find(o.request);
         if (call == m.calls.end()) continue;
         auto [singletonRole, op] = call->second;
@@ -180,9 +180,10 @@
         op.to = now_;
         op.known = o.known;
         // Handed to one that was not in session: it is free, which is a yes to giving up.
-        op.yes = o.known &&
-                 (o.result.verdict == lease_sessions::Verdict::yes ||
-                  (op.kind == DutyOp::Kind::giveUp && o.result.verdict == lease_sessions::Verdict::wait));
+        op.yes =
+            o.known &&
+            (o.result.verdict == lease_sessions::Verdict::done ||
+             (op.kind == DutyOp::Kind::giveUp && o.result.verdict == lease_sessions::Verdict::retryLater));
         if (op.kind == DutyOp::Kind::take) op.fencingToken = o.result.fencingToken;
         history_[singletonRole].push_back(op);
         ++report_.outcomes[!o.known ? "not known" : op.yes ? "yes" : "no"];
--- a/src/gatherer.cpp
+++ b/src/gatherer.cpp
@@ -98,7 +98,8 @@
         snmp_ = std::make_unique<snmp::Agent>(io, counters, snmp::objectsOf(counters, config.name, clock),
                                               config.snmpCommunity);
     if (config.group)
-        group_ = std::make_unique<cluster::Group>(io, clock, counters, log, *config.group, config.name);
+        group_ =
+            std::make_unique<cluster::ClusterMember>(io, clock, counters, log, *config.group, config.name);
     if (config.group && !config.group->proberDuty.empty()) exchange_.attach(static_cast<HostProbes&>(*this));
     if (!config.search) return;
     search_ = std::make_unique<frontend::OpenSearch>(
@@ -249,11 +250,11 @@
 
 void Gatherer::singletonRole(bool take, const std::string& name, const std::string& to,
                              std::function<void(Settled)> later) {
-    const auto then = [later = std::move(later)](cluster::Group::Settled end) {
-        later({end.known, end.yes, end.fencingToken});
+    const auto then = [later = std::move(later)](cluster::ClusterMember::OperationEnd end) {
+        later({end.isKnown, end.succeeded, end.fencingToken});
     };
     if (!group_) return then({true, false, 0});
-    take ? group_->take(name, then) : group_->give(name, to, then);
+    take ? group_->acquireRole(name, then) : group_->releaseRole(name, to, then);
 }
 
 void Gatherer::trackHost(const std::string& id, bool out, Later later) {
--- a/src/gatherer.hpp
+++ b/src/gatherer.hpp
@@ -46,11 +46,11 @@
     bool drain(bool start) override;
     void trackHost(const std::string& id, bool out, Later later) override;
     std::string group() const override { return group_ ? group_->show() : std::string(); }
-    bool foundGroup(std::uint64_t number) override { return group_ && group_->found(number); }
+    bool foundGroup(std::uint64_t number) override { return group_ && group_->foundGroup(number); }
     void singletonRole(bool take, const std::string& name, const std::string& to,
                        std::function<void(Settled)> later) override;
-    bool away(const std::string& server) override { return group_->away(server); }
-    void saw(const std::string& server, bool there) override { group_->saw(server, there); }
+    bool away(const std::string& server) override { return group_->isTakenAsUnreachable(server); }
+    void saw(const std::string& server, bool there) override { group_->recordProbe(server, there); }
     void lifecycleChanged();
     void shareLimits();
     void closeSome();
@@ -75,7 +75,7 @@
     discovery::Watch watch_;
     std::unique_ptr<admin::BanFile> banFile_;
     std::unique_ptr<admin::OverlapRecord> record_;
-    std::unique_ptr<cluster::Group> group_;                      // off on the platform
+    std::unique_ptr<cluster::ClusterMember> group_;              // off on the platform
     std::unique_ptr<admin::OperatorEndpoint> operatorEndpoint_;  // closed where no address is named
     std::function<void()> stopped_;
     double share_ = 1;  // of the limits
--- a/src/gossip/datagram.cpp
+++ b/src/gossip/datagram.cpp
@@ -23,71 +23,73 @@
 
 }  // namespace
 
-std::string seal(const std::string& group, const Header& header, std::string_view body) {
-    Names names{hashOf(group), header.sender, header.processIncarnation, header.number};
+std::string encodeDatagram(const std::string& group, const Header& header, std::string_view body) {
+    Names names{hashOf(group), header.sender, header.processIncarnation, header.groupNumber};
     msgpack::sbuffer packed;
     msgpack::packer<msgpack::sbuffer> packer(packed);
     packField(packer, names);
     std::string rest(packed.data(), packed.size());
     rest += body;
-    if (rest.size() + kHead > kMostBytes) return {};
-    const std::uint32_t sum = hashOf(rest, static_cast<std::uint64_t>(header.room));
-    std::string out{'b', 'g', static_cast<char>(kVersion), static_cast<char>(header.room)};
+    if (rest.size() + kHead > kMaxDatagramBytes) return {};
+    const std::uint32_t sum = hashOf(rest, static_cast<std::uint64_t>(header.channel));
+    std::string out{'b', 'g', static_cast<char>(kVersion), static_cast<char>(header.channel)};
     for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(sum >> shift & 0xff);
     return out + rest;
 }
 
-const char* nameOf(Refusal reason) {
+const char* nameOf(DropReason reason) {
     switch (reason) {
-        case Refusal::none:
+        case DropReason::none:
             return "none";
-        case Refusal::tooLong:
+        case DropReason::tooLong:
             return "too-long";
-        case Refusal::tooShort:
+        case DropReason::tooShort:
             return "too-short";
-        case Refusal::notOurs:
+        case DropReason::foreign:
             return "not-ours";
-        case Refusal::version:
+        case DropReason::version:
             return "version";
-        case Refusal::checksum:
+        case DropReason::checksum:
             return "checksum";
-        case Refusal::group:
+        case DropReason::group:
             return "group";
-        case Refusal::header:
+        case DropReason::header:
             return "header";
     }
     return "?";
 }
 
-std::optional<Opened> open(const std::string& group, std::string_view bytes, Refusal& why) {
-    const auto no = [&](Refusal reason) {
+std::optional<DecodedDatagram> decodeDatagram(const std::string& group, std::string_view bytes,
+                                              DropReason& why) {
+    const auto no = [&](DropReason reason) {
         why = reason;
         return std::nullopt;
     };
-    if (bytes.size() > kMostBytes) return no(Refusal::tooLong);
-    if (bytes.size() <= kHead) return no(Refusal::tooShort);
-    if (bytes[0] != 'b' || bytes[1] != 'g') return no(Refusal::notOurs);
-    if (static_cast<std::uint8_t>(bytes[2]) != kVersion) return no(Refusal::version);
+    if (bytes.size() > kMaxDatagramBytes) return no(DropReason::tooLong);
+    if (bytes.size() <= kHead) return no(DropReason::tooShort);
+    if (bytes[0] != 'b' || bytes[1] != 'g') return no(DropReason::foreign);
+    if (static_cast<std::uint8_t>(bytes[2]) != kVersion) return no(DropReason::version);
     std::uint32_t sum = 0;
     for (std::size_t i = 4; i < kHead; ++i) sum = sum << 8 | static_cast<std::uint8_t>(bytes[i]);
     const std::string_view rest = bytes.substr(kHead);
     const auto room = static_cast<std::uint8_t>(bytes[3]);
-    if (sum != hashOf(rest, room)) return no(Refusal::checksum);
+    if (sum != hashOf(rest, room)) return no(DropReason::checksum);
     if (room < static_cast<std::uint8_t>(Channel::membership) ||
         room > static_cast<std::uint8_t>(Channel::hostProber))
-        return no(Refusal::header);
+        return no(DropReason::header);
     try {
         std::size_t offset = 0;
         Names names;
         const msgpack::object_handle handle = msgpack::unpack(rest.data(), rest.size(), offset);
         readField(handle.get(), names);
-        if (names.group != hashOf(group)) return no(Refusal::group);
-        if (names.sender.empty() || names.processIncarnation == 0) return no(Refusal::header);
-        why = Refusal::none;
-        return Opened{{static_cast<Channel>(room), names.sender, names.processIncarnation, names.number},
-                      std::string(rest.substr(offset))};
+        if (names.group != hashOf(group)) return no(DropReason::group);
+        if (names.sender.empty() || names.processIncarnation == 0) return no(DropReason::header);
+        why = DropReason::none;
+        return DecodedDatagram{
+            {static_cast<Channel>(room), names.sender, names.processIncarnation, names.number},
+            std::string(rest.substr(offset))};
     } catch (const std::exception&) {
-        return no(Refusal::header);
+        return no(DropReason::header);
     }
 }
 
--- a/src/gossip/datagram.hpp
+++ b/src/gossip/datagram.hpp
@@ -15,28 +15,29 @@
 
 namespace beechpoint::gossip {
 
-inline constexpr std::size_t kMostBytes = 256;  // of a datagram: the platform's limit
+inline constexpr std::size_t kMaxDatagramBytes = 256;  // of a datagram: the platform's limit
 inline constexpr std::uint8_t kVersion = 1;
 
 enum class Channel : std::uint8_t { membership = 1, raft = 2, singletonRoles = 3, hostProber = 4 };
 
 struct Header {
-    Channel room = Channel::raft;
+    Channel channel = Channel::raft;
     std::string sender;
     std::uint64_t processIncarnation = 0;  // one start of its process
-    std::uint64_t number = 0;              // of its group; 0: not founded
+    std::uint64_t groupNumber = 0;         // of its group; 0: not founded
 };
 
 // Empty where it would be longer than kMostBytes: the caller counts that, and sends nothing.
-std::string seal(const std::string& group, const Header& header, std::string_view body);
+std::string encodeDatagram(const std::string& group, const Header& header, std::string_view body);
 
-enum class Refusal { none, tooLong, tooShort, notOurs, version, checksum, group, header };
-const char* nameOf(Refusal reason);
+enum class DropReason { none, tooLong, tooShort, foreign, version, checksum, group, header };
+const char* nameOf(DropReason reason);
 
-struct Opened {
+struct DecodedDatagram {
     Header header;
     std::string body;
 };
-std::optional<Opened> open(const std::string& group, std::string_view bytes, Refusal& why);
+std::optional<DecodedDatagram> decodeDatagram(const std::string& group, std::string_view bytes,
+                                              DropReason& why);
 
 }  // namespace beechpoint::gossip
--- a/src/gossip/membership.hpp
+++ b/src/gossip/membership.hpp
@@ -38,18 +38,18 @@
     std::string member;
     Presence presence = Presence::alive;
     std::uint64_t incarnation = 0;
-    std::uint64_t by =
+    std::uint64_t suspectedBy =
         0;  // suspect: whose word, as a hash of the name, so that confirmations are counted once each
 };
-inline constexpr std::size_t kRumours = 24;  // on one message, the sender's own word among them
-inline constexpr std::size_t kRumourBytes =
+inline constexpr std::size_t kMaxRumours = 24;  // on one message, the sender's own word among them
+inline constexpr std::size_t kMaxRumourBytes =
     160;  // and no more than these: with all that goes with it, one datagram
 
 struct Ping {
     std::uint64_t number = 0;
     std::vector<Rumour> rumours;
 };
-struct PingAsk {  // probe that member for me
+struct PingRequest {  // probe that member for me
     std::uint64_t number = 0;
     std::string target;
     std::vector<Rumour> rumours;
@@ -61,19 +61,19 @@
 struct Nack {  // that member did not answer me either; I am there, so the asker's own link is sound
     std::uint64_t number = 0;
 };
-using Body = std::variant<Ping, PingAsk, Ack, Nack>;
+using Body = std::variant<Ping, PingRequest, Ack, Nack>;
 struct Message {
     std::string from, to;
     Body body;
 };
 
 struct MembershipOptions {
-    Millis period = 1000;  // one probe in each
-    Millis answer = 300;   // a direct answer's time, then others are asked
-    int helpers = 3;
-    int worst = 8;             // of the own slowness: period and times grow up to 1 + this many times
-    double suspicion = 5;      // periods x log10(members), at the least; at the most 4 times that
-    bool doubtsItself = true;  // off only in tests
+    Millis probePeriod = 1000;  // one probe in each
+    Millis ackTimeout = 300;    // a direct answer's time, then others are asked
+    int indirectProbes = 3;
+    int maxHealthMultiplier = 8;     // of the own slowness: period and times grow up to 1 + this many times
+    double suspicionMultiplier = 5;  // periods x log10(members), at the least; at the most 4 times that
+    bool localHealthAware = true;    // off only in tests
 };
 
 struct PresenceChange {
@@ -89,69 +89,72 @@
 
     void receive(Millis now, const Message& message, std::vector<Message>& out);
     void advance(Millis now, std::vector<Message>& out);
-    Millis next() const;
+    Millis nextDeadline() const;
     // Tells some that it goes, in order; it probes no more.
     void leave(Millis now, std::vector<Message>& out);
 
-    Presence of(const std::string& member) const;
-    Millis heard(const std::string& member) const;  // last directly; -1e300: never
+    Presence presenceOf(const std::string& member) const;
+    Millis lastHeard(const std::string& member) const;  // last directly; -1e300: never
     std::uint64_t incarnation() const { return incarnation_; }
-    int slowness() const { return slowness_; }  // 0: none
+    int localHealthMultiplier() const { return localHealthMultiplier_; }  // 0: none
     std::size_t count(Presence presence) const;
     std::vector<PresenceChange> takeChanges() { return std::exchange(changes_, {}); }
-    std::uint64_t refuted() const { return refuted_; }
+    std::uint64_t refutations() const { return refutations_; }
 
 private:
-    struct Other {
+    struct Peer {
         Presence presence = Presence::unknown;
         std::uint64_t incarnation = 0;
-        Millis heard = -1e300;
-        Millis since = 0;                      // suspect
-        std::vector<std::uint64_t> confirmed;  // whose word
-        int left = 0;                          // times that its rumour is still told
-        Millis cameAt = -1e300;                // alive since, as seen here
+        Millis lastHeard = -1e300;
+        Millis suspectSince = 0;                 // suspect
+        std::vector<std::uint64_t> suspectedBy;  // whose word
+        int transmissionsLeft = 0;               // times that its rumour is still told
+        Millis aliveSince = -1e300;              // alive since, as seen here
     };
-    struct Helping {
+    struct IndirectProbe {
         std::string asker;
         std::uint64_t number = 0;  // of the asker
         std::string target;
         Millis until = 0;
     };
-    void believe(Millis now, const Rumour& r);
-    void set(Millis now, const std::string& name, Other& o, Presence presence, std::uint64_t incarnation);
+    void applyRumour(Millis now, const Rumour& r);
+    void setPresence(Millis now, const std::string& name, Peer& o, Presence presence,
+                     std::uint64_t incarnation);
     void suspect(Millis now, const std::string& name, std::uint64_t by);
     void refute(std::uint64_t above);
-    std::vector<Rumour> rumours(Millis now, const std::string& to);
-    void hearFrom(Millis now, const std::string& from);
-    void probe(Millis now, std::vector<Message>& out);
-    void failed(Millis now);
-    void slower(int by);
-    Millis slow(Millis t) const { return t * (1 + (options_.doubtsItself ? slowness_ : 0)); }
-    Millis suspicionOf(const Other& o) const;
-    int repeats() const;
+    std::vector<Rumour> piggyback(Millis now, const std::string& to);
+    void recordContact(Millis now, const std::string& from);
+    void startProbe(Millis now, std::vector<Message>& out);
+    void probeFailed(Millis now);
+    void adjustLocalHealth(int by);
+    Millis scaledByHealth(Millis t) const {
+        return t * (1 + (options_.localHealthAware ? localHealthMultiplier_ : 0));
+    }
+    Millis suspicionTimeout(const Peer& o) const;
+    int transmissionLimit() const;
 
     MembershipOptions options_;
     std::string self_;
     SplitMix draw_;
-    std::map<std::string, Other> others_;
-    std::vector<std::string> turn_;  // whom to probe, in an order drawn anew each time round
-    std::size_t at_ = 0;
+    std::map<std::string, Peer> peers_;
+    std::vector<std::string> probeOrder_;  // whom to probe, in an order drawn anew each time round
+    std::size_t probeIndex_ = 0;
     std::uint64_t incarnation_ = 1;
 
-    std::uint64_t number_ = 0;
+    std::uint64_t lastProbeNumber_ = 0;
     struct Probe {
         std::string target;
         std::uint64_t number = 0;
         Millis sent = 0;
-        bool asked = false;
+        bool indirect = false;
         int nacks = 0, helpers = 0;
     } probe_;
-    Millis probeAt_ = 0, askAt_ = 1e300;
-    std::map<std::uint64_t, Helping> helping_;  // by the own number of the probe
-    int slowness_ = 0;
+    Millis probeAt_ = 0, indirectAt_ = 1e300;
+    std::map<std::uint64_t, IndirectProbe> indirectProbes_;  // by the own number of the probe
+    int localHealthMultiplier_ = 0;
     bool leaving_ = false;
     std::vector<PresenceChange> changes_;
-    std::uint64_t refuted_ = 0;
+    std::uint64_t refutations_ = 0;
 };
 
 }  // namespace beechpoint::gossip
--- a/src/health_check/host_prober.hpp
+++ b/src/health_check/host_prober.hpp
@@ -27,64 +27,65 @@
 
 namespace beechpoint::health_check {
 
-inline constexpr std::size_t kMostHost = 64;    // bytes of a track host's id in a message
-inline constexpr std::size_t kMostHosts = 512;  // remembered; the one not wanted for longest goes first
+inline constexpr std::size_t kMaxHostIdBytes = 64;  // bytes of a track host's id in a message
+inline constexpr std::size_t kMaxHosts = 512;       // remembered; the one not wanted for longest goes first
 
-struct Ask {
+struct HealthQuery {
     std::string host;
     std::uint64_t number = 0;
 };
-struct Word {
+struct HealthReport {
     std::string host;
     std::uint64_t number = 0;  // as asked
-    bool there = false;
+    bool reachable = false;
     std::uint32_t ageMs = 0;
 };
-using Body = std::variant<Ask, Word>;
+using Body = std::variant<HealthQuery, HealthReport>;
 struct Message {
     std::string from, to;
     Body body;
 };
 
 struct HostProberOptions {
-    Millis word = 2000;  // that a word holds, from the look it tells of
-    Millis own = 5000;   // in each of these one look is one's own
-    Millis again = 400;  // between askings about one host
+    Millis reportTtl = 2000;         // that a word holds, from the look it tells of
+    Millis ownProbeInterval = 5000;  // in each of these one look is one's own
+    Millis queryInterval = 400;      // between askings about one host
 };
 
-enum class Advice { look, away };
+enum class Advice { probe, treatAsUnreachable };
 
 class HostProber {
 public:
     HostProber(HostProberOptions options, std::string self) : options_(options), self_(std::move(self)) {}
 
     // A look at the host is wanted. `holder`: who has the duty as far as this member knows; empty: nobody, or itself.
-    Advice wanted(Millis now, const std::string& host, const std::string& holder, std::vector<Message>& out);
+    Advice probeWanted(Millis now, const std::string& host, const std::string& holder,
+                       std::vector<Message>& out);
     // An own look ended.
-    void saw(Millis now, const std::string& host, bool there);
+    void recordProbe(Millis now, const std::string& host, bool there);
     // `holds`: this member may act on the duty at this moment; only then does it answer.
     void receive(Millis now, const Message& message, bool holds, std::vector<Message>& out);
 
-    std::uint64_t spared() const { return spared_; }
+    std::uint64_t avoidedProbes() const { return avoidedProbes_; }
     std::uint64_t evicted() const { return evicted_; }
     std::size_t hosts() const { return hosts_.size(); }
 
 private:
     struct Host {
-        Millis wantedAt = 0;
-        Millis sawAt = -1e300;  // oneself
-        bool there = false;
-        Millis wordAt = -1e300;  // the look's moment that the word tells of, at the latest
-        bool wordThere = false;
-        Millis askedAt = -1e300;
-        std::uint64_t asked = 0;
-        std::string by;  // whom
+        Millis lastWantedAt = 0;
+        Millis probedAt = -1e300;  // oneself
+        bool reachable = false;
+        Millis reportedAt = -1e300;  // the look's moment that the word tells of, at the latest
+        bool reportedReachable = false;
+        Millis queriedAt = -1e300;
+        std::uint64_t queryNumber = 0;
+        std::string queried;  // whom
     };
-    Host& at(Millis now, const std::string& host);
+    Host& findOrCreate(Millis now, const std::string& host);
     HostProberOptions options_;
     std::string self_;
     std::map<std::string, Host> hosts_;
-    std::uint64_t number_ = 0, spared_ = 0, evicted_ = 0;
+    std::uint64_t number_ = 0, avoidedProbes_ = 0, evicted_ = 0;
 };
 
 }  // namespace beechpoint::health_check
--- a/src/lease_sessions/lease_manager.hpp
+++ b/src/lease_sessions/lease_manager.hpp
@@ -27,65 +27,65 @@
     Millis ttl = 2000;
     double drift = 0.06;  // two clocks run apart by at most twice this
     Millis margin = 50;
-    Millis settle = 300;
-    bool prolong = true;  // a new leader lets all leases run anew; off only in tests
+    Millis stabilization = 300;
+    bool extendOnElection = true;  // a new leader lets all leases run anew; off only in tests
 };
 
 class LeaseManager {
 public:
     LeaseManager(Times times, std::string self, ProcessIncarnation processIncarnation,
-                 raft::RaftConsensus& raft, const Table& table);
+                 raft::RaftConsensus& raft, const SessionTable& table);
 
     void receive(Millis now, const Message& message, raft::Actions& raftActions, std::vector<Message>& out);
-    void confirmed(Millis now, std::uint64_t token, std::vector<Message>& out);
+    void leadershipConfirmed(Millis now, std::uint64_t token, std::vector<Message>& out);
     // Called after every step of the ledger and when next() has come.
     void advance(Millis now, raft::Actions& raftActions, std::vector<Message>& out);
-    Millis next() const { return nextAt_; }
+    Millis nextDeadline() const { return deadline_; }
 
-    std::uint64_t expired() const { return expired_; }
+    std::uint64_t expiredSessions() const { return expired_; }
 
 private:
-    struct Waiting {  // a request on its way through the ledger
+    struct PendingCommand {  // a request on its way through the ledger
         std::string member;
         ProcessIncarnation processIncarnation = 0;
         std::uint64_t number = 0;
         Millis since = 0;
     };
-    struct Kept {
+    struct TrackedSession {
         Index number = 0;
         Millis since = 0;  // in session, as seen here
         Millis until = 0;  // its end, unless renewed
         bool ending = false;
-        std::size_t told = 0;
+        std::size_t nextReported = 0;
     };
-    struct Renewal {
+    struct PendingRenewal {
         std::string member;
         ProcessIncarnation processIncarnation = 0;
         std::uint64_t number = 0;
         Index session = 0;
-        Millis came = 0;
+        Millis receivedAt = 0;
     };
-    Millis runs() const { return times_.ttl * (1 + times_.drift) + times_.margin; }
-    void look(Millis now);
-    void expire(Millis now, raft::Actions& raftActions);
-    void grant(Millis now, raft::Actions& raftActions);
-    void answerSettled(Millis now, std::vector<Message>& out);
+    Millis sessionDuration() const { return times_.ttl * (1 + times_.drift) + times_.margin; }
+    void followTable(Millis now);
+    void expireSessions(Millis now, raft::Actions& raftActions);
+    void grantFreeRoles(Millis now, raft::Actions& raftActions);
+    void answerCommitted(Millis now, std::vector<Message>& out);
 
     Times times_;
     std::string self_;
     ProcessIncarnation processIncarnation_;
     raft::RaftConsensus& raft_;
-    const Table& table_;
-    bool led_ = false;
-    std::uint64_t seen_ = 0;  // the table's revision
-    std::map<std::string, Kept> sessions_;
+    const SessionTable& table_;
+    bool isLeading_ = false;
+    std::uint64_t tableRevision_ = 0;  // the table's revision
+    std::map<std::string, TrackedSession> sessions_;
     std::map<std::string, Millis> freeSince_;
-    std::map<std::string, raft::Index> granting_;  // duty: the entry on its way
-    std::vector<std::string> granted_;             // to be told
-    std::vector<Waiting> waiting_;
-    std::map<std::uint64_t, Renewal> renewals_;
-    std::uint64_t token_ = 0, expired_ = 0;
-    Millis nextAt_ = 1e300;
+    std::map<std::string, raft::Index> pendingGrants_;  // duty: the entry on its way
+    std::vector<std::string> grantsToNotify_;           // to be told
+    std::vector<PendingCommand> pendingCommands_;
+    std::map<std::uint64_t, PendingRenewal> pendingRenewals_;
+    std::uint64_t lastToken_ = 0, expired_ = 0;
+    Millis deadline_ = 1e300;
 };
 
 }  // namespace beechpoint::lease_sessions
--- a/src/lease_sessions/session_table.hpp
+++ b/src/lease_sessions/session_table.hpp
@@ -24,15 +24,15 @@
 using raft::ProcessIncarnation;
 
 inline constexpr std::size_t kMaxRoles = 1000;
-inline constexpr std::size_t kMostSessions = 512;  // open at once
-inline constexpr int kFenceBits = 32;              // above these stands the group's number
-inline constexpr std::size_t kMostAnswers = 1024;  // answers to requests kept, the oldest goes first
+inline constexpr std::size_t kMaxSessions = 512;  // open at once
+inline constexpr int kFencingTokenBits = 32;      // above these stands the group's number
+inline constexpr std::size_t kMaxAnswers = 1024;  // answers to requests kept, the oldest goes first
 
-enum class Op : std::uint8_t { open, close, want, grant, giveUp, hand };
+enum class Operation : std::uint8_t { open, close, define, grant, release, transfer };
 
 // One entry's data. `member`, `life` and `number` name the request: it has its effect once.
 struct Command {
-    Op op = Op::open;
+    Operation op = Operation::open;
     std::string member;  // who asks; for close and grant by the leader: whose session it is
     ProcessIncarnation processIncarnation = 0;
     std::uint64_t number = 0;  // of the request, rising within a life; 0: the leader's own, never repeated
@@ -41,13 +41,13 @@
     std::uint64_t fencingToken = 0;
     std::string to;  // hand: the next holder
 };
-std::string write(const Command& command);
-std::optional<Command> readCommand(const std::string& data);
+std::string encodeCommand(const Command& command);
+std::optional<Command> decodeCommand(const std::string& data);
 
-enum class Verdict : std::uint8_t { yes, no, wait, gone };
+enum class Verdict : std::uint8_t { done, rejected, retryLater, noSession };
 
 struct Result {
-    Verdict verdict = Verdict::no;
+    Verdict verdict = Verdict::rejected;
     std::uint64_t fencingToken = 0;
     Index session = 0;
     bool operator==(const Result&) const = default;
@@ -57,17 +57,17 @@
     std::string holder;  // empty: free
     Index session = 0;
     std::uint64_t fencingToken = 0;
-    std::string last;   // who held it last: it gets it anew only if nobody else is in session
-    bool lost = false;  // and lost it: its session ran out. Otherwise it was given up in order
+    std::string lastHolder;       // who held it last: it gets it anew only if nobody else is in session
+    bool sessionExpired = false;  // and lost it: its session ran out. Otherwise it was given up in order
 };
 struct Session {
     Index number = 0;
     ProcessIncarnation processIncarnation = 0;
 };
 
-class Table : public raft::Machine {
+class SessionTable : public raft::StateMachine {
 public:
-    void begin(std::uint64_t number) override { base_ = number << kFenceBits; }
+    void begin(std::uint64_t number) override { tokenBase_ = number << kFencingTokenBits; }
     void apply(Index index, raft::Term term, const std::string& data) override;
     std::string save() const override;
     bool load(const std::string& saved) override;
@@ -79,34 +79,34 @@
     // The answer to a request that was settled; nothing: not here (yet).
     std::optional<Result> answer(const std::string& member, ProcessIncarnation processIncarnation,
                                  std::uint64_t number) const;
-    const std::set<std::string>& heldBy(const std::string& member) const;
-    const std::set<std::string>& free() const { return free_; }  // duties that nobody holds
+    const std::set<std::string>& leasesOf(const std::string& member) const;
+    const std::set<std::string>& freeRoles() const { return freeRoles_; }  // duties that nobody holds
     // Rises with each change, so that who looks at the whole table need not do so again for nothing.
     std::uint64_t revision() const { return revision_; }
-    std::uint64_t evicted() const { return evicted_; }
-    std::uint64_t unknown() const { return unknown_; }  // entries that could not be read
+    std::uint64_t evictedAnswers() const { return evictedAnswers_; }
+    std::uint64_t unreadableEntries() const { return unreadableEntries_; }  // entries that could not be read
 
 private:
-    Result carryOut(Index index, const Command& c);
-    std::uint64_t raise(SingletonRole& singletonRole) const;
+    Result execute(Index index, const Command& c);
+    std::uint64_t raiseToken(SingletonRole& singletonRole) const;
     void release(const std::string& name, SingletonRole& singletonRole, bool lost);
-    void hold(const std::string& name, SingletonRole& singletonRole, const std::string& member,
-              Index session);
-    struct Answered {
+    void assign(const std::string& name, SingletonRole& singletonRole, const std::string& member,
+                Index session);
+    struct AppliedCommand {
         std::uint64_t number = 0;
         Result result;
-        Index at = 0;
+        Index appliedAt = 0;
     };
     std::map<std::string, SingletonRole> singletonRoles_;
     std::map<std::string, Session> sessions_;
     // The duties again, by holder.
-    std::map<std::string, std::set<std::string>> held_;
-    std::set<std::string> free_;
+    std::map<std::string, std::set<std::string>> leasesByHolder_;
+    std::set<std::string> freeRoles_;
     std::uint64_t revision_ = 0;
     // The newest of each life: a late request of an earlier one must not make a later one's be done twice.
-    std::map<std::pair<std::string, ProcessIncarnation>, Answered> answers_;
-    std::uint64_t base_ = 0;  // of fencing numbers: a group founded anew fences off the one before
-    std::uint64_t evicted_ = 0, unknown_ = 0;
+    std::map<std::pair<std::string, ProcessIncarnation>, AppliedCommand> appliedCommands_;
+    std::uint64_t tokenBase_ = 0;  // of fencing numbers: a group founded anew fences off the one before
+    std::uint64_t evictedAnswers_ = 0, unreadableEntries_ = 0;
 };
 
 }  // namespace beechpoint::lease_sessions
--- a/src/raft/leader_election.cpp
+++ b/src/raft/leader_election.cpp
@@ -8,122 +8,127 @@
 
 namespace beechpoint::raft {
 
-bool RaftConsensus::votes() const { return role_ >= Role::follower && isVoter(self_); }
+bool RaftConsensus::canVote() const { return role_ >= Role::follower && isVoter(self_); }
 
-void RaftConsensus::armElection(Millis now) {
-    electionAt_ = now + options_.electionFrom + draw_() * (options_.electionTo - options_.electionFrom);
+void RaftConsensus::resetElectionTimer(Millis now) {
+    electionDeadline_ = now + options_.electionTimeoutMin +
+                        draw_() * (options_.electionTimeoutMax - options_.electionTimeoutMin);
 }
 
-void RaftConsensus::newTerm(Term term, Actions& out) {
-    if (term <= term_) return;
-    term_ = term;
-    promised_ = std::max(promised_, term);
-    vote_.clear();
+void RaftConsensus::enterTerm(Term term, Actions& out) {
+    if (term <= currentTerm_) return;
+    currentTerm_ = term;
+    promisedTerm_ = std::max(promisedTerm_, term);
+    votedFor_.clear();
     leader_.clear();
-    early_.clear();
-    out.keep = true;
+    outOfOrder_.clear();
+    out.mustPersist = true;
 }
 
-void RaftConsensus::follow(Millis now, const char* why, Actions& out) {
+void RaftConsensus::becomeFollower(Millis now, const char* why, Actions& out) {
     if (role_ == Role::leader) {
         ++counters_.stepsDown;
-        out.notes.push_back(fmt::format("ledger: no longer leader of term {}: {}", term_, why));
-        waiting_.clear();
+        out.events.push_back(fmt::format("raft: no longer leader of term {}: {}", currentTerm_, why));
+        pendingConfirmations_.clear();
         followers_.clear();
         leader_.clear();
     }
     role_ = isVoter(self_) ? Role::follower : Role::learner;
-    askAt_ = now;
-    armElection(now);
+    requestDeadline_ = now;
+    resetElectionTimer(now);
 }
 
-void RaftConsensus::startPreVote(Millis now, Actions& out) {
-    if (!options_.safeguards.preVote) return startElection(now, out);
+void RaftConsensus::becomePreCandidate(Millis now, Actions& out) {
+    if (!options_.safeguards.preVote) return becomeCandidate(now, out);
     role_ = Role::preCandidate;
     leader_.clear();
-    asked_ = std::max({term_, seen_}) + 1;
-    promised_ = std::max(promised_, asked_);
-    out.keep = true;
-    yes_ = {self_};
-    armElection(now);
-    if (yes_.size() >= majority()) return startElection(now, out);
-    sendVoters(PreVote{asked_, last(), termAt(last())}, out);
+    preVoteTerm_ = std::max({currentTerm_, newestTermSeen_}) + 1;
+    promisedTerm_ = std::max(promisedTerm_, preVoteTerm_);
+    out.mustPersist = true;
+    votesGranted_ = {self_};
+    resetElectionTimer(now);
+    if (votesGranted_.size() >= majority()) return becomeCandidate(now, out);
+    sendVoters(PreVote{preVoteTerm_, lastLogIndex(), termAt(lastLogIndex())}, out);
 }
 
-void RaftConsensus::startElection(Millis now, Actions& out) {
+void RaftConsensus::becomeCandidate(Millis now, Actions& out) {
     ++counters_.elections;
-    newTerm(options_.safeguards.preVote ? asked_ : term_ + 1, out);
+    enterTerm(options_.safeguards.preVote ? preVoteTerm_ : currentTerm_ + 1, out);
     role_ = Role::candidate;
-    vote_ = self_;
-    yes_ = {self_};
-    armElection(now);
-    if (yes_.size() >= majority()) return lead(now, out);
-    sendVoters(VoteRequest{term_, last(), termAt(last())}, out);
+    votedFor_ = self_;
+    votesGranted_ = {self_};
+    resetElectionTimer(now);
+    if (votesGranted_.size() >= majority()) return becomeLeader(now, out);
+    sendVoters(RequestVote{currentTerm_, lastLogIndex(), termAt(lastLogIndex())}, out);
 }
 
-void RaftConsensus::lead(Millis now, Actions& out) {
-    ++counters_.led;
+void RaftConsensus::becomeLeader(Millis now, Actions& out) {
+    ++counters_.electionsWon;
     role_ = Role::leader;
     leader_ = self_;
-    leadsSince_ = now;
+    leaderSince_ = now;
     followers_.clear();
     for (const std::string& name : voters_) {
         Follower f;
-        f.next = last() + 1;
-        f.heard = now;
+        f.nextIndex = lastLogIndex() + 1;
+        f.lastContact = now;
         followers_[name] = f;
     }
-    round_ = 0;
-    out.notes.push_back(fmt::format("ledger: leader of term {}", term_));
-    append({term_, Kind::begin, ""});
-    out.keep = true;
-    signs(now, out);
-    settle(now, out);
+    heartbeatRound_ = 0;
+    out.events.push_back(fmt::format("raft: leader of term {}", currentTerm_));
+    append({currentTerm_, EntryKind::noOp, ""});
+    out.mustPersist = true;
+    sendHeartbeats(now, out);
+    advanceCommitIndex(now, out);
 }
 
 void RaftConsensus::on(Millis now, const Message& message, const PreVote& body, Actions& out) {
-    if (!votes()) return;
-    const bool hears = role_ == Role::leader || now - heard_ < options_.electionFrom;
-    const bool yes = !hears && body.term > term_ && upToDate(body.last, body.lastTerm);
-    if (yes && body.term > promised_) promised_ = body.term, out.keep = true;
-    send(message.from, PreVoteReply{body.term, yes, std::max(term_, promised_)}, out);
+    if (!canVote()) return;
+    const bool hears = role_ == Role::leader || now - lastLeaderContact_ < options_.electionTimeoutMin;
+    const bool yes = !hears && body.term > currentTerm_ && upToDate(body.lastLogIndex, body.lastLogTerm);
+    if (yes && body.term > promisedTerm_) promisedTerm_ = body.term, out.mustPersist = true;
+    send(message.from, PreVoteReply{body.term, yes, std::max(currentTerm_, promisedTerm_)}, out);
 }
 
 void RaftConsensus::on(Millis now, const Message& message, const PreVoteReply& body, Actions& out) {
-    if (!body.yes) seen_ = std::max(seen_, body.known);
-    if (role_ != Role::preCandidate || body.term != asked_ || !body.yes || !isVoter(message.from)) return;
-    yes_.insert(message.from);
-    if (yes_.size() >= majority()) startElection(now, out);
+    if (!body.voteGranted) newestTermSeen_ = std::max(newestTermSeen_, body.newestTerm);
+    if (role_ != Role::preCandidate || body.term != preVoteTerm_ || !body.voteGranted ||
+        !isVoter(message.from))
+        return;
+    votesGranted_.insert(message.from);
+    if (votesGranted_.size() >= majority()) becomeCandidate(now, out);
 }
 
-void RaftConsensus::on(Millis now, const Message& message, const VoteRequest& body, Actions& out) {
-    if (!votes()) return;
+void RaftConsensus::on(Millis now, const Message& message, const RequestVote& body, Actions& out) {
+    if (!canVote()) return;
     // Who hears a leader is not drawn into an election by one that doesn't, or that was taken out.
-    if (options_.safeguards.preVote && (role_ == Role::leader || now - heard_ < options_.electionFrom))
+    if (options_.safeguards.preVote &&
+        (role_ == Role::leader || now - lastLeaderContact_ < options_.electionTimeoutMin))
         return;
-    if (body.term > term_) {
-        newTerm(body.term, out);
-        follow(now, "a newer term", out);
+    if (body.term > currentTerm_) {
+        enterTerm(body.term, out);
+        becomeFollower(now, "heard a newer term", out);
     }
-    const bool yes =
-        body.term == term_ && (vote_.empty() || vote_ == message.from) && upToDate(body.last, body.lastTerm);
+    const bool yes = body.term == currentTerm_ && (votedFor_.empty() || votedFor_ == message.from) &&
+                     upToDate(body.lastLogIndex, body.lastLogTerm);
     if (yes) {
-        vote_ = message.from;
-        out.keep = true;
-        armElection(now);
+        votedFor_ = message.from;
+        out.mustPersist = true;
+        resetElectionTimer(now);
     }
-    send(message.from, VoteReply{term_, yes}, out);
+    send(message.from, RequestVoteReply{currentTerm_, yes}, out);
 }
 
-void RaftConsensus::on(Millis now, const Message& message, const VoteReply& body, Actions& out) {
-    if (!votes()) return;
-    if (body.term > term_) {
-        newTerm(body.term, out);
-        return follow(now, "a newer term", out);
+void RaftConsensus::on(Millis now, const Message& message, const RequestVoteReply& body, Actions& out) {
+    if (!canVote()) return;
+    if (body.term > currentTerm_) {
+        enterTerm(body.term, out);
+        return becomeFollower(now, "heard a newer term", out);
     }
-    if (role_ != Role::candidate || body.term != term_ || !body.yes || !isVoter(message.from)) return;
-    yes_.insert(message.from);
-    if (yes_.size() >= majority()) lead(now, out);
+    if (role_ != Role::candidate || body.term != currentTerm_ || !body.voteGranted || !isVoter(message.from))
+        return;
+    votesGranted_.insert(message.from);
+    if (votesGranted_.size() >= majority()) becomeLeader(now, out);
 }
 
 }  // namespace beechpoint::raft
--- a/src/raft/log.cpp
+++ b/src/raft/log.cpp
@@ -10,64 +10,68 @@
 namespace beechpoint::raft {
 
 Term RaftConsensus::termAt(Index index) const {
-    if (index == base_) return baseTerm_;
-    return index < base_ || index > last() ? 0 : at(index).term;
+    if (index == lastIncludedIndex_) return lastIncludedTerm_;
+    return index < lastIncludedIndex_ || index > lastLogIndex() ? 0 : at(index).term;
 }
 
 Digest RaftConsensus::digestAt(Index index) const {
-    if (index == base_) return baseDigest_;
-    return index < base_ || index > last() ? 0 : log_[index - base_ - 1].digest;
+    if (index == lastIncludedIndex_) return lastIncludedDigest_;
+    return index < lastIncludedIndex_ || index > lastLogIndex() ? 0
+                                                                : log_[index - lastIncludedIndex_ - 1].digest;
 }
 
 void RaftConsensus::append(Entry entry) {
-    const Digest digest = chainDigest(digestAt(last()), entry);
-    if (entry.kind == Kind::voters) voters_ = splitNames(entry.data);
+    const Digest digest = chainDigest(digestAt(lastLogIndex()), entry);
+    if (entry.kind == EntryKind::voters) voters_ = splitNames(entry.data);
     log_.push_back({std::move(entry), digest});
 }
 
-void RaftConsensus::cutFrom(Index index) {
-    while (last() >= index && !log_.empty()) log_.pop_back();
-    early_.clear();
-    matched_ = std::min(matched_, last());  // what is gone here is settled here no more, whatever was equal
-    setVoters();
+void RaftConsensus::truncateFrom(Index index) {
+    while (lastLogIndex() >= index && !log_.empty()) log_.pop_back();
+    outOfOrder_.clear();
+    leaderMatchIndex_ = std::min(
+        leaderMatchIndex_, lastLogIndex());  // what is gone here is settled here no more, whatever was equal
+    updateVoters();
 }
 
 bool RaftConsensus::upToDate(Index last, Term lastTerm) const {
-    const Term own = termAt(this->last());
-    return lastTerm > own || (lastTerm == own && last >= this->last());
+    const Term own = termAt(this->lastLogIndex());
+    return lastTerm > own || (lastTerm == own && last >= this->lastLogIndex());
 }
 
-bool RaftConsensus::take(Index prev, Digest prevDigest, bool holds, const Entry& entry, Actions& out) {
-    if (prev < base_) return holds ? prev + 1 <= base_ : true;  // settled here long ago
-    if (prev > last() || digestAt(prev) != prevDigest) {
+bool RaftConsensus::appendIfMatching(Index prev, Digest prevDigest, bool holds, const Entry& entry,
+                                     Actions& out) {
+    if (prev < lastIncludedIndex_)
+        return holds ? prev + 1 <= lastIncludedIndex_ : true;  // settled here long ago
+    if (prev > lastLogIndex() || digestAt(prev) != prevDigest) {
         // What is settled can't differ while the rules hold: a damaged copy, or an old folder put back.
-        if (prev <= commit_ && prev <= last()) {
+        if (prev <= commitIndex_ && prev <= lastLogIndex()) {
             ++counters_.conflicts;
-            out.notes.push_back(fmt::format("ledger: this copy differs at settled entry {}", prev));
+            out.events.push_back(fmt::format("raft: this log differs at committed entry {}", prev));
         }
         return false;
     }
     if (!holds) return true;
     const Index index = prev + 1;
-    if (index <= last()) {
+    if (index <= lastLogIndex()) {
         if (at(index) == entry) return true;
-        if (index <= commit_) {
+        if (index <= commitIndex_) {
             ++counters_.conflicts;
             return false;
         }
-        cutFrom(index);
+        truncateFrom(index);
     }
     append(entry);
-    out.keep = true;
+    out.mustPersist = true;
     return true;
 }
 
-void RaftConsensus::applySettled(Actions& out) {
-    while (applied_ < commit_) {
-        const Entry& e = at(++applied_);
-        if (e.kind == Kind::command) machine_.apply(applied_, e.term, e.data);
+void RaftConsensus::applyCommitted(Actions& out) {
+    while (lastApplied_ < commitIndex_) {
+        const Entry& e = at(++lastApplied_);
+        if (e.kind == EntryKind::command) machine_.apply(lastApplied_, e.term, e.data);
     }
-    if (log_.size() > options_.mostEntries) cut(), out.keep = true;
+    if (log_.size() > options_.maxLogEntries) compactLog(), out.mustPersist = true;
 }
 
 }  // namespace beechpoint::raft
--- a/src/raft/log_catch_up.cpp
+++ b/src/raft/log_catch_up.cpp
@@ -15,130 +15,145 @@
 
 // Two steps, so that those a little behind still find their entries here: a point is marked, and the cut comes to
 // it once as many again are settled.
-void RaftConsensus::cut() {
-    if (log_.size() <= options_.mostEntries) return;
-    if (point_.index > base_) {
-        baseTerm_ = termAt(point_.index), baseDigest_ = digestAt(point_.index);
-        while (base_ < point_.index) {
-            if (log_.front().entry.kind == Kind::voters) baseVoters_ = splitNames(log_.front().entry.data);
+void RaftConsensus::compactLog() {
+    if (log_.size() <= options_.maxLogEntries) return;
+    if (nextSnapshot_.index > lastIncludedIndex_) {
+        lastIncludedTerm_ = termAt(nextSnapshot_.index), lastIncludedDigest_ = digestAt(nextSnapshot_.index);
+        while (lastIncludedIndex_ < nextSnapshot_.index) {
+            if (log_.front().entry.kind == EntryKind::voters)
+                lastIncludedVoters_ = splitNames(log_.front().entry.data);
             log_.pop_front();
-            ++base_;
+            ++lastIncludedIndex_;
         }
-        saved_ = std::move(point_.saved);
+        snapshot_ = std::move(nextSnapshot_.snapshot);
     }
-    if (applied_ <= base_) return;
-    std::vector<std::string> then = baseVoters_;
-    for (Index i = base_ + 1; i <= applied_; ++i)
-        if (at(i).kind == Kind::voters) then = splitNames(at(i).data);
-    point_ = {applied_, joinNames(then) + "\n" + machine_.save()};
+    if (lastApplied_ <= lastIncludedIndex_) return;
+    std::vector<std::string> then = lastIncludedVoters_;
+    for (Index i = lastIncludedIndex_ + 1; i <= lastApplied_; ++i)
+        if (at(i).kind == EntryKind::voters) then = splitNames(at(i).data);
+    nextSnapshot_ = {lastApplied_, joinNames(then) + "\n" + machine_.save()};
 }
 
 void RaftConsensus::sendSnapshotChunk(const std::string& to, std::uint32_t offset, Actions& out) {
-    if (offset > saved_.size()) return;
-    SnapshotChunk p{term_,
-                    base_,
-                    baseTerm_,
-                    baseDigest_,
-                    XXH3_64bits(saved_.data(), saved_.size()),
+    if (offset > snapshot_.size()) return;
+    SnapshotChunk p{currentTerm_,
+                    lastIncludedIndex_,
+                    lastIncludedTerm_,
+                    lastIncludedDigest_,
+                    XXH3_64bits(snapshot_.data(), snapshot_.size()),
                     offset,
-                    static_cast<std::uint32_t>(saved_.size()),
-                    saved_.substr(offset, kSnapshotChunkBytes)};
+                    static_cast<std::uint32_t>(snapshot_.size()),
+                    snapshot_.substr(offset, kSnapshotChunkBytes)};
     send(to, std::move(p), out);
 }
 
 void RaftConsensus::on(Millis now, const Message& message, const SnapshotChunk& body, Actions& out) {
-    if (number_ == 0 || role_ == Role::leader || body.total > (1U << 24) || body.offset > body.total) return;
-    if (body.index <= commit_)
-        return send(message.from, SnapshotChunkReply{term_, body.index, body.total}, out);
-    if (incoming_.index != body.index || incoming_.digest != body.digest || incoming_.sum != body.sum)
-        incoming_ = {body.index, body.digest, body.sum, ""};
-    if (body.offset == incoming_.bytes.size() && body.offset + body.bytes.size() <= body.total)
-        incoming_.bytes += body.bytes;
-    if (incoming_.bytes.size() == body.total) {
-        if (XXH3_64bits(incoming_.bytes.data(), incoming_.bytes.size()) == body.sum) install(now, body, out);
-        const bool done = commit_ >= body.index;
-        incoming_ = {};
-        return send(message.from, SnapshotChunkReply{term_, body.index, done ? body.total : 0}, out);
+    if (groupNumber_ == 0 || role_ == Role::leader || body.totalBytes > (1U << 24) ||
+        body.offset > body.totalBytes)
+        return;
+    if (body.lastIncludedIndex <= commitIndex_)
+        return send(message.from, SnapshotChunkReply{currentTerm_, body.lastIncludedIndex, body.totalBytes},
+                    out);
+    if (incomingSnapshot_.index != body.lastIncludedIndex ||
+        incomingSnapshot_.digest != body.lastIncludedDigest || incomingSnapshot_.checksum != body.checksum)
+        incomingSnapshot_ = {body.lastIncludedIndex, body.lastIncludedDigest, body.checksum, ""};
+    if (body.offset == incomingSnapshot_.bytes.size() && body.offset + body.bytes.size() <= body.totalBytes)
+        incomingSnapshot_.bytes += body.bytes;
+    if (incomingSnapshot_.bytes.size() == body.totalBytes) {
+        if (XXH3_64bits(incomingSnapshot_.bytes.data(), incomingSnapshot_.bytes.size()) == body.checksum)
+            installSnapshot(now, body, out);
+        const bool done = commitIndex_ >= body.lastIncludedIndex;
+        incomingSnapshot_ = {};
+        return send(message.from,
+                    SnapshotChunkReply{currentTerm_, body.lastIncludedIndex, done ? body.totalBytes : 0},
+                    out);
     }
     send(message.from,
-         SnapshotChunkReply{term_, body.index, static_cast<std::uint32_t>(incoming_.bytes.size())}, out);
+         SnapshotChunkReply{currentTerm_, body.lastIncludedIndex,
+                            static_cast<std::uint32_t>(incomingSnapshot_.bytes.size())},
+         out);
 }
 
 // The first line of what is saved names the voters at that point; the rest is the machine's.
-void RaftConsensus::install(Millis now, const SnapshotChunk& body, Actions& out) {
+void RaftConsensus::installSnapshot(Millis now, const SnapshotChunk& body, Actions& out) {
     // A snapshot that comes late may stand for less than this log holds. What follows in the log was acknowledged and may
     // be settled by that: it stays. That the entries up to the snapshot's are settled is all that is new.
-    if (body.index <= last() && digestAt(body.index) == body.digest) {
-        commit_ = body.index;
-        applySettled(out);
+    if (body.lastIncludedIndex <= lastLogIndex() &&
+        digestAt(body.lastIncludedIndex) == body.lastIncludedDigest) {
+        commitIndex_ = body.lastIncludedIndex;
+        applyCommitted(out);
         return;
     }
-    const auto line = incoming_.bytes.find('\n');
+    const auto line = incomingSnapshot_.bytes.find('\n');
     // It may be a newer version's: this member stays where it is, and the process goes on.
-    if (line == std::string::npos || !machine_.load(incoming_.bytes.substr(line + 1))) {
-        out.notes.push_back(fmt::format("ledger: a snapshot to entry {} can't be read here", body.index));
+    if (line == std::string::npos || !machine_.load(incomingSnapshot_.bytes.substr(line + 1))) {
+        out.events.push_back(
+            fmt::format("raft: a snapshot up to entry {} can't be read here", body.lastIncludedIndex));
         return;
     }
-    baseVoters_ = splitNames(incoming_.bytes.substr(0, line));
-    saved_ = incoming_.bytes;
+    lastIncludedVoters_ = splitNames(incomingSnapshot_.bytes.substr(0, line));
+    snapshot_ = incomingSnapshot_.bytes;
     log_.clear();
-    base_ = body.index;
-    baseTerm_ = body.indexTerm;
-    baseDigest_ = body.digest;
-    commit_ = applied_ = base_;
-    matched_ = std::min(matched_, base_);
-    point_ = {};
-    setVoters();
-    ++counters_.snapshots;
-    out.keep = true;
-    out.notes.push_back(fmt::format("ledger: caught up by a snapshot to entry {}", base_));
-    roleByVoters(now, out);
+    lastIncludedIndex_ = body.lastIncludedIndex;
+    lastIncludedTerm_ = body.lastIncludedTerm;
+    lastIncludedDigest_ = body.lastIncludedDigest;
+    commitIndex_ = lastApplied_ = lastIncludedIndex_;
+    leaderMatchIndex_ = std::min(leaderMatchIndex_, lastIncludedIndex_);
+    nextSnapshot_ = {};
+    updateVoters();
+    ++counters_.snapshotsInstalled;
+    out.mustPersist = true;
+    out.events.push_back(fmt::format("raft: installed a snapshot up to entry {}", lastIncludedIndex_));
+    updateRole(now, out);
 }
 
 void RaftConsensus::on(Millis now, const Message& message, const SnapshotChunkReply& body, Actions& out) {
     const auto f = followers_.find(message.from);
-    if (leads() && f != followers_.end()) {
-        if (body.index != base_) {
-            f->second.offset = 0;
+    if (isLeader() && f != followers_.end()) {
+        if (body.lastIncludedIndex != lastIncludedIndex_) {
+            f->second.snapshotOffset = 0;
             return;
         }
-        if (body.offset != 0 && body.offset <= f->second.offset)
+        if (body.nextOffset != 0 && body.nextOffset <= f->second.snapshotOffset)
             return;  // said again: the piece after it is on its way
-        f->second.offset = body.offset;
-        if (body.offset >= saved_.size()) {
-            f->second.next = std::max(f->second.next, base_ + 1);
-            f->second.offset = 0;
-            return sendTo(now, message.from, out, true);
+        f->second.snapshotOffset = body.nextOffset;
+        if (body.nextOffset >= snapshot_.size()) {
+            f->second.nextIndex = std::max(f->second.nextIndex, lastIncludedIndex_ + 1);
+            f->second.snapshotOffset = 0;
+            return replicateTo(now, message.from, out, true);
         }
     }
-    if (body.index == base_ && body.offset < saved_.size()) sendSnapshotChunk(message.from, body.offset, out);
+    if (body.lastIncludedIndex == lastIncludedIndex_ && body.nextOffset < snapshot_.size())
+        sendSnapshotChunk(message.from, body.nextOffset, out);
 }
 
-void RaftConsensus::on(Millis, const Message& message, const Pull& body, Actions& out) {
-    if (!votes() || (message.number != 0 && message.number != number_)) return;
-    if (body.last < base_) return sendSnapshotChunk(message.from, 0, out);
-    Index from = std::min(body.last, commit_);
-    Tail t{from, digestAt(from), commit_, false, {}};
-    if (from >= commit_) return send(message.from, t, out);
-    for (std::size_t i = 0; i < options_.window && from < commit_; ++i, ++from) {
-        t.prev = from, t.prevDigest = digestAt(from), t.holds = true, t.entry = at(from + 1);
+void RaftConsensus::on(Millis, const Message& message, const CatchUpRequest& body, Actions& out) {
+    if (!canVote() || (message.groupNumber != 0 && message.groupNumber != groupNumber_)) return;
+    if (body.commitIndex < lastIncludedIndex_) return sendSnapshotChunk(message.from, 0, out);
+    Index from = std::min(body.commitIndex, commitIndex_);
+    CatchUpReply t{from, digestAt(from), commitIndex_, false, {}};
+    if (from >= commitIndex_) return send(message.from, t, out);
+    for (std::size_t i = 0; i < options_.maxInFlightEntries && from < commitIndex_; ++i, ++from) {
+        t.prevLogIndex = from, t.prevLogDigest = digestAt(from), t.hasEntry = true, t.entry = at(from + 1);
         send(message.from, t, out);
     }
 }
 
-void RaftConsensus::on(Millis now, const Message&, const Tail& body, Actions& out) {
+void RaftConsensus::on(Millis now, const Message&, const CatchUpReply& body, Actions& out) {
     if (role_ != Role::learner) return;
     leader_.clear();
     // Entries of a time as a voter that were never settled are replaced where they differ, and stay where they don't.
-    if (!take(body.prev, body.prevDigest, body.holds, body.entry, out)) return;
-    heard_ = now;
-    const Index settled = std::min({body.commit, body.prev + (body.holds ? 1 : 0), last()});
-    if (settled > commit_) {
-        commit_ = settled;
-        applySettled(out);
-        if (commit_ < body.commit) askAt_ = std::min(askAt_, now + kNext * (1 + draw_()));
+    if (!appendIfMatching(body.prevLogIndex, body.prevLogDigest, body.hasEntry, body.entry, out)) return;
+    lastLeaderContact_ = now;
+    const Index settled =
+        std::min({body.commitIndex, body.prevLogIndex + (body.hasEntry ? 1 : 0), lastLogIndex()});
+    if (settled > commitIndex_) {
+        commitIndex_ = settled;
+        applyCommitted(out);
+        if (commitIndex_ < body.commitIndex)
+            requestDeadline_ = std::min(requestDeadline_, now + kNext * (1 + draw_()));
     }
-    roleByVoters(now, out);
+    updateRole(now, out);
 }
 
 }  // namespace beechpoint::raft
--- a/src/raft/log_file.cpp
+++ b/src/raft/log_file.cpp
@@ -57,77 +57,84 @@
 SavedEntry saved(const Entry& e) { return {e.term, static_cast<std::uint8_t>(e.kind), e.data}; }
 bool add(std::vector<Entry>& to, const SavedEntries& from) {
     for (const auto& [term, kind, data] : from) {
-        if (kind > static_cast<std::uint8_t>(Kind::voters)) return false;
-        to.push_back({term, static_cast<Kind>(kind), data});
+        if (kind > static_cast<std::uint8_t>(EntryKind::voters)) return false;
+        to.push_back({term, static_cast<EntryKind>(kind), data});
     }
     return true;
 }
 
 }  // namespace
 
-const char* nameOf(Reading reading) {
+const char* nameOf(ReadOutcome reading) {
     switch (reading) {
-        case Reading::sound:
+        case ReadOutcome::intact:
             return "sound";
-        case Reading::cutShort:
+        case ReadOutcome::truncated:
             return "its last write was cut short";
-        case Reading::none:
+        case ReadOutcome::absent:
             return "there is none";
-        case Reading::foreign:
+        case ReadOutcome::foreign:
             return "of another group, member or version";
-        case Reading::damaged:
+        case ReadOutcome::corrupt:
             return "damaged";
     }
     return "?";
 }
 
-std::string Journal::whole(const RaftConsensus& l) {
-    const PersistentState k = l.kept();
+std::string StateEncoder::encodeAll(const RaftConsensus& l) {
+    const PersistentState k = l.persistentState();
     SavedEntries entries;
     for (const Entry& e : k.entries) entries.push_back(saved(e));
     const std::string body =
-        packed(Whole{group_, self_, generation_, k.number, k.term, k.promised, k.vote, k.base, k.baseTerm,
-                     k.baseDigest, k.saved, k.baseVoters, std::move(entries)});
+        packed(Whole{group_, self_, generation_, k.groupNumber, k.currentTerm, k.promisedTerm, k.votedFor,
+                     k.lastIncludedIndex, k.lastIncludedTerm, k.lastIncludedDigest, k.snapshot,
+                     k.lastIncludedVoters, std::move(entries)});
     std::string out(kMagic);
     put(out, sumOf(body, 1), kSum);
     return out + body;
 }
 
-Write Journal::changes(const RaftConsensus& l, std::size_t mostLog) {
-    const bool moved = l.base() != base_ || l.digestAt(l.base()) != baseDigest_;
-    Write w;
-    if (!any_ || moved || l.number() != groupNumber_ || logged_ > mostLog) {
-        w.whole = true;
+StateWrite StateEncoder::encodeChanges(const RaftConsensus& l, std::size_t mostLog) {
+    const bool moved = l.lastIncludedIndex() != lastIncludedIndex_ ||
+                       l.digestAt(l.lastIncludedIndex()) != lastIncludedDigest_;
+    StateWrite w;
+    if (!hasWritten_ || moved || l.groupNumber() != groupNumber_ || logBytes_ > mostLog) {
+        w.replacesAll = true;
         do generation_ = XXH3_64bits(&generation_, sizeof generation_);
         while (generation_ == 0);
-        number_ = 0, logged_ = 0;
-        w.bytes = whole(l);
+        recordNumber_ = 0, logBytes_ = 0;
+        w.bytes = encodeAll(l);
         digests_.clear();
     } else {
         // Digests run on from entry to entry: where one is equal, all before it are.
-        std::size_t same = std::min<std::size_t>(digests_.size(), l.last() - base_);
-        while (same > 0 && digests_[same - 1] != l.digestAt(base_ + same)) --same;
-        const Index gone = same < digests_.size() ? base_ + same + 1 : 0;
+        std::size_t same = std::min<std::size_t>(digests_.size(), l.lastLogIndex() - lastIncludedIndex_);
+        while (same > 0 && digests_[same - 1] != l.digestAt(lastIncludedIndex_ + same)) --same;
+        const Index gone = same < digests_.size() ? lastIncludedIndex_ + same + 1 : 0;
         SavedEntries fresh;
-        for (Index i = base_ + same + 1; i <= l.last(); ++i) fresh.push_back(saved(l.entry(i)));
-        if (gone == 0 && fresh.empty() && l.term() == term_ && l.promised() == promised_ && l.vote() == vote_)
+        for (Index i = lastIncludedIndex_ + same + 1; i <= l.lastLogIndex(); ++i)
+            fresh.push_back(saved(l.entry(i)));
+        if (gone == 0 && fresh.empty() && l.currentTerm() == currentTerm_ &&
+            l.promisedTerm() == promisedTerm_ && l.votedFor() == votedFor_)
             return w;
-        const std::string body = packed(Record{l.term(), l.promised(), l.vote(), gone, std::move(fresh)});
+        const std::string body =
+            packed(Record{l.currentTerm(), l.promisedTerm(), l.votedFor(), gone, std::move(fresh)});
         std::string head;
         put(head, body.size(), 4);
-        put(head, number_, 4);
+        put(head, recordNumber_, 4);
         put(head, headSum(head, generation_), 4);
         w.bytes = std::move(head) + body;
-        put(w.bytes, sumOf(body, generation_ + number_), kSum);
-        ++number_;
-        logged_ += w.bytes.size();
+        put(w.bytes, sumOf(body, generation_ + recordNumber_), kSum);
+        ++recordNumber_;
+        logBytes_ += w.bytes.size();
         digests_.resize(same);
     }
     w.generation = generation_;
-    any_ = true;
-    groupNumber_ = l.number(), term_ = l.term(), promised_ = l.promised(), vote_ = l.vote();
-    base_ = l.base(), baseDigest_ = l.digestAt(l.base());
-    for (Index i = base_ + digests_.size() + 1; i <= l.last(); ++i) digests_.push_back(l.digestAt(i));
+    hasWritten_ = true;
+    groupNumber_ = l.groupNumber(), currentTerm_ = l.currentTerm(), promisedTerm_ = l.promisedTerm(),
+    votedFor_ = l.votedFor();
+    lastIncludedIndex_ = l.lastIncludedIndex(), lastIncludedDigest_ = l.digestAt(l.lastIncludedIndex());
+    for (Index i = lastIncludedIndex_ + digests_.size() + 1; i <= l.lastLogIndex(); ++i)
+        digests_.push_back(l.digestAt(i));
     return w;
 }
 
@@ -145,24 +152,26 @@
     return w ? std::get<2>(*w) : 0;
 }
 
-Read readKept(const std::string& group, const std::string& self, std::string_view whole,
-              std::string_view log) {
-    Read r;
+ReadState decodeState(const std::string& group, const std::string& self, std::string_view whole,
+                      std::string_view log) {
+    ReadState r;
     if (whole.empty() && log.empty()) return r;
-    r.how = Reading::damaged;
+    r.outcome = ReadOutcome::corrupt;
     auto w = readWhole(whole);
     if (!w) {
         // Another version says so in its first line; the rest of it is not ours to judge.
-        if (whole.starts_with("beechpoint ledger ") && !whole.starts_with(kMagic)) r.how = Reading::foreign;
+        if (whole.starts_with("beechpoint ledger ") && !whole.starts_with(kMagic))
+            r.outcome = ReadOutcome::foreign;
         return r;
     }
-    if (std::get<0>(*w) != group || std::get<1>(*w) != self) return r.how = Reading::foreign, r;
+    if (std::get<0>(*w) != group || std::get<1>(*w) != self) return r.outcome = ReadOutcome::foreign, r;
     PersistentState k;
     r.generation = std::get<2>(*w);
-    k.number = std::get<3>(*w), k.term = std::get<4>(*w), k.promised = std::get<5>(*w),
-    k.vote = std::get<6>(*w);
-    k.base = std::get<7>(*w), k.baseTerm = std::get<8>(*w), k.baseDigest = std::get<9>(*w);
-    k.saved = std::move(std::get<10>(*w)), k.baseVoters = std::move(std::get<11>(*w));
+    k.groupNumber = std::get<3>(*w), k.currentTerm = std::get<4>(*w), k.promisedTerm = std::get<5>(*w),
+    k.votedFor = std::get<6>(*w);
+    k.lastIncludedIndex = std::get<7>(*w), k.lastIncludedTerm = std::get<8>(*w),
+    k.lastIncludedDigest = std::get<9>(*w);
+    k.snapshot = std::move(std::get<10>(*w)), k.lastIncludedVoters = std::move(std::get<11>(*w));
     if (!add(k.entries, std::get<12>(*w))) return r;
     bool cutShort = false;
     for (std::uint32_t number = 0; !log.empty() && !cutShort; ++number) {
@@ -183,16 +192,16 @@
         const auto record = unpacked<Record>(body);
         if (!record) return r;
         const auto& [term, promised, vote, gone, fresh] = *record;
-        k.term = term, k.promised = promised, k.vote = vote;
+        k.currentTerm = term, k.promisedTerm = promised, k.votedFor = vote;
         if (gone != 0) {
-            if (gone <= k.base || gone > k.base + k.entries.size()) return r;
-            k.entries.resize(gone - k.base - 1);
+            if (gone <= k.lastIncludedIndex || gone > k.lastIncludedIndex + k.entries.size()) return r;
+            k.entries.resize(gone - k.lastIncludedIndex - 1);
         }
         if (!add(k.entries, fresh)) return r;
         log.remove_prefix(kHead + length + kSum);
     }
-    r.how = cutShort ? Reading::cutShort : Reading::sound;
-    r.kept = std::move(k);
+    r.outcome = cutShort ? ReadOutcome::truncated : ReadOutcome::intact;
+    r.state = std::move(k);
     return r;
 }
 
--- a/src/raft/log_file.hpp
+++ b/src/raft/log_file.hpp
@@ -21,50 +21,50 @@
 
 namespace beechpoint::raft {
 
-struct Write {
-    bool whole = false;  // a new file, and a new empty log, in place of all before
+struct StateWrite {
+    bool replacesAll = false;  // a new file, and a new empty log, in place of all before
     std::uint64_t generation = 0;
     std::string bytes;  // empty: nothing changed
 };
 
-class Journal {
+class StateEncoder {
 public:
     // Generations come from the member's life, which never comes twice: so no log that an earlier life left lying about is
     // ever taken for one of this life's.
-    Journal(std::string group, std::string self, ProcessIncarnation processIncarnation)
+    StateEncoder(std::string group, std::string self, ProcessIncarnation processIncarnation)
         : group_(std::move(group)), self_(std::move(self)), generation_(processIncarnation) {}
 
     // What changed since the call before; the first one gives the whole. Above `mostLog` bytes of log: the whole anew.
-    Write changes(const RaftConsensus& raft, std::size_t mostLog = 128 * 1024);
+    StateWrite encodeChanges(const RaftConsensus& raft, std::size_t mostLog = 128 * 1024);
 
 private:
-    std::string whole(const RaftConsensus& raft);
+    std::string encodeAll(const RaftConsensus& raft);
 
     std::string group_, self_;
     std::uint64_t generation_;
-    std::uint32_t number_ = 0;  // of the next record
-    std::size_t logged_ = 0;
+    std::uint32_t recordNumber_ = 0;  // of the next record
+    std::size_t logBytes_ = 0;
     // As written last.
-    bool any_ = false;
+    bool hasWritten_ = false;
     std::uint64_t groupNumber_ = 0;
-    Term term_ = 0, promised_ = 0;
-    std::string vote_;
-    Index base_ = 0;
-    Digest baseDigest_ = 0;
+    Term currentTerm_ = 0, promisedTerm_ = 0;
+    std::string votedFor_;
+    Index lastIncludedIndex_ = 0;
+    Digest lastIncludedDigest_ = 0;
     std::vector<Digest> digests_;  // of the entries after base_
 };
 
-enum class Reading { sound, cutShort, none, foreign, damaged };
-const char* nameOf(Reading reading);
+enum class ReadOutcome { intact, truncated, absent, foreign, corrupt };
+const char* nameOf(ReadOutcome reading);
 
-struct Read {
-    Reading how = Reading::none;
+struct ReadState {
+    ReadOutcome outcome = ReadOutcome::absent;
     std::uint64_t generation = 0;
-    std::optional<PersistentState> kept;  // where sound or cut short
+    std::optional<PersistentState> state;  // where sound or cut short
 };
 // The whole's generation alone, to find its log by; 0: it can't be read.
 std::uint64_t generationOf(std::string_view whole);
-Read readKept(const std::string& group, const std::string& self, std::string_view whole,
-              std::string_view log);
+ReadState decodeState(const std::string& group, const std::string& self, std::string_view whole,
+                      std::string_view log);
 
 }  // namespace beechpoint::raft
--- a/src/raft/log_replication.cpp
+++ b/src/raft/log_replication.cpp
@@ -14,156 +14,174 @@
 }  // namespace
 
 std::optional<Index> RaftConsensus::propose(Millis now, const std::string& data, Actions& out) {
-    if (!leads() || data.size() > kMaxEntryBytes) return std::nullopt;
-    append({term_, Kind::command, data});
-    out.keep = true;
-    const Index index = last();
+    if (!isLeader() || data.size() > kMaxEntryBytes) return std::nullopt;
+    append({currentTerm_, EntryKind::command, data});
+    out.mustPersist = true;
+    const Index index = lastLogIndex();
     for (const std::string& name : voters_)
-        if (name != self_) sendTo(now, name, out, false);
-    settle(now, out);
+        if (name != self_) replicateTo(now, name, out, false);
+    advanceCommitIndex(now, out);
     return index;
 }
 
 // With the next signs, a heartbeat off at the most: one round proves it for all who ask meanwhile, however many they are.
-void RaftConsensus::confirm(Millis, std::uint64_t token, Actions&) {
-    if (leads()) waiting_[round_ + 1].push_back(token);
+void RaftConsensus::confirmLeadership(Millis, std::uint64_t token, Actions&) {
+    if (isLeader()) pendingConfirmations_[heartbeatRound_ + 1].push_back(token);
 }
 
-void RaftConsensus::sendTo(Millis, const std::string& name, Actions& out, bool sign) {
+void RaftConsensus::replicateTo(Millis, const std::string& name, Actions& out, bool sign) {
     Follower& f = followers_[name];
-    if (f.next <= base_) {
+    if (f.nextIndex <= lastIncludedIndex_) {
         if (sign) {
-            send(name, Append{term_, 0, 0, 0, round_, false, {}}, out);
-            sendSnapshotChunk(name, f.offset, out);
+            send(name, AppendEntries{currentTerm_, 0, 0, 0, heartbeatRound_, false, {}}, out);
+            sendSnapshotChunk(name, f.snapshotOffset, out);
         }
         return;
     }
     const auto one = [&] {
-        Append a{term_, f.next - 1, digestAt(f.next - 1), commit_, round_, f.next <= last(), {}};
-        if (a.holds) a.entry = at(f.next);
+        AppendEntries a{currentTerm_,
+                        f.nextIndex - 1,
+                        digestAt(f.nextIndex - 1),
+                        commitIndex_,
+                        heartbeatRound_,
+                        f.nextIndex <= lastLogIndex(),
+                        {}};
+        if (a.hasEntry) a.entry = at(f.nextIndex);
         send(name, a, out);
-        if (a.holds && !f.probing) ++f.next;
+        if (a.hasEntry && !f.probing) ++f.nextIndex;
     };
     if (sign) one();
-    while (!f.probing && f.next <= last() && f.next <= f.has + options_.window) one();
+    while (!f.probing && f.nextIndex <= lastLogIndex() &&
+           f.nextIndex <= f.replicatedIndex + options_.maxInFlightEntries)
+        one();
 }
 
-void RaftConsensus::signs(Millis now, Actions& out) {
-    ++round_;
-    signsAt_ = now + options_.heartbeat;
+void RaftConsensus::sendHeartbeats(Millis now, Actions& out) {
+    ++heartbeatRound_;
+    heartbeatDeadline_ = now + options_.heartbeatInterval;
     for (auto it = followers_.begin(); it != followers_.end();) {
         const std::string& name = it->first;
         Follower& f = it->second;
-        if (!isVoter(name) && f.next > last()) {  // taken out, and has been told
+        if (!isVoter(name) && f.nextIndex > lastLogIndex()) {  // taken out, and has been told
             it = followers_.erase(it);
             continue;
         }
         // On its way since the signs before, and nothing of it has come: lost. Who answers nothing is not sent a window each time.
-        if (!f.probing && f.next > f.has + 1 && f.has == f.hadAtSign) f.next = f.has + 1;
-        if (f.round + kSilent < round_) f.probing = true, f.next = std::min(f.next, last() + 1);
-        f.hadAtSign = f.has;
-        if (name != self_) sendTo(now, name, out, true);
+        if (!f.probing && f.nextIndex > f.replicatedIndex + 1 &&
+            f.replicatedIndex == f.replicatedAtLastHeartbeat)
+            f.nextIndex = f.replicatedIndex + 1;
+        if (f.heartbeatRound + kSilent < heartbeatRound_)
+            f.probing = true, f.nextIndex = std::min(f.nextIndex, lastLogIndex() + 1);
+        f.replicatedAtLastHeartbeat = f.replicatedIndex;
+        if (name != self_) replicateTo(now, name, out, true);
         ++it;
     }
-    checkConfirmed(out);
+    reportConfirmedLeadership(out);
 }
 
-void RaftConsensus::checkConfirmed(Actions& out) {
-    while (!waiting_.empty()) {
-        const std::uint64_t round = waiting_.begin()->first;
+void RaftConsensus::reportConfirmedLeadership(Actions& out) {
+    while (!pendingConfirmations_.empty()) {
+        const std::uint64_t round = pendingConfirmations_.begin()->first;
         std::size_t count = 0;
         for (const std::string& name : voters_)
-            count += name == self_ ? round_ >= round : followers_[name].round >= round;
+            count += name == self_ ? heartbeatRound_ >= round : followers_[name].heartbeatRound >= round;
         if (count < majority()) return;
-        for (const std::uint64_t token : waiting_.begin()->second) out.confirmed.push_back(token);
-        waiting_.erase(waiting_.begin());
+        for (const std::uint64_t token : pendingConfirmations_.begin()->second)
+            out.confirmedTokens.push_back(token);
+        pendingConfirmations_.erase(pendingConfirmations_.begin());
     }
 }
 
-void RaftConsensus::settle(Millis now, Actions& out) {
-    for (Index n = last(); n > commit_; --n) {
-        if (options_.safeguards.ownTermCommit && termAt(n) != term_) break;
+void RaftConsensus::advanceCommitIndex(Millis now, Actions& out) {
+    for (Index n = lastLogIndex(); n > commitIndex_; --n) {
+        if (options_.safeguards.ownTermCommit && termAt(n) != currentTerm_) break;
         std::size_t count = 0;
-        for (const std::string& name : voters_) count += name == self_ ? 1 : followers_[name].match >= n;
+        for (const std::string& name : voters_) count += name == self_ ? 1 : followers_[name].matchIndex >= n;
         if (count < majority()) continue;
-        commit_ = n;
-        applySettled(out);
-        signsAt_ = now;  // others may apply it too
-        if (!isVoter(self_)) follow(now, "taken out of the voters", out);
+        commitIndex_ = n;
+        applyCommitted(out);
+        heartbeatDeadline_ = now;  // others may apply it too
+        if (!isVoter(self_)) becomeFollower(now, "removed from the voters", out);
         return;
     }
 }
 
-void RaftConsensus::on(Millis now, const Message& message, const Append& body, Actions& out) {
-    if (number_ == 0) return;  // which group it is is told by answers to own questions alone
-    AppendReply reply{term_, false, last(), body.round, votes()};
-    if (body.term < term_) return send(message.from, reply, out);
-    if (body.term > term_) {
-        newTerm(body.term, out);
-        if (role_ >= Role::follower) follow(now, "a newer term's leader", out);
+void RaftConsensus::on(Millis now, const Message& message, const AppendEntries& body, Actions& out) {
+    if (groupNumber_ == 0) return;  // which group it is is told by answers to own questions alone
+    AppendEntriesReply reply{currentTerm_, false, lastLogIndex(), body.heartbeatRound, canVote()};
+    if (body.term < currentTerm_) return send(message.from, reply, out);
+    if (body.term > currentTerm_) {
+        enterTerm(body.term, out);
+        if (role_ >= Role::follower) becomeFollower(now, "heard the leader of a newer term", out);
     }
     if (role_ == Role::leader) return;  // its own term has no other leader
     if (role_ >= Role::follower) {
-        if (role_ != Role::follower) follow(now, "a leader is heard", out);
-        armElection(now);
+        if (role_ != Role::follower) becomeFollower(now, "heard the leader", out);
+        resetElectionTimer(now);
     }
     leader_ = message.from;
-    heard_ = now;
-    reply.term = term_;
-    reply.ok = take(body.prev, body.prevDigest, body.holds, body.entry, out);
+    lastLeaderContact_ = now;
+    reply.term = currentTerm_;
+    reply.success = appendIfMatching(body.prevLogIndex, body.prevLogDigest, body.hasEntry, body.entry, out);
     // Datagrams overtake each other: what came too early waits here, and is taken once what it follows is there.
-    if (!reply.ok && body.holds && body.prev > last() && body.prev <= last() + kEarly)
-        early_.emplace(body.prev, body);
-    Index taken = body.prev + (body.holds ? 1 : 0);
-    for (auto e = early_.begin(); reply.ok && e != early_.end() && e->first <= taken; e = early_.erase(e))
-        if (e->first == taken && take(e->first, e->second.prevDigest, true, e->second.entry, out)) ++taken;
-    reply.match = reply.ok ? std::max(taken, std::min(base_, last()))
-                           : std::min(last(), body.prev > 0 ? body.prev - 1 : 0);
-    if (reply.ok) {
-        if (matchedTerm_ != body.term) matched_ = 0, matchedTerm_ = body.term;
-        matched_ = std::max(matched_, reply.match);
-        const Index settled = std::min(body.commit, matched_);
-        if (settled > commit_) commit_ = settled, applySettled(out);
-        roleByVoters(now, out);
+    if (!reply.success && body.hasEntry && body.prevLogIndex > lastLogIndex() &&
+        body.prevLogIndex <= lastLogIndex() + kEarly)
+        outOfOrder_.emplace(body.prevLogIndex, body);
+    Index taken = body.prevLogIndex + (body.hasEntry ? 1 : 0);
+    for (auto e = outOfOrder_.begin(); reply.success && e != outOfOrder_.end() && e->first <= taken;
+         e = outOfOrder_.erase(e))
+        if (e->first == taken &&
+            appendIfMatching(e->first, e->second.prevLogDigest, true, e->second.entry, out))
+            ++taken;
+    reply.matchIndex = reply.success
+                           ? std::max(taken, std::min(lastIncludedIndex_, lastLogIndex()))
+                           : std::min(lastLogIndex(), body.prevLogIndex > 0 ? body.prevLogIndex - 1 : 0);
+    if (reply.success) {
+        if (leaderMatchTerm_ != body.term) leaderMatchIndex_ = 0, leaderMatchTerm_ = body.term;
+        leaderMatchIndex_ = std::max(leaderMatchIndex_, reply.matchIndex);
+        const Index settled = std::min(body.leaderCommit, leaderMatchIndex_);
+        if (settled > commitIndex_) commitIndex_ = settled, applyCommitted(out);
+        updateRole(now, out);
         if (role_ == Role::recovering) tryRecover(now, out);
-    } else if (body.prev <= commit_ && body.prev > 0 && reply.match < commit_) {
-        reply.match = commit_;
+    } else if (body.prevLogIndex <= commitIndex_ && body.prevLogIndex > 0 &&
+               reply.matchIndex < commitIndex_) {
+        reply.matchIndex = commitIndex_;
     }
-    reply.counts = votes();
+    reply.canVote = canVote();
     send(message.from, reply, out);
 }
 
-void RaftConsensus::on(Millis now, const Message& message, const AppendReply& body, Actions& out) {
-    if (body.term > term_ && role_ >= Role::follower && isVoter(message.from)) {
-        newTerm(body.term, out);
-        return follow(now, "a newer term", out);
+void RaftConsensus::on(Millis now, const Message& message, const AppendEntriesReply& body, Actions& out) {
+    if (body.term > currentTerm_ && role_ >= Role::follower && isVoter(message.from)) {
+        enterTerm(body.term, out);
+        return becomeFollower(now, "heard a newer term", out);
     }
-    if (!leads() || body.term != term_) return;
+    if (!isLeader() || body.term != currentTerm_) return;
     const auto found = followers_.find(message.from);
     if (found == followers_.end()) return;
     Follower& f = found->second;
-    f.counts = body.counts;
-    if (body.counts) {
-        f.heard = now;
-        f.round = std::max(f.round, body.round);
+    f.canVote = body.canVote;
+    if (body.canVote) {
+        f.lastContact = now;
+        f.heartbeatRound = std::max(f.heartbeatRound, body.heartbeatRound);
     }
-    if (body.ok) {
+    if (body.success) {
         f.probing = false;
-        f.has = std::max(f.has, body.match);
-        f.next = std::max(f.next, body.match + 1);
-        if (body.counts) f.match = std::max(f.match, body.match);
-        if (body.counts) settle(now, out);
-        if (leads()) sendTo(now, message.from, out, false);
-    } else if ((f.probing || body.match < f.has) && body.match + 1 < f.next) {
+        f.replicatedIndex = std::max(f.replicatedIndex, body.matchIndex);
+        f.nextIndex = std::max(f.nextIndex, body.matchIndex + 1);
+        if (body.canVote) f.matchIndex = std::max(f.matchIndex, body.matchIndex);
+        if (body.canVote) advanceCommitIndex(now, out);
+        if (isLeader()) replicateTo(now, message.from, out, false);
+    } else if ((f.probing || body.matchIndex < f.replicatedIndex) && body.matchIndex + 1 < f.nextIndex) {
         // It lacks what this one thought it had. One that lacks only what is still on its way is not sent it again.
-        f.next = std::max<Index>(body.match + 1, 1);
-        f.has = std::min(f.has, body.match);
-        f.match = std::min(f.match, body.match);
+        f.nextIndex = std::max<Index>(body.matchIndex + 1, 1);
+        f.replicatedIndex = std::min(f.replicatedIndex, body.matchIndex);
+        f.matchIndex = std::min(f.matchIndex, body.matchIndex);
         f.probing = true;
-        f.offset = 0;
-        sendTo(now, message.from, out, true);
+        f.snapshotOffset = 0;
+        replicateTo(now, message.from, out, true);
     }
-    if (leads()) checkConfirmed(out);
+    if (isLeader()) reportConfirmedLeadership(out);
 }
 
 }  // namespace beechpoint::raft
--- a/src/raft/messages.hpp
+++ b/src/raft/messages.hpp
@@ -19,15 +19,15 @@
 inline constexpr std::size_t kMaxMemberNameBytes = 19;   // bytes of a member's name
 inline constexpr std::size_t kSnapshotChunkBytes = 130;  // bytes of a snapshot in one message
 
-enum class Kind : std::uint8_t {
-    begin,    // a leader's first; means nothing
+enum class EntryKind : std::uint8_t {
+    noOp,     // a leader's first; means nothing
     command,  // for the machine
     voters    // the new set, names with a space between; in force from its appending on
 };
 
 struct Entry {
     Term term = 0;
-    Kind kind = Kind::begin;
+    EntryKind kind = EntryKind::noOp;
     std::string data;
     bool operator==(const Entry&) const = default;
 };
@@ -36,92 +36,93 @@
 // anybody votes in it.
 struct PreVote {
     Term term = 0;
-    Index last = 0;
-    Term lastTerm = 0;
+    Index lastLogIndex = 0;
+    Term lastLogTerm = 0;
 };
 struct PreVoteReply {
     Term term = 0;  // as asked
-    bool yes = false;
-    Term known = 0;  // the newest that the answerer knows
+    bool voteGranted = false;
+    Term newestTerm = 0;  // the newest that the answerer knows
 };
-struct VoteRequest {
+struct RequestVote {
     Term term = 0;
-    Index last = 0;
-    Term lastTerm = 0;
+    Index lastLogIndex = 0;
+    Term lastLogTerm = 0;
 };
-struct VoteReply {
+struct RequestVoteReply {
     Term term = 0;
-    bool yes = false;
+    bool voteGranted = false;
 };
-struct Append {  // also the sign of life, with no entry
+struct AppendEntries {  // also the sign of life, with no entry
     Term term = 0;
-    Index prev = 0;
-    Digest prevDigest = 0;
-    Index commit = 0;
-    std::uint64_t round = 0;  // of signs of life; rises within a term
-    bool holds = false;
+    Index prevLogIndex = 0;
+    Digest prevLogDigest = 0;
+    Index leaderCommit = 0;
+    std::uint64_t heartbeatRound = 0;  // of signs of life; rises within a term
+    bool hasEntry = false;
     Entry entry;
 };
-struct AppendReply {
+struct AppendEntriesReply {
     Term term = 0;
-    bool ok = false;
-    Index match = 0;  // ok: equal up to here; else: try from here on
-    std::uint64_t round = 0;
-    bool counts = false;  // it is a voter with its memory whole
+    bool success = false;
+    Index matchIndex = 0;  // ok: equal up to here; else: try from here on
+    std::uint64_t heartbeatRound = 0;
+    bool canVote = false;  // it is a voter with its memory whole
 };
 // A voter that lost its memory asks how things stand; the nonce makes old answers worthless.
-struct StateRequest {
+struct RecoveryRequest {
     std::uint64_t nonce = 0;
 };
-enum class Standing : std::uint8_t { empty, recovering, normal };
-struct StateReply {
+enum class RecoveryStatus : std::uint8_t { empty, recovering, normal };
+struct RecoveryResponse {
     std::uint64_t nonce = 0;
-    Standing standing = Standing::empty;
+    RecoveryStatus status = RecoveryStatus::empty;
     Term term = 0;
-    Term promised = 0;
-    bool leads = false;
-    Index last = 0;
-    std::uint64_t number = 0;  // of the group; 0: not founded
-    bool voter = false;        // the asker is one, as the answerer has it
+    Term promisedTerm = 0;
+    bool isLeader = false;
+    Index lastLogIndex = 0;
+    std::uint64_t groupNumber = 0;  // of the group; 0: not founded
+    bool askerIsVoter = false;      // the asker is one, as the answerer has it
 };
 // The group begins, by an operator's word: only at that very life of an empty member.
-struct Found {
-    std::uint64_t number = 0;
+struct FoundGroup {
+    std::uint64_t groupNumber = 0;
     ProcessIncarnation processIncarnation = 0;
 };
 struct SnapshotChunk {  // of a snapshot
     Term term = 0;
-    Index index = 0;  // that it stands for
-    Term indexTerm = 0;
-    Digest digest = 0;
-    std::uint64_t sum = 0;  // hash of the whole
-    std::uint32_t offset = 0, total = 0;
+    Index lastIncludedIndex = 0;  // that it stands for
+    Term lastIncludedTerm = 0;
+    Digest lastIncludedDigest = 0;
+    std::uint64_t checksum = 0;  // hash of the whole
+    std::uint32_t offset = 0, totalBytes = 0;
     std::string bytes;
 };
 struct SnapshotChunkReply {
     Term term = 0;
-    Index index = 0;
-    std::uint32_t offset = 0;  // wanted next
-};
-struct Pull {  // a learner's question for what comes after
-    Index last = 0;
-    Digest digest = 0;
-};
-struct Tail {  // its answer: settled entries only
-    Index prev = 0;
-    Digest prevDigest = 0;
-    Index commit = 0;
-    bool holds = false;
+    Index lastIncludedIndex = 0;
+    std::uint32_t nextOffset = 0;  // wanted next
+};
+struct CatchUpRequest {  // a learner's question for what comes after
+    Index commitIndex = 0;
+    Digest commitDigest = 0;
+};
+struct CatchUpReply {  // its answer: settled entries only
+    Index prevLogIndex = 0;
+    Digest prevLogDigest = 0;
+    Index commitIndex = 0;
+    bool hasEntry = false;
     Entry entry;
 };
 
-using Body = std::variant<PreVote, PreVoteReply, VoteRequest, VoteReply, Append, AppendReply, StateRequest,
-                          StateReply, Found, SnapshotChunk, SnapshotChunkReply, Pull, Tail>;
+using Body = std::variant<PreVote, PreVoteReply, RequestVote, RequestVoteReply, AppendEntries,
+                          AppendEntriesReply, RecoveryRequest, RecoveryResponse, FoundGroup, SnapshotChunk,
+                          SnapshotChunkReply, CatchUpRequest, CatchUpReply>;
 
 struct Message {
     std::string from, to;
     ProcessIncarnation processIncarnation = 0;  // of the sender
-    std::uint64_t number = 0;                   // of the sender's group; 0: not founded
+    std::uint64_t groupNumber = 0;              // of the sender's group; 0: not founded
     Body body;
 };
 
--- a/src/raft/raft_consensus.cpp
+++ b/src/raft/raft_consensus.cpp
@@ -33,83 +33,85 @@
 
 RaftConsensus::RaftConsensus(Options options, std::string self, ProcessIncarnation processIncarnation,
                              std::vector<std::string> voters, std::uint64_t seed, Millis now,
-                             Machine& machine, const std::optional<PersistentState>& kept)
+                             StateMachine& machine, const std::optional<PersistentState>& kept)
     : options_(options),
       self_(std::move(self)),
       processIncarnation_(processIncarnation),
       firstVoters_(std::move(voters)),
       draw_(seed),
       machine_(machine),
-      baseVoters_(firstVoters_),
+      lastIncludedVoters_(firstVoters_),
       voters_(firstVoters_),
-      askAt_(now),
+      requestDeadline_(now),
       nonce_(processIncarnation) {
-    if (kept && kept->number != 0) {
-        joins(kept->number);
-        term_ = kept->term;
-        promised_ = kept->promised;
-        vote_ = kept->vote;
-        base_ = kept->base;
-        baseTerm_ = kept->baseTerm;
-        baseDigest_ = kept->baseDigest;
-        if (!kept->baseVoters.empty()) baseVoters_ = kept->baseVoters;
-        saved_ = kept->saved;
-        if (!readable(*kept, machine_)) throw std::invalid_argument("ledger: the kept state can't be read");
-        commit_ = applied_ = base_;
+    if (kept && kept->groupNumber != 0) {
+        joinGroup(kept->groupNumber);
+        currentTerm_ = kept->currentTerm;
+        promisedTerm_ = kept->promisedTerm;
+        votedFor_ = kept->votedFor;
+        lastIncludedIndex_ = kept->lastIncludedIndex;
+        lastIncludedTerm_ = kept->lastIncludedTerm;
+        lastIncludedDigest_ = kept->lastIncludedDigest;
+        if (!kept->lastIncludedVoters.empty()) lastIncludedVoters_ = kept->lastIncludedVoters;
+        snapshot_ = kept->snapshot;
+        if (!isReadable(*kept, machine_))
+            throw std::invalid_argument("raft: the persistent state can't be read");
+        commitIndex_ = lastApplied_ = lastIncludedIndex_;
         for (const Entry& e : kept->entries) append(e);
-        setVoters();
+        updateVoters();
         role_ = contains(voters_, self_) ? Role::follower : Role::learner;
     } else {
         role_ = contains(voters_, self_) ? Role::empty : Role::learner;
     }
-    armElection(now);
+    resetElectionTimer(now);
 }
 
-bool RaftConsensus::readable(const PersistentState& kept, Machine& machine) {
-    return kept.base == 0 || machine.load(kept.saved.substr(kept.saved.find('\n') + 1));
+bool RaftConsensus::isReadable(const PersistentState& kept, StateMachine& machine) {
+    return kept.lastIncludedIndex == 0 || machine.load(kept.snapshot.substr(kept.snapshot.find('\n') + 1));
 }
 
-PersistentState RaftConsensus::kept() const {
-    PersistentState k{number_,   term_,       promised_, vote_,       base_,
-                      baseTerm_, baseDigest_, saved_,    baseVoters_, {}};
-    for (const Held& h : log_) k.entries.push_back(h.entry);
+PersistentState RaftConsensus::persistentState() const {
+    PersistentState k{
+        groupNumber_,      currentTerm_,        promisedTerm_, votedFor_,           lastIncludedIndex_,
+        lastIncludedTerm_, lastIncludedDigest_, snapshot_,     lastIncludedVoters_, {}};
+    for (const LogRecord& h : log_) k.entries.push_back(h.entry);
     return k;
 }
 
-Millis RaftConsensus::next() const {
+Millis RaftConsensus::nextDeadline() const {
     switch (role_) {
         case Role::leader:
-            return std::min(signsAt_, electionAt_);
+            return std::min(heartbeatDeadline_, electionDeadline_);
         case Role::empty:
         case Role::recovering:
         case Role::learner:
-            return askAt_;
+            return requestDeadline_;
         default:
-            return electionAt_;
+            return electionDeadline_;
     }
 }
 
 void RaftConsensus::advance(Millis now, Actions& out) {
     if (role_ == Role::leader) {
-        if (now >= electionAt_) {  // who can't be heard by a majority leads nobody
-            armElection(now);
+        if (now >= electionDeadline_) {  // who can't be heard by a majority leads nobody
+            resetElectionTimer(now);
             std::size_t count = 0;
             for (const std::string& name : voters_)
-                count += name == self_ || now - followers_[name].heard < options_.electionTo;
-            if (count < majority()) return follow(now, "no majority heard", out);
+                count += name == self_ || now - followers_[name].lastContact < options_.electionTimeoutMax;
+            if (count < majority()) return becomeFollower(now, "no contact with a majority", out);
         }
-        if (now >= signsAt_) signs(now, out);
+        if (now >= heartbeatDeadline_) sendHeartbeats(now, out);
     } else if (role_ == Role::learner) {
-        if (now < askAt_) return;
-        askAt_ = now + options_.pull * (0.8 + 0.4 * draw_());
+        if (now < requestDeadline_) return;
+        requestDeadline_ = now + options_.catchUpInterval * (0.8 + 0.4 * draw_());
         if (voters_.empty()) return;
-        if (number_ == 0) return sendVoters(StateRequest{nonce_}, out);
+        if (groupNumber_ == 0) return sendVoters(RecoveryRequest{nonce_}, out);
         const std::string& to = voters_[draw_.below(voters_.size())];
-        send(to, Pull{commit_, digestAt(commit_)}, out);
+        send(to, CatchUpRequest{commitIndex_, digestAt(commitIndex_)}, out);
     } else if (role_ == Role::empty || role_ == Role::recovering) {
-        if (now >= askAt_) askState(now, out);
-    } else if (now >= electionAt_) {
-        startPreVote(now, out);
+        if (now >= requestDeadline_) sendRecoveryRequests(now, out);
+    } else if (now >= electionDeadline_) {
+        becomePreCandidate(now, out);
     }
 }
 
@@ -121,21 +123,21 @@
     ++counters_.processIncarnations;
     const auto f = followers_.find(message.from);
     if (f == followers_.end()) return;
-    const std::uint64_t round = f->second.round;
-    const Millis heard = f->second.heard;
+    const std::uint64_t round = f->second.heartbeatRound;
+    const Millis heard = f->second.lastContact;
     f->second = {};
-    f->second.next = last() + 1;
-    f->second.round = round;
-    f->second.heard = heard;
+    f->second.nextIndex = lastLogIndex() + 1;
+    f->second.heartbeatRound = round;
+    f->second.lastContact = heard;
 }
 
 void RaftConsensus::receive(Millis now, const Message& message, Actions& out) {
-    const bool opening = std::holds_alternative<StateRequest>(message.body) ||
-                         std::holds_alternative<StateReply>(message.body) ||
-                         std::holds_alternative<Found>(message.body) ||
-                         std::holds_alternative<Pull>(message.body);
+    const bool opening = std::holds_alternative<RecoveryRequest>(message.body) ||
+                         std::holds_alternative<RecoveryResponse>(message.body) ||
+                         std::holds_alternative<FoundGroup>(message.body) ||
+                         std::holds_alternative<CatchUpRequest>(message.body);
     if (message.from == self_) return;
-    if (!opening && number_ != 0 && message.number != number_) return;
+    if (!opening && groupNumber_ != 0 && message.groupNumber != groupNumber_) return;
     recordIncarnation(message);
     std::visit([&](const auto& body) { on(now, message, body, out); }, message.body);
 }
--- a/src/raft/raft_consensus.hpp
+++ b/src/raft/raft_consensus.hpp
@@ -45,9 +45,9 @@
 namespace beechpoint::raft {
 
 // Applies what was settled, in order and alike everywhere: no clock, no random numbers, no floating point.
-class Machine {
+class StateMachine {
 public:
-    virtual ~Machine() = default;
+    virtual ~StateMachine() = default;
     // Which group this is, before anything is applied: the same at all members, higher for each new founding.
     virtual void begin(std::uint64_t number) { (void)number; }
     virtual void apply(Index index, Term term, const std::string& data) = 0;
@@ -58,14 +58,14 @@
 
 // What must not be forgotten over a restart, where a folder lasts. Kept before any message of that step leaves.
 struct PersistentState {
-    std::uint64_t number = 0;
-    Term term = 0, promised = 0;
-    std::string vote;
-    Index base = 0;  // entries up to here are in `saved`
-    Term baseTerm = 0;
-    Digest baseDigest = 0;
-    std::string saved;
-    std::vector<std::string> baseVoters;
+    std::uint64_t groupNumber = 0;
+    Term currentTerm = 0, promisedTerm = 0;
+    std::string votedFor;
+    Index lastIncludedIndex = 0;  // entries up to here are in `saved`
+    Term lastIncludedTerm = 0;
+    Digest lastIncludedDigest = 0;
+    std::string snapshot;
+    std::vector<std::string> lastIncludedVoters;
     std::vector<Entry> entries;
 };
 
@@ -77,11 +77,13 @@
 };
 
 struct Options {
-    Millis heartbeat = 150;
-    Millis electionFrom = 500, electionTo = 1000;  // without a sign of life; drawn anew each time
-    Millis pull = 2000;  // a learner's question, with a fifth of it as jitter; more of them: cluster::Options
-    std::size_t mostEntries = 512;  // kept; above this those behind `applied` are cut
-    std::size_t window = 8;         // entries on their way to one voter
+    Millis heartbeatInterval = 150;
+    Millis electionTimeoutMin = 500,
+           electionTimeoutMax = 1000;  // without a sign of life; drawn anew each time
+    Millis catchUpInterval =
+        2000;  // a learner's question, with a fifth of it as jitter; more of them: cluster::Options
+    std::size_t maxLogEntries = 512;     // kept; above this those behind `applied` are cut
+    std::size_t maxInFlightEntries = 8;  // entries on their way to one voter
     Safeguards safeguards;
 };
 
@@ -90,30 +92,30 @@
 
 struct Actions {
     std::vector<Message> send;
-    bool keep = false;                     // kept() must be durable before anything of `send` leaves
-    std::vector<std::string> notes;        // for the log: one event each
-    std::vector<std::uint64_t> confirmed;  // tokens of confirm()
+    bool mustPersist = false;                    // kept() must be durable before anything of `send` leaves
+    std::vector<std::string> events;             // for the log: one event each
+    std::vector<std::uint64_t> confirmedTokens;  // tokens of confirm()
 };
 
 struct Counters {
-    std::uint64_t elections = 0, led = 0, stepsDown = 0, conflicts = 0, processIncarnations = 0,
-                  snapshots = 0;
+    std::uint64_t elections = 0, electionsWon = 0, stepsDown = 0, conflicts = 0, processIncarnations = 0,
+                  snapshotsInstalled = 0;
 };
 
 class RaftConsensus {
 public:
     // `voters`: the set that a new group begins with, the same at all members. `kept`: from a folder that lasts.
     RaftConsensus(Options options, std::string self, ProcessIncarnation processIncarnation,
-                  std::vector<std::string> voters, std::uint64_t seed, Millis now, Machine& machine,
+                  std::vector<std::string> voters, std::uint64_t seed, Millis now, StateMachine& machine,
                   const std::optional<PersistentState>& kept = std::nullopt);
 
     void receive(Millis now, const Message& message, Actions& out);
     void advance(Millis now, Actions& out);
-    Millis next() const;  // when advance() has something to do
+    Millis nextDeadline() const;  // when advance() has something to do
 
     // By an operator's word, at one voter: begins a group under `number` if all voters answer that they have
     // nothing. False: this member has a state, or is no voter.
-    bool found(Millis now, std::uint64_t number, Actions& out);
+    bool foundGroup(Millis now, std::uint64_t number, Actions& out);
     // At the leader: appends. Nothing: it does not lead, or the data is too long.
     std::optional<Index> propose(Millis now, const std::string& data, Actions& out);
     // One voter more or less; false: not the leader, a change under way, no entry of the own term settled yet,
@@ -122,48 +124,48 @@
     bool changeVoters(Millis now, std::vector<std::string> voters, Actions& out);
     // Asks for proof, begun after now, that this member still leads: `token` comes in confirmed. Dropped when
     // it steps down.
-    void confirm(Millis now, std::uint64_t token, Actions& out);
+    void confirmLeadership(Millis now, std::uint64_t token, Actions& out);
 
     Role role() const { return role_; }
-    bool leads() const { return role_ == Role::leader; }
+    bool isLeader() const { return role_ == Role::leader; }
     // At the leader: an entry of its own term is settled, so all settled before is known and applied.
-    bool ready() const { return leads() && termAt(commit_) == term_; }
-    Millis leadsSince() const { return leadsSince_; }
-    Term term() const { return term_; }
-    std::uint64_t number() const { return number_; }
+    bool isReadyLeader() const { return isLeader() && termAt(commitIndex_) == currentTerm_; }
+    Millis leaderSince() const { return leaderSince_; }
+    Term currentTerm() const { return currentTerm_; }
+    std::uint64_t groupNumber() const { return groupNumber_; }
     const std::string& leader() const { return leader_; }  // as last heard; empty: none
-    Millis leaderHeard() const { return heard_; }
-    Index last() const { return base_ + log_.size(); }
-    Index commit() const { return commit_; }
+    Millis lastLeaderContact() const { return lastLeaderContact_; }
+    Index lastLogIndex() const { return lastIncludedIndex_ + log_.size(); }
+    Index commitIndex() const { return commitIndex_; }
     Digest digestAt(Index index) const;  // 0: not kept
     const std::vector<std::string>& voters() const { return voters_; }
     bool isVoter(const std::string& name) const;
-    std::size_t entries() const { return log_.size(); }  // kept
+    std::size_t logSize() const { return log_.size(); }  // kept
     const Counters& counters() const { return counters_; }
-    PersistentState kept() const;
+    PersistentState persistentState() const;
     // Whether the state kept is one that the machine can read; `machine` is left as it was, or with that state.
-    static bool readable(const PersistentState& kept, Machine& machine);
+    static bool isReadable(const PersistentState& kept, StateMachine& machine);
     // What kept() holds, piece by piece.
-    Term promised() const { return promised_; }
-    const std::string& vote() const { return vote_; }
-    Index base() const { return base_; }
+    Term promisedTerm() const { return promisedTerm_; }
+    const std::string& votedFor() const { return votedFor_; }
+    Index lastIncludedIndex() const { return lastIncludedIndex_; }
     const Entry& entry(Index index) const { return at(index); }  // base() < index <= last()
 
 private:
-    struct Held {
+    struct LogRecord {
         Entry entry;
         Digest digest = 0;
     };
     // `has` is what it is known to hold, `match` the part of it that counts for a majority (nothing, while it recovers). A
     // follower of which neither is known is probed: one message at a time, until one fits. Then entries go `window` ahead.
     struct Follower {
-        Index next = 1, match = 0, has = 0;
-        Index hadAtSign = 0;
+        Index nextIndex = 1, matchIndex = 0, replicatedIndex = 0;
+        Index replicatedAtLastHeartbeat = 0;
         bool probing = true;
-        std::uint64_t round = 0;  // newest answered
-        Millis heard = -1e300;
-        std::uint32_t offset = 0;  // of a snapshot on its way
-        bool counts = false;       // by its last answer: a voter with its memory whole
+        std::uint64_t heartbeatRound = 0;  // newest answered
+        Millis lastContact = -1e300;
+        std::uint32_t snapshotOffset = 0;  // of a snapshot on its way
+        bool canVote = false;              // by its last answer: a voter with its memory whole
     };
 
     template <class T>
@@ -171,97 +173,100 @@
     template <class T>
     void sendVoters(const T& body, Actions& out);
     Term termAt(Index index) const;
-    const Entry& at(Index index) const { return log_[index - base_ - 1].entry; }
+    const Entry& at(Index index) const { return log_[index - lastIncludedIndex_ - 1].entry; }
     void append(Entry entry);
-    void cutFrom(Index index);
+    void truncateFrom(Index index);
     std::size_t majority() const { return voters().size() / 2 + 1; }
     bool upToDate(Index last, Term lastTerm) const;
-    bool votes() const;
-    void armElection(Millis now);
-    void newTerm(Term term, Actions& out);
-    void joins(std::uint64_t number);
-    void follow(Millis now, const char* why, Actions& out);
-    void startPreVote(Millis now, Actions& out);
-    void startElection(Millis now, Actions& out);
-    void lead(Millis now, Actions& out);
-    void sendTo(Millis now, const std::string& name, Actions& out, bool sign);
-    void signs(Millis now, Actions& out);
-    void settle(Millis now, Actions& out);
-    void applySettled(Actions& out);
-    void cut();
-    void checkConfirmed(Actions& out);
-    void askState(Millis now, Actions& out);
+    bool canVote() const;
+    void resetElectionTimer(Millis now);
+    void enterTerm(Term term, Actions& out);
+    void joinGroup(std::uint64_t number);
+    void becomeFollower(Millis now, const char* why, Actions& out);
+    void becomePreCandidate(Millis now, Actions& out);
+    void becomeCandidate(Millis now, Actions& out);
+    void becomeLeader(Millis now, Actions& out);
+    void replicateTo(Millis now, const std::string& name, Actions& out, bool sign);
+    void sendHeartbeats(Millis now, Actions& out);
+    void advanceCommitIndex(Millis now, Actions& out);
+    void applyCommitted(Actions& out);
+    void compactLog();
+    void reportConfirmedLeadership(Actions& out);
+    void sendRecoveryRequests(Millis now, Actions& out);
     void tryRecover(Millis now, Actions& out);
     void recordIncarnation(const Message& message);
     // Takes what follows `prev`; false: this log does not hold prev, or holds another.
-    bool take(Index prev, Digest prevDigest, bool holds, const Entry& entry, Actions& out);
-    void setVoters();
-    void roleByVoters(Millis now, Actions& out);
+    bool appendIfMatching(Index prev, Digest prevDigest, bool holds, const Entry& entry, Actions& out);
+    void updateVoters();
+    void updateRole(Millis now, Actions& out);
     void sendSnapshotChunk(const std::string& to, std::uint32_t offset, Actions& out);
-    void install(Millis now, const SnapshotChunk& body, Actions& out);
+    void installSnapshot(Millis now, const SnapshotChunk& body, Actions& out);
 
     void on(Millis now, const Message& message, const PreVote& body, Actions& out);
     void on(Millis now, const Message& message, const PreVoteReply& body, Actions& out);
-    void on(Millis now, const Message& message, const VoteRequest& body, Actions& out);
-    void on(Millis now, const Message& message, const VoteReply& body, Actions& out);
-    void on(Millis now, const Message& message, const Append& body, Actions& out);
-    void on(Millis now, const Message& message, const AppendReply& body, Actions& out);
-    void on(Millis now, const Message& message, const StateRequest& body, Actions& out);
-    void on(Millis now, const Message& message, const StateReply& body, Actions& out);
-    void on(Millis now, const Message& message, const Found& body, Actions& out);
+    void on(Millis now, const Message& message, const RequestVote& body, Actions& out);
+    void on(Millis now, const Message& message, const RequestVoteReply& body, Actions& out);
+    void on(Millis now, const Message& message, const AppendEntries& body, Actions& out);
+    void on(Millis now, const Message& message, const AppendEntriesReply& body, Actions& out);
+    void on(Millis now, const Message& message, const RecoveryRequest& body, Actions& out);
+    void on(Millis now, const Message& message, const RecoveryResponse& body, Actions& out);
+    void on(Millis now, const Message& message, const FoundGroup& body, Actions& out);
     void on(Millis now, const Message& message, const SnapshotChunk& body, Actions& out);
     void on(Millis now, const Message& message, const SnapshotChunkReply& body, Actions& out);
-    void on(Millis now, const Message& message, const Pull& body, Actions& out);
-    void on(Millis now, const Message& message, const Tail& body, Actions& out);
+    void on(Millis now, const Message& message, const CatchUpRequest& body, Actions& out);
+    void on(Millis now, const Message& message, const CatchUpReply& body, Actions& out);
 
     Options options_;
     std::string self_;
     ProcessIncarnation processIncarnation_;
     std::vector<std::string> firstVoters_;
     SplitMix draw_;
-    Machine& machine_;
+    StateMachine& machine_;
 
-    std::uint64_t number_ = 0;
+    std::uint64_t groupNumber_ = 0;
     Role role_ = Role::empty;
-    Term term_ = 0, promised_ = 0, asked_ = 0, seen_ = 0;  // asked_: of the pre-vote; seen_: others' newest
-    std::string vote_, leader_;
-    Index base_ = 0;
-    Term baseTerm_ = 0;
-    Digest baseDigest_ = 0;
-    std::vector<std::string> baseVoters_, voters_;
-    std::deque<Held> log_;
-    Index commit_ = 0, applied_ = 0;
-    std::string saved_;  // the machine at base_
-    struct Point {       // where the next cut goes: the machine as it was there
+    Term currentTerm_ = 0, promisedTerm_ = 0, preVoteTerm_ = 0,
+         newestTermSeen_ = 0;  // asked_: of the pre-vote; seen_: others' newest
+    std::string votedFor_, leader_;
+    Index lastIncludedIndex_ = 0;
+    Term lastIncludedTerm_ = 0;
+    Digest lastIncludedDigest_ = 0;
+    std::vector<std::string> lastIncludedVoters_, voters_;
+    std::deque<LogRecord> log_;
+    Index commitIndex_ = 0, lastApplied_ = 0;
+    std::string snapshot_;      // the machine at base_
+    struct SnapshotCandidate {  // where the next cut goes: the machine as it was there
         Index index = 0;
-        std::string saved;
-    } point_;
-    std::map<Index, Append>
-        early_;          // of this term, that came before what they follow: by that, at most kEarly
-    Index matched_ = 0;  // equal to the leader of matchedTerm_ up to here
-    Term matchedTerm_ = 0;
+        std::string snapshot;
+    } nextSnapshot_;
+    std::map<Index, AppendEntries>
+        outOfOrder_;              // of this term, that came before what they follow: by that, at most kEarly
+    Index leaderMatchIndex_ = 0;  // equal to the leader of matchedTerm_ up to here
+    Term leaderMatchTerm_ = 0;
 
-    Millis heard_ = -1e300, electionAt_ = 0, signsAt_ = 0, askAt_ = 0, leadsSince_ = 0;
-    std::set<std::string> yes_;
+    Millis lastLeaderContact_ = -1e300, electionDeadline_ = 0, heartbeatDeadline_ = 0, requestDeadline_ = 0,
+           leaderSince_ = 0;
+    std::set<std::string> votesGranted_;
     std::map<std::string, Follower> followers_;
-    std::uint64_t round_ = 0;
-    std::map<std::uint64_t, std::vector<std::uint64_t>> waiting_;  // tokens by the round that proves them
+    std::uint64_t heartbeatRound_ = 0;
+    std::map<std::uint64_t, std::vector<std::uint64_t>>
+        pendingConfirmations_;  // tokens by the round that proves them
 
-    std::uint64_t nonce_ = 0, founding_ = 0;
-    Millis foundUntil_ = 0;
-    std::map<std::string, ProcessIncarnation> foundedAt_;  // whom this member founded the group at
-    struct Answer {
-        StateReply reply;
+    std::uint64_t nonce_ = 0, foundingNumber_ = 0;
+    Millis foundingDeadline_ = 0;
+    std::map<std::string, ProcessIncarnation> foundedMembers_;  // whom this member founded the group at
+    struct ReceivedResponse {
+        RecoveryResponse response;
         ProcessIncarnation processIncarnation = 0;
     };
-    std::map<std::string, Answer> answers_;
+    std::map<std::string, ReceivedResponse> recoveryResponses_;
 
-    struct Incoming {
+    struct IncomingSnapshot {
         Index index = 0;
         Digest digest = 0;
-        std::uint64_t sum = 0;
+        std::uint64_t checksum = 0;
         std::string bytes;
-    } incoming_;
+    } incomingSnapshot_;
     std::map<std::string, ProcessIncarnation> processIncarnations_;  // as last heard
     Counters counters_;
 };
--- a/src/raft/raft_consensus_detail.hpp
+++ b/src/raft/raft_consensus_detail.hpp
@@ -40,7 +40,7 @@
 
 template <class T>
 void RaftConsensus::send(const std::string& to, T body, Actions& out) {
-    if (to != self_) out.send.push_back({self_, to, processIncarnation_, number_, std::move(body)});
+    if (to != self_) out.send.push_back({self_, to, processIncarnation_, groupNumber_, std::move(body)});
 }
 
 template <class T>
--- a/src/raft/state_folder.hpp
+++ b/src/raft/state_folder.hpp
@@ -13,26 +13,26 @@
 
 namespace beechpoint::raft {
 
-class Folder {
+class StateFolder {
 public:
     // `folder` must be there. Names are made safe for the file system.
-    Folder(durable_files::Files& files, std::string folder, std::string group, std::string self);
+    StateFolder(durable_files::Files& files, std::string folder, std::string group, std::string self);
 
     // What was kept; `note` says in one line what was found, empty: nothing at all. A damaged file is put aside under one name
     // (the newest damage replaces the one before), so that staff can look at it.
-    Read load(std::string& note);
+    ReadState load(std::string& note);
     // Durable once it returns true.
-    bool keep(const Write& write);
+    bool persist(const StateWrite& write);
     bool failed() const { return failed_; }
 
 private:
     std::string logName(std::uint64_t generation) const;
-    bool put(const Write& write);
+    bool writeDurably(const StateWrite& write);
 
     durable_files::Files& files_;
     std::string folder_, group_, self_, path_;
     std::uint64_t generation_ = 0;  // whose log is in use
-    bool made_ = false;             // that log is there, by name
+    bool logExists_ = false;        // that log is there, by name
     bool failed_ = false;
 };
 
--- a/src/raft/voter_changes.cpp
+++ b/src/raft/voter_changes.cpp
@@ -15,33 +15,33 @@
 
 bool RaftConsensus::isVoter(const std::string& name) const { return contains(voters_, name); }
 
-void RaftConsensus::setVoters() {
+void RaftConsensus::updateVoters() {
     for (auto e = log_.rbegin(); e != log_.rend(); ++e)
-        if (e->entry.kind == Kind::voters) {
+        if (e->entry.kind == EntryKind::voters) {
             voters_ = splitNames(e->entry.data);
             return;
         }
-    voters_ = baseVoters_;
+    voters_ = lastIncludedVoters_;
 }
 
 // A change of voters may make a learner of a voter, and the other way round. Who comes in may have been a voter
 // before and have forgotten it, so it recovers first.
-void RaftConsensus::roleByVoters(Millis now, Actions& out) {
+void RaftConsensus::updateRole(Millis now, Actions& out) {
     if (role_ == Role::learner && isVoter(self_)) {
         role_ = options_.safeguards.recovery ? Role::recovering : Role::follower;
-        askAt_ = now;
-        out.notes.push_back("ledger: now a voter");
+        requestDeadline_ = now;
+        out.events.push_back("raft: now a voter");
     } else if (role_ != Role::learner && role_ != Role::leader && role_ != Role::empty && !isVoter(self_)) {
         role_ = Role::learner;
-        askAt_ = now;
-        out.notes.push_back("ledger: no longer a voter");
+        requestDeadline_ = now;
+        out.events.push_back("raft: no longer a voter");
     }
 }
 
 bool RaftConsensus::changeVoters(Millis now, std::vector<std::string> voters, Actions& out) {
-    if (!ready() || voters.empty() || voters.size() > kMaxVoters) return false;
-    for (Index i = commit_ + 1; i <= last(); ++i)
-        if (at(i).kind == Kind::voters) return false;
+    if (!isReadyLeader() || voters.empty() || voters.size() > kMaxVoters) return false;
+    for (Index i = commitIndex_ + 1; i <= lastLogIndex(); ++i)
+        if (at(i).kind == EntryKind::voters) return false;
     std::sort(voters.begin(), voters.end());
     std::vector<std::string> old = voters_, differ;
     std::sort(old.begin(), old.end());
@@ -54,21 +54,21 @@
     for (const std::string& name : voters) {
         if (name == self_ || !isVoter(name)) continue;
         const auto f = followers_.find(name);
-        if (f == followers_.end() || !f->second.counts ||
-            now - f->second.heard > kOfLate * options_.heartbeat)
+        if (f == followers_.end() || !f->second.canVote ||
+            now - f->second.lastContact > kOfLate * options_.heartbeatInterval)
             return false;
     }
-    append({term_, Kind::voters, names});
-    out.keep = true;
+    append({currentTerm_, EntryKind::voters, names});
+    out.mustPersist = true;
     for (const std::string& name : voters_)
         if (!followers_.contains(name)) {
             Follower f;
-            f.next = last();
-            f.heard = now;
+            f.nextIndex = lastLogIndex();
+            f.lastContact = now;
             followers_[name] = f;
         }
-    signs(now, out);
-    settle(now, out);
+    sendHeartbeats(now, out);
+    advanceCommitIndex(now, out);
     return true;
 }
 
--- a/tests/cluster/host_prober_test.cpp
+++ b/tests/cluster/host_prober_test.cpp
@@ -53,14 +53,14 @@
             if (e.message) {
                 Message m = *e.message;
                 if (liar)
-                    if (auto* w = std::get_if<Word>(&m.body)) w->there = false, w->ageMs = 0;
+                    if (auto* w = std::get_if<HealthReport>(&m.body)) w->reachable = false, w->ageMs = 0;
                 l.receive(now, m, e.member == holder, out);
             } else {
                 push({now + 500 + 20 * unit(), e.member, nullptr});
                 if (!(gone && e.member == holder)) {
-                    if (l.wanted(now, "host", withDuty ? name(holder) : "", out) == Advice::look) {
+                    if (l.probeWanted(now, "host", withDuty ? name(holder) : "", out) == Advice::probe) {
                         ++looks[static_cast<std::size_t>(e.member)];
-                        l.saw(now, "host", there);
+                        l.recordProbe(now, "host", there);
                         if (there && foundAt[e.member] == 0) foundAt[e.member] = now;
                     }
                 }
@@ -133,35 +133,36 @@
 TEST(HostProber, WordsAreTakenOnlyWhereTheyWereAskedForAndWithTheirAge) {
     HostProber l({}, "a");
     std::vector<Message> out;
-    EXPECT_EQ(l.wanted(0, "h", "b", out), Advice::look);
-    l.saw(0, "h", false);
-    const auto number = std::get<Ask>(out.at(0).body).number;
+    EXPECT_EQ(l.probeWanted(0, "h", "b", out), Advice::probe);
+    l.recordProbe(0, "h", false);
+    const auto number = std::get<HealthQuery>(out.at(0).body).number;
     const auto says = [&](const char* from, std::uint64_t n, std::uint32_t age) {
-        l.receive(10, {from, "a", Word{"h", n, false, age}}, false, out);
-        return l.wanted(20, "h", "b", out);
+        l.receive(10, {from, "a", HealthReport{"h", n, false, age}}, false, out);
+        return l.probeWanted(20, "h", "b", out);
     };
-    EXPECT_EQ(says("c", number, 0), Advice::look);      // not whom it asked
-    EXPECT_EQ(says("b", number + 7, 0), Advice::look);  // not what it asked
-    EXPECT_EQ(says("b", number, 2500), Advice::look);   // too old
-    EXPECT_EQ(says("b", number, 0), Advice::look);      // said once
+    EXPECT_EQ(says("c", number, 0), Advice::probe);      // not whom it asked
+    EXPECT_EQ(says("b", number + 7, 0), Advice::probe);  // not what it asked
+    EXPECT_EQ(says("b", number, 2500), Advice::probe);   // too old
+    EXPECT_EQ(says("b", number, 0), Advice::probe);      // said once
     out.clear();
-    EXPECT_EQ(l.wanted(500, "h", "b", out), Advice::look);
-    l.saw(500, "h", false);
-    l.receive(510, {"b", "a", Word{"h", std::get<Ask>(out.at(0).body).number, false, 100}}, false, out);
-    EXPECT_EQ(l.wanted(600, "h", "b", out), Advice::away);
-    EXPECT_EQ(l.wanted(600, "h", "", out), Advice::look);   // nobody has the duty
-    EXPECT_EQ(l.wanted(600, "h", "a", out), Advice::look);  // it has it itself
-    EXPECT_EQ(l.wanted(2401, "h", "b", out), Advice::look);
-    EXPECT_EQ(l.spared(), 1u);
+    EXPECT_EQ(l.probeWanted(500, "h", "b", out), Advice::probe);
+    l.recordProbe(500, "h", false);
+    l.receive(510, {"b", "a", HealthReport{"h", std::get<HealthQuery>(out.at(0).body).number, false, 100}},
+              false, out);
+    EXPECT_EQ(l.probeWanted(600, "h", "b", out), Advice::treatAsUnreachable);
+    EXPECT_EQ(l.probeWanted(600, "h", "", out), Advice::probe);   // nobody has the duty
+    EXPECT_EQ(l.probeWanted(600, "h", "a", out), Advice::probe);  // it has it itself
+    EXPECT_EQ(l.probeWanted(2401, "h", "b", out), Advice::probe);
+    EXPECT_EQ(l.avoidedProbes(), 1u);
 }
 TEST(HostProber, HostsAreBounded) {
     HostProber l({}, "a");
     std::vector<Message> out;
-    for (int i = 0; i < 2000; ++i) l.wanted(i, "h" + std::to_string(i), "b", out);
-    EXPECT_EQ(l.hosts(), kMostHosts);
-    EXPECT_EQ(l.evicted(), 2000 - kMostHosts);
-    EXPECT_EQ(l.wanted(9000, std::string(65, 'x'), "b", out), Advice::look);
-    EXPECT_EQ(l.hosts(), kMostHosts);
+    for (int i = 0; i < 2000; ++i) l.probeWanted(i, "h" + std::to_string(i), "b", out);
+    EXPECT_EQ(l.hosts(), kMaxHosts);
+    EXPECT_EQ(l.evicted(), 2000 - kMaxHosts);
+    EXPECT_EQ(l.probeWanted(9000, std::string(65, 'x'), "b", out), Advice::probe);
+    EXPECT_EQ(l.hosts(), kMaxHosts);
 }
 
 }  // namespace
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -69,7 +69,7 @@
     int see(int whom, Presence p) {
         int n = 0;
         for (std::size_t i = 0; i < here_.size(); ++i)
-            n += here_[i] && static_cast<int>(i) != whom && here_[i]->of(name(whom)) == p ? 1 : 0;
+            n += here_[i] && static_cast<int>(i) != whom && here_[i]->presenceOf(name(whom)) == p ? 1 : 0;
         return n;
     }
     bool allAlive() {
@@ -107,7 +107,7 @@
     }
     void schedule(int i) {
         const auto n = static_cast<std::size_t>(i);
-        events_.push({std::max(now_ + 0.05, here_[n]->next()), ++order_, i, ++epoch_[n], nullptr});
+        events_.push({std::max(now_ + 0.05, here_[n]->nextDeadline()), ++order_, i, ++epoch_[n], nullptr});
     }
     std::mt19937_64 random_;
     MembershipOptions options_;
@@ -164,14 +164,15 @@
 TEST(Membership, OneThatHearsNothingMakesNobodyDead) {
     for (const bool doubts : {true, false}) {
         MembershipOptions options;
-        options.doubtsItself = doubts;
+        options.localHealthAware = doubts;
         Settled town(7, 1, options);
         for (int i = 0; i < 7; ++i) town.cut(i, 4);
         int most = 0;
         for (int s = 0; s < 80; ++s) {
             town.until(town.now() + 500);
             for (int i = 0; i < 7; ++i)
-                if (i != 4) most = std::max(most, town.at(4).of(Town::name(i)) == Presence::dead ? 1 : 0);
+                if (i != 4)
+                    most = std::max(most, town.at(4).presenceOf(Town::name(i)) == Presence::dead ? 1 : 0);
         }
         // Without doubt in itself it declares others dead within that time.
         EXPECT_EQ(most > 0, !doubts) << most;
@@ -191,7 +192,7 @@
             town.until(town.now() + 500);
             for (int i = 0; i < 7; ++i)
                 if (i != 5) {
-                    ASSERT_NE(town.at(5).of(Town::name(i)), Presence::dead) << seed << " " << i;
+                    ASSERT_NE(town.at(5).presenceOf(Town::name(i)), Presence::dead) << seed << " " << i;
                 }
         }
         town.until(town.now() + 30'000);
@@ -255,7 +256,7 @@
                  Ping{1,
                       {{"c", static_cast<Presence>(presence), static_cast<std::uint64_t>(incarnation), 0}}}},
                 out);
-        return m.of("c");
+        return m.presenceOf("c");
     };
     RC_ASSERT(believed(words) == believed(other));
 }
@@ -276,7 +277,7 @@
             RC_ASSERT(m.incarnation() > static_cast<std::uint64_t>(incarnation));
         }
     }
-    RC_ASSERT(m.of("a") == Presence::alive);
+    RC_ASSERT(m.presenceOf("a") == Presence::alive);
 }
 
 }  // namespace
--- a/tests/cluster/net.hpp
+++ b/tests/cluster/net.hpp
@@ -14,7 +14,7 @@
 
 namespace beechpoint::raft {
 
-struct Text : Machine {
+struct Text : StateMachine {
     std::string all;
     void apply(Index, Term, const std::string& data) override { all += data + ";"; }
     std::string save() const override { return all; }
@@ -43,9 +43,9 @@
         return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
     }
     void out(int i, Actions& a) {
-        if (a.keep) kept[static_cast<std::size_t>(i)] = at(i).kept();
+        if (a.mustPersist) kept[static_cast<std::size_t>(i)] = at(i).persistentState();
         for (Message& m : a.send) wire.push_back(std::move(m));
-        for (const auto token : a.confirmed) confirmed.push_back(token);
+        for (const auto token : a.confirmedTokens) confirmed.push_back(token);
     }
     // Delivers all that is on the wire, and what comes of it, between the members named; the rest is lost.
     void deliver(const std::set<int>& among) {
@@ -65,7 +65,7 @@
     void pass(Millis d, const std::set<int>& among) {
         for (const Millis end = now + d; now < end; now += 10) {
             for (const int i : among) {
-                if (!ledgers[static_cast<std::size_t>(i)] || at(i).next() > now) continue;
+                if (!ledgers[static_cast<std::size_t>(i)] || at(i).nextDeadline() > now) continue;
                 Actions a;
                 at(i).advance(now, a);
                 out(i, a);
@@ -75,7 +75,7 @@
     }
     void found() {
         Actions a;
-        at(0).found(now, 9, a);
+        at(0).foundGroup(now, 9, a);
         out(0, a);
         std::set<int> all;
         for (int i = 0; i < static_cast<int>(names.size()); ++i) all.insert(i);
@@ -84,18 +84,18 @@
     // Makes `who` stand and win with the votes of `voters`: only its own time passes.
     bool elect(int who, std::set<int> voters) {
         voters.insert(who);
-        now += options.electionTo + 50;  // nobody heard a leader of late
-        for (int tries = 0; tries < 10 && !at(who).leads(); ++tries) {
+        now += options.electionTimeoutMax + 50;  // nobody heard a leader of late
+        for (int tries = 0; tries < 10 && !at(who).isLeader(); ++tries) {
             Actions a;
             at(who).advance(now, a);
             out(who, a);
             deliverUntilLeads(who, voters);
-            now += options.electionTo;
+            now += options.electionTimeoutMax;
         }
-        return at(who).leads();
+        return at(who).isLeader();
     }
     void deliverUntilLeads(int who, const std::set<int>& among) {
-        while (!wire.empty() && !at(who).leads()) {
+        while (!wire.empty() && !at(who).isLeader()) {
             const Message m = wire.front();
             wire.pop_front();
             const int from = place(m.from), to = place(m.to);
@@ -107,7 +107,7 @@
     }
     int leader() const {
         for (int i = 0; i < static_cast<int>(names.size()); ++i)
-            if (ledgers[static_cast<std::size_t>(i)] && ledgers[static_cast<std::size_t>(i)]->ready())
+            if (ledgers[static_cast<std::size_t>(i)] && ledgers[static_cast<std::size_t>(i)]->isReadyLeader())
                 return i;
         return -1;
     }
