--- a/tests/cluster/properties_test.cpp
+++ b/tests/cluster/properties_test.cpp
@@ -29,7 +29,7 @@
 RC_GTEST_PROP(LedgerLaws, WhatOneAppliedAllApply, ()) {
     constexpr int kSize = 3;
     raft::Options options;
-    options.mostEntries = 10;
+    options.maxLogEntries = 10;
     raft::Net net(kSize, options);
     net.found();
     std::map<raft::Term, int> leaders;
@@ -41,11 +41,11 @@
             const std::string& more = text.size() > longest.size() ? text : longest;
             RC_ASSERT(more.starts_with(text) && more.starts_with(longest));
             longest = more;
-            if (net.at(i).leads()) {
-                const auto [it, fresh] = leaders.try_emplace(net.at(i).term(), i);
+            if (net.at(i).isLeader()) {
+                const auto [it, fresh] = leaders.try_emplace(net.at(i).currentTerm(), i);
                 RC_ASSERT(it->second == i);
             }
-            RC_ASSERT(net.at(i).commit() <= net.at(i).last());
+            RC_ASSERT(net.at(i).commitIndex() <= net.at(i).lastLogIndex());
         }
     };
     int said = 0;
@@ -63,7 +63,7 @@
                 if (!processIncarnations) net.start(i);
                 break;
             case 2:
-                if (processIncarnations && net.at(i).leads()) {
+                if (processIncarnations && net.at(i).isLeader()) {
                     raft::Actions out;
                     net.at(i).propose(net.now, std::to_string(++said), out);
                     net.out(i, out);
@@ -85,7 +85,7 @@
 // ---- the table: numbers only rise, each grant has its own, who holds is in session, both lists by holder agree with the
 // duties, a request has its effect once, and what is saved is read back the same.
 RC_GTEST_PROP(TableLaws, NumbersRiseAndRequestsHaveTheirEffectOnce, ()) {
-    lease_sessions::Table table;
+    lease_sessions::SessionTable table;
     table.begin(2);
     std::map<std::string, std::uint64_t> fences;
     std::set<std::uint64_t> granted;
@@ -95,7 +95,7 @@
     const auto singletonRole = [](int n) { return "d" + std::to_string(n % 4); };
     for (const Step& s : *steps(8, 4)) {
         lease_sessions::Command c;
-        c.op = static_cast<lease_sessions::Op>(s.what % 6);
+        c.op = static_cast<lease_sessions::Operation>(s.what % 6);
         c.member = member(s.a), c.singletonRole = singletonRole(s.b), c.processIncarnation = 1,
         c.to = member(s.wait);
         const lease_sessions::Session* in = table.session(c.member);
@@ -103,31 +103,31 @@
         if (const lease_sessions::SingletonRole* d = table.singletonRole(c.singletonRole))
             c.fencingToken = s.a % 7 == 0 ? d->fencingToken - 1 : d->fencingToken;
         c.number = s.what >= 6 ? 0 : ++numbers[c.member];
-        const std::string data = lease_sessions::write(c);
+        const std::string data = lease_sessions::encodeCommand(c);
         std::map<std::string, std::string> before;
         for (const auto& [name, d] : table.singletonRoles()) before[name] = d.holder;
         table.apply(++index, 1, data);
         for (const auto& [name, d] : table.singletonRoles()) {
             RC_ASSERT(d.fencingToken >= fences[name]);
             if (!d.holder.empty()) {
-                RC_ASSERT(d.fencingToken >> lease_sessions::kFenceBits == 2u);
+                RC_ASSERT(d.fencingToken >> lease_sessions::kFencingTokenBits == 2u);
                 RC_ASSERT(table.session(d.holder) != nullptr && table.session(d.holder)->number == d.session);
                 if (before[name] != d.holder) RC_ASSERT(d.fencingToken > fences[name]);
-                RC_ASSERT(table.heldBy(d.holder).contains(name));
+                RC_ASSERT(table.leasesOf(d.holder).contains(name));
             }
-            RC_ASSERT(table.free().contains(name) == d.holder.empty());
+            RC_ASSERT(table.freeRoles().contains(name) == d.holder.empty());
             fences[name] = d.fencingToken;
         }
-        std::size_t listed = table.free().size();
-        for (int m = 0; m < 3; ++m) listed += table.heldBy(member(m)).size();
+        std::size_t listed = table.freeRoles().size();
+        for (int m = 0; m < 3; ++m) listed += table.leasesOf(member(m)).size();
         RC_ASSERT(listed == table.singletonRoles().size());
         if (c.number == 0) continue;
         const std::string saved = table.save();
         table.apply(++index, 1, data);  // the same request, settled again
         RC_ASSERT(table.save() == saved);
-        lease_sessions::Table other;
+        lease_sessions::SessionTable other;
         other.begin(2);
-        RC_ASSERT(other.load(saved) && other.save() == saved && other.free() == table.free());
+        RC_ASSERT(other.load(saved) && other.save() == saved && other.freeRoles() == table.freeRoles());
     }
 }
 
@@ -144,23 +144,23 @@
     std::uint64_t fencingToken = 100;
     const auto took = [&](std::size_t from) {
         for (std::size_t i = from; i < out.size(); ++i) {
-            if (const auto* r = std::get_if<lease_sessions::Renew>(&out[i].body)) {
+            if (const auto* r = std::get_if<lease_sessions::RenewRequest>(&out[i].body)) {
                 renewals[r->number] = now;
-                lease_sessions::Renewed yes{1,          r->number, lease_sessions::Verdict::yes,
-                                            r->session, "l",       {{"d", fencingToken}}};
+                lease_sessions::RenewReply yes{1,          r->number, lease_sessions::Verdict::done,
+                                               r->session, "l",       {{"d", fencingToken}}};
                 words.push_back({"l", "a", 9, yes});
-                yes.verdict = lease_sessions::Verdict::gone;
+                yes.verdict = lease_sessions::Verdict::noSession;
                 words.push_back({"l", "a", 9, yes});
-            } else if (const auto* a = std::get_if<lease_sessions::Ask>(&out[i].body)) {
+            } else if (const auto* a = std::get_if<lease_sessions::CommandRequest>(&out[i].body)) {
                 renewals[1000 + a->command.number] = std::max(renewals[1000 + a->command.number], Millis{0});
                 if (renewals[1000 + a->command.number] == 0) renewals[1000 + a->command.number] = now + 1e-9;
                 words.push_back(
                     {"l", "a", 9,
-                     lease_sessions::Answer{
-                         1, a->command.number, {lease_sessions::Verdict::yes, ++fencingToken, 7}, "l"}});
-                words.push_back(
-                    {"l", "a", 9,
-                     lease_sessions::Answer{1, a->command.number, {lease_sessions::Verdict::no, 0, 7}, "l"}});
+                     lease_sessions::CommandReply{
+                         1, a->command.number, {lease_sessions::Verdict::done, ++fencingToken, 7}, "l"}});
+                words.push_back({"l", "a", 9,
+                                 lease_sessions::CommandReply{
+                                     1, a->command.number, {lease_sessions::Verdict::rejected, 0, 7}, "l"}});
             }
         }
     };
@@ -171,23 +171,23 @@
             const lease_sessions::Message m = words[static_cast<std::size_t>(s.a) % words.size()];
             holder.receive(now, m, out);
             // What it may prove: the newest sending that any word said so far answers.
-            if (const auto* r = std::get_if<lease_sessions::Renewed>(&m.body))
+            if (const auto* r = std::get_if<lease_sessions::RenewReply>(&m.body))
                 proven = std::max(proven, renewals[r->number]);
-            if (const auto* a = std::get_if<lease_sessions::Answer>(&m.body))
+            if (const auto* a = std::get_if<lease_sessions::CommandReply>(&m.body))
                 proven = std::max(proven, renewals[1000 + a->number]);
         } else if (s.what == 1) {
             if (const auto f = holder.mayAct(now, "d")) given["d"] = std::max(given["d"], *f);
-            holder.giveUp("d");
+            holder.release("d");
         } else if (s.what == 2) {
-            holder.take("d");
+            holder.acquire("d");
         } else if (s.what == 3 && s.a < 50) {
-            holder.leave(now, out);
+            holder.endSession(now, out);
         } else if (s.what == 4 && s.a < 200) {
             holder.resume();
         } else if (s.what == 5) {
             words.push_back(
                 {"l", "a", 9,
-                 lease_sessions::Granted{1, 7, "d", s.a % 2 == 0 ? fencingToken : ++fencingToken}});
+                 lease_sessions::GrantNotice{1, 7, "d", s.a % 2 == 0 ? fencingToken : ++fencingToken}});
         } else {
             holder.advance(now, out);
         }
--- a/tests/cluster/raft_consensus_test.cpp
+++ b/tests/cluster/raft_consensus_test.cpp
@@ -26,7 +26,7 @@
     for (const char* data : {"a", "b", "c"}) propose(net, lead, data);
     net.pass(500, kAll);
     for (int i = 0; i < 5; ++i) EXPECT_EQ(net.text(i), "a;b;c;");
-    EXPECT_EQ(net.at(0).digestAt(net.at(0).commit()), net.at(4).digestAt(net.at(0).commit()));
+    EXPECT_EQ(net.at(0).digestAt(net.at(0).commitIndex()), net.at(4).digestAt(net.at(0).commitIndex()));
 }
 TEST(RaftConsensus, AMinoritySettlesNothing) {
     Net net(5);
@@ -38,14 +38,14 @@
     net.pass(400, few);
     EXPECT_EQ(net.text(lead), "");
     net.pass(3000, few);
-    EXPECT_FALSE(net.at(lead).leads());
+    EXPECT_FALSE(net.at(lead).isLeader());
     std::set<int> most = kAll;
     most.erase(lead), most.erase((lead + 1) % 5);
     net.pass(4000, most);
     const int next = *most.begin();
     int now = -1;
     for (const int i : most)
-        if (net.at(i).ready()) now = i;
+        if (net.at(i).isReadyLeader()) now = i;
     ASSERT_GE(now, 0);
     propose(net, now, "kept");
     net.pass(4000, kAll);
@@ -58,7 +58,7 @@
 std::pair<std::string, std::string> figureEight(bool ownTermOnly) {
     Options o;
     o.safeguards.ownTermCommit = ownTermOnly;
-    o.window = 1;  // one entry on its way at a time
+    o.maxInFlightEntries = 1;  // one entry on its way at a time
     Net net(5, o);
     net.found();
     EXPECT_TRUE(net.elect(0, {1, 2}));
@@ -74,10 +74,10 @@
     net.start(0);
     EXPECT_TRUE(net.elect(0, {1, 2, 3}));
     // It sends s3 what it lacks and dies before an entry of its own term is there.
-    const Term own = net.at(0).term();
+    const Term own = net.at(0).currentTerm();
     net.drop = [&](const Message& m) {
-        const auto* a = std::get_if<Append>(&m.body);
-        return a != nullptr && m.to == "s3" && a->holds && a->entry.term == own;
+        const auto* a = std::get_if<AppendEntries>(&m.body);
+        return a != nullptr && m.to == "s3" && a->hasEntry && a->entry.term == own;
     };
     net.pass(1500, {0, 1, 2});
     const std::string settled = net.text(0);
@@ -110,12 +110,12 @@
     net.found();
     EXPECT_TRUE(net.elect(0, {1}));
     net.deliver({});  // s3 hears of nothing
-    const Term term = net.at(0).term();
+    const Term term = net.at(0).currentTerm();
     net.kill(1);
     net.start(1);
     net.pass(1000, {1, 2});  // it asks s3 how things stand
     net.elect(2, {1});
-    return net.at(2).leads() && net.at(2).term() == term && net.at(0).leads() ? 2 : 1;
+    return net.at(2).isLeader() && net.at(2).currentTerm() == term && net.at(0).isLeader() ? 2 : 1;
 }
 TEST(LedgerBroken, AVoteForgottenElectsTwoInOneTerm) {
     EXPECT_EQ(leadersInOneTerm(false), 2);
@@ -125,8 +125,8 @@
 // A follower back from its folder: ten entries, none known to be settled.
 struct Back {
     Back() {
-        kept.number = 9, kept.term = kept.promised = 5;
-        for (int i = 1; i <= 10; ++i) kept.entries.push_back({5, Kind::command, std::to_string(i)});
+        kept.groupNumber = 9, kept.currentTerm = kept.promisedTerm = 5;
+        for (int i = 1; i <= 10; ++i) kept.entries.push_back({5, EntryKind::command, std::to_string(i)});
         raft.emplace(Options{}, "s2", 77, std::vector<std::string>{"s1", "s2", "s3"}, 1, 0, machine, kept);
     }
     Actions hears(Body body) {
@@ -142,15 +142,15 @@
 TEST(RaftConsensus, ALateSnapshotTakesNoAcknowledgedEntryBack) {
     Back s2;
     const RaftConsensus& l = *s2.raft;
-    const Actions reply = s2.hears(Append{5, 10, l.digestAt(10), 0, 1, false, {}});
-    ASSERT_EQ(std::get<AppendReply>(reply.send.at(0).body).match, 10u);
+    const Actions reply = s2.hears(AppendEntries{5, 10, l.digestAt(10), 0, 1, false, {}});
+    ASSERT_EQ(std::get<AppendEntriesReply>(reply.send.at(0).body).matchIndex, 10u);
     const std::string whole = "s1 s2 s3\n1;2;3;4;5;";
     s2.hears(SnapshotChunk{5, 5, 5, l.digestAt(5), XXH3_64bits(whole.data(), whole.size()), 0,
                            static_cast<std::uint32_t>(whole.size()), whole});
-    EXPECT_EQ(l.last(), 10u);
-    EXPECT_EQ(l.commit(), 5u);
+    EXPECT_EQ(l.lastLogIndex(), 10u);
+    EXPECT_EQ(l.commitIndex(), 5u);
     EXPECT_EQ(s2.machine.all, "1;2;3;4;5;");
-    s2.hears(Append{5, 10, l.digestAt(10), 10, 2, false, {}});
+    s2.hears(AppendEntries{5, 10, l.digestAt(10), 10, 2, false, {}});
     EXPECT_EQ(s2.machine.all, "1;2;3;4;5;6;7;8;9;10;");
 }
 // One that was taken out by an entry that never came to be settled, and is replaced: nothing beyond the log is settled.
@@ -158,13 +158,13 @@
     Back s2;
     const RaftConsensus& l = *s2.raft;
     const Digest three = l.digestAt(3);
-    s2.hears(Append{5, 10, l.digestAt(10), 3, 1, true, {5, Kind::voters, "s1 s3"}});
+    s2.hears(AppendEntries{5, 10, l.digestAt(10), 3, 1, true, {5, EntryKind::voters, "s1 s3"}});
     EXPECT_EQ(l.role(), Role::learner);
-    s2.hears(Tail{3, three, 4, true, {6, Kind::command, "other"}});
-    EXPECT_EQ(l.last(), 4u);
+    s2.hears(CatchUpReply{3, three, 4, true, {6, EntryKind::command, "other"}});
+    EXPECT_EQ(l.lastLogIndex(), 4u);
     EXPECT_EQ(s2.machine.all, "1;2;3;other;");
-    s2.hears(Append{5, 4, l.digestAt(4), 11, 2, false, {}});
-    EXPECT_EQ(l.commit(), 4u);
+    s2.hears(AppendEntries{5, 4, l.digestAt(4), 11, 2, false, {}});
+    EXPECT_EQ(l.commitIndex(), 4u);
     EXPECT_EQ(s2.machine.all, "1;2;3;other;");
 }
 
@@ -175,19 +175,19 @@
         net.found();
         net.now += 2000;
         Actions a;
-        net.at(2).receive(net.now, {"s1", "s3", 1, 9, VoteRequest{5, 0, 0}}, a);
+        net.at(2).receive(net.now, {"s1", "s3", 1, 9, RequestVote{5, 0, 0}}, a);
         ASSERT_EQ(a.send.size(), 1u);
-        EXPECT_TRUE(std::get<VoteReply>(a.send[0].body).yes);
-        EXPECT_TRUE(a.keep);
+        EXPECT_TRUE(std::get<RequestVoteReply>(a.send[0].body).voteGranted);
+        EXPECT_TRUE(a.mustPersist);
         net.out(2, a);
         net.kill(2);
         net.start(2);
         Actions b;
         net.now += 2000;
-        net.at(2).receive(net.now, {"s2", "s3", 2, 9, VoteRequest{5, 0, 0}}, b);
+        net.at(2).receive(net.now, {"s2", "s3", 2, 9, RequestVote{5, 0, 0}}, b);
         for (const Message& m : b.send) {
-            const auto* r = std::get_if<VoteReply>(&m.body);
-            EXPECT_FALSE(r != nullptr && r->yes) << lasting;
+            const auto* r = std::get_if<RequestVoteReply>(&m.body);
+            EXPECT_FALSE(r != nullptr && r->voteGranted) << lasting;
         }
     }
 }
@@ -199,7 +199,7 @@
     const int lead = net.leader();
     net.confirmed.clear();
     Actions a;
-    net.at(lead).confirm(net.now, 77, a);
+    net.at(lead).confirmLeadership(net.now, 77, a);
     net.out(lead, a);
     net.pass(300, {lead});  // cut off
     EXPECT_TRUE(net.confirmed.empty());
@@ -208,7 +208,7 @@
 }
 TEST(RaftConsensus, OneThatIsFarBehindCatchesUpByASnapshot) {
     Options o;
-    o.mostEntries = 20;
+    o.maxLogEntries = 20;
     Net net(3, o, false);
     net.found();
     net.pass(3000, {0, 1, 2});
@@ -219,10 +219,10 @@
         propose(net, lead, "entry-" + std::to_string(i));
         net.pass(20, most);
     }
-    EXPECT_LE(net.at(lead).entries(), 64u);
+    EXPECT_LE(net.at(lead).logSize(), 64u);
     net.pass(6000, {0, 1, 2});
     EXPECT_EQ(net.text(away), net.text(lead));
-    EXPECT_GT(net.at(away).counters().snapshots, 0u);
+    EXPECT_GT(net.at(away).counters().snapshotsInstalled, 0u);
 }
 TEST(RaftConsensus, VotersChangeOneAtATimeAndTheRemovedDisturbsNobody) {
     Net net(5);
@@ -239,10 +239,10 @@
     net.out(lead, a);
     net.pass(2000, kAll);
     EXPECT_EQ(net.at(out).role(), Role::learner);
-    const Term term = net.at(lead).term();
+    const Term term = net.at(lead).currentTerm();
     net.pass(8000, kAll);
-    EXPECT_EQ(net.at(lead).term(), term);
-    EXPECT_TRUE(net.at(lead).leads());
+    EXPECT_EQ(net.at(lead).currentTerm(), term);
+    EXPECT_TRUE(net.at(lead).isLeader());
 }
 // Found in virtual time (voters that change, seed 11): one of three has forgotten, and a fourth comes in. Of the four only two have
 // their memory: they could settle nothing any more, and neither of the others could recover by them.
--- a/tests/cluster/scenario_test.cpp
+++ b/tests/cluster/scenario_test.cpp
@@ -66,36 +66,36 @@
         for (const Datagram& d : list) all += d.bytes;
         return all;
     };
-    EXPECT_EQ(text(box.put(step("a"), false)), "a");
-    EXPECT_EQ(text(box.put(step("b"), true)), "");
-    EXPECT_EQ(text(box.put(step("c"), false)), "");
-    EXPECT_EQ(text(box.put(step("d"), true)), "");
-    EXPECT_EQ(text(box.put(step("lost"), false)), "");  // no room: as if lost on its way
+    EXPECT_EQ(text(box.enqueue(step("a"), false)), "a");
+    EXPECT_EQ(text(box.enqueue(step("b"), true)), "");
+    EXPECT_EQ(text(box.enqueue(step("c"), false)), "");
+    EXPECT_EQ(text(box.enqueue(step("d"), true)), "");
+    EXPECT_EQ(text(box.enqueue(step("lost"), false)), "");  // no room: as if lost on its way
     EXPECT_EQ(box.dropped(), 1u);
-    EXPECT_EQ(text(box.put(step("too"), true)), "");  // the gate stays, its words are lost
-    EXPECT_EQ(text(box.written()), "bc");
-    EXPECT_EQ(text(box.written()), "d");
-    EXPECT_EQ(text(box.written()), "");
+    EXPECT_EQ(text(box.enqueue(step("too"), true)), "");  // the gate stays, its words are lost
+    EXPECT_EQ(text(box.releaseOldestWrite()), "bc");
+    EXPECT_EQ(text(box.releaseOldestWrite()), "d");
+    EXPECT_EQ(text(box.releaseOldestWrite()), "");
     EXPECT_EQ(box.waiting(), 0u);
-    EXPECT_EQ(text(box.put(step("e"), false)), "e");
+    EXPECT_EQ(text(box.enqueue(step("e"), false)), "e");
 }
 
 // Membership's longest messages fit into one datagram, and what is read is what was written.
 TEST(MembershipWire, TheLongestFits) {
     const std::string name(19, 'n');
-    gossip::PingAsk longest{~0ull, name, {}};
+    gossip::PingRequest longest{~0ull, name, {}};
     // As many as the rule's bytes let in: each three of the form, the name and two numbers.
-    for (std::size_t bytes = 0; (bytes += 3 + name.size() + 5 + 5) <= gossip::kRumourBytes;)
+    for (std::size_t bytes = 0; (bytes += 3 + name.size() + 5 + 5) <= gossip::kMaxRumourBytes;)
         longest.rumours.push_back({name, gossip::Presence::suspect, (1ull << 32) - 1, 0xffffffffull});
     const std::string body = cluster::write(gossip::Body(longest));
     const std::string sealed =
-        gossip::seal("group", {gossip::Channel::membership, name, ~0ull, 0x7fffffff}, body);
+        gossip::encodeDatagram("group", {gossip::Channel::membership, name, ~0ull, 0x7fffffff}, body);
     EXPECT_FALSE(sealed.empty());
     EXPECT_LE(sealed.size(), 256u);
     const auto read = cluster::readMembership(body);
     ASSERT_TRUE(read);
-    EXPECT_EQ(std::get<gossip::PingAsk>(*read).rumours.back().member, name);
-    longest.rumours.assign(gossip::kRumours + 1, {"g", gossip::Presence::alive, 1, 0});
+    EXPECT_EQ(std::get<gossip::PingRequest>(*read).rumours.back().member, name);
+    longest.rumours.assign(gossip::kMaxRumours + 1, {"g", gossip::Presence::alive, 1, 0});
     EXPECT_FALSE(
         cluster::readMembership(cluster::write(gossip::Body(longest))));  // more than the rule allows
     EXPECT_FALSE(cluster::readMembership(body.substr(1)));
--- a/tests/cluster/state_folder_test.cpp
+++ b/tests/cluster/state_folder_test.cpp
@@ -24,11 +24,11 @@
                       const std::optional<PersistentState>& from = std::nullopt)
         : random(seed) {
         PersistentState kept;
-        kept.number = 9;
-        options.mostEntries = mostEntries;
+        kept.groupNumber = 9;
+        options.maxLogEntries = mostEntries;
         raft.emplace(options, "s2", 77, std::vector<std::string>{"s1", "s2", "s3"}, seed, 0, machine,
                      from ? from : kept);
-        term = raft->term() + 1;
+        term = raft->currentTerm() + 1;
     }
     // True: something is to be kept.
     bool step() {
@@ -36,23 +36,24 @@
         const RaftConsensus& l = *raft;
         if (random() % 8 == 0) ++term;
         if (random() % 10 == 0) {
-            raft->receive(now += 2000, {"s3", "s2", 6, 9, VoteRequest{++term, l.last() + 5, term}}, out);
-            return out.keep;
+            raft->receive(now += 2000, {"s3", "s2", 6, 9, RequestVote{++term, l.lastLogIndex() + 5, term}},
+                          out);
+            return out.mustPersist;
         }
-        const Index low = std::max(l.commit(), l.base());
-        const Index prev = low + (l.last() > low ? random() % (l.last() - low + 1) : 0);
-        const Index settled = random() % 3 == 0 ? prev + 1 : l.commit();
+        const Index low = std::max(l.commitIndex(), l.lastIncludedIndex());
+        const Index prev = low + (l.lastLogIndex() > low ? random() % (l.lastLogIndex() - low + 1) : 0);
+        const Index settled = random() % 3 == 0 ? prev + 1 : l.commitIndex();
         raft->receive(now += 10,
                       {"s1", "s2", 5, 9,
-                       Append{term,
-                              prev,
-                              l.digestAt(prev),
-                              settled,
-                              ++round,
-                              true,
-                              {term, Kind::command, std::to_string(random() % 1000)}}},
+                       AppendEntries{term,
+                                     prev,
+                                     l.digestAt(prev),
+                                     settled,
+                                     ++round,
+                                     true,
+                                     {term, EntryKind::command, std::to_string(random() % 1000)}}},
                       out);
-        return out.keep;
+        return out.mustPersist;
     }
     std::mt19937_64 random;
     Options options;
@@ -63,9 +64,11 @@
     Millis now = 0;
 };
 bool same(const PersistentState& a, const PersistentState& b) {
-    return a.number == b.number && a.term == b.term && a.promised == b.promised && a.vote == b.vote &&
-           a.base == b.base && a.baseTerm == b.baseTerm && a.baseDigest == b.baseDigest &&
-           a.saved == b.saved && a.baseVoters == b.baseVoters && a.entries == b.entries;
+    return a.groupNumber == b.groupNumber && a.currentTerm == b.currentTerm &&
+           a.promisedTerm == b.promisedTerm && a.votedFor == b.votedFor &&
+           a.lastIncludedIndex == b.lastIncludedIndex && a.lastIncludedTerm == b.lastIncludedTerm &&
+           a.lastIncludedDigest == b.lastIncludedDigest && a.snapshot == b.snapshot &&
+           a.lastIncludedVoters == b.lastIncludedVoters && a.entries == b.entries;
 }
 
 // The machine stops in any call, and what was not synced is kept, dropped or torn: what is read is the newest that was
@@ -77,24 +80,24 @@
         std::mt19937_64 random(seed);
         std::optional<PersistentState> answered;
         for (int processIncarnation = 1; processIncarnation <= 4; ++processIncarnation) {
-            Folder folder(files, "f", "group", "s2");
+            StateFolder folder(files, "f", "group", "s2");
             std::string note;
-            const Read read = folder.load(note);
-            ASSERT_NE(read.how, Reading::damaged) << seed << " " << processIncarnation;
-            cutShort += read.how == Reading::cutShort;
+            const ReadState read = folder.load(note);
+            ASSERT_NE(read.outcome, ReadOutcome::corrupt) << seed << " " << processIncarnation;
+            cutShort += read.outcome == ReadOutcome::truncated;
             if (answered) {
-                ASSERT_TRUE(read.kept) << seed << " " << processIncarnation << " " << note;
-                ASSERT_TRUE(same(*read.kept, *answered)) << seed << " " << processIncarnation;
+                ASSERT_TRUE(read.state) << seed << " " << processIncarnation << " " << note;
+                ASSERT_TRUE(same(*read.state, *answered)) << seed << " " << processIncarnation;
             }
-            Journal journal("group", "s2", random() | 1);
-            Follower f(seed * 10 + static_cast<std::uint64_t>(processIncarnation), 12, read.kept);
+            StateEncoder journal("group", "s2", random() | 1);
+            Follower f(seed * 10 + static_cast<std::uint64_t>(processIncarnation), 12, read.state);
             files.crashAt(files.calls() + 1 + random() % 60);
             std::optional<PersistentState> underWay;
             try {
                 for (int i = 0; i < 60; ++i) {
                     if (!f.step()) continue;
-                    underWay = f.raft->kept();
-                    ASSERT_TRUE(folder.keep(journal.changes(*f.raft, 2000)));
+                    underWay = f.raft->persistentState();
+                    ASSERT_TRUE(folder.persist(journal.encodeChanges(*f.raft, 2000)));
                     answered = underWay;
                 }
             } catch (const Crash&) {
@@ -103,9 +106,9 @@
             files.crash();
             // Either the one before or the one that was being kept: whichever it is, from here on it is that.
             std::string again;
-            Folder look(files, "f", "group", "s2");
-            const Read after = look.load(again);
-            if (after.kept && underWay && same(*after.kept, *underWay)) answered = underWay;
+            StateFolder look(files, "f", "group", "s2");
+            const ReadState after = look.load(again);
+            if (after.state && underWay && same(*after.state, *underWay)) answered = underWay;
         }
     }
     EXPECT_GT(crashes, 500u);
@@ -116,35 +119,36 @@
     int failures = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         FaultyFiles files(seed);
-        Folder folder(files, "f", "group", "s2");
-        Journal journal("group", "s2", seed);
+        StateFolder folder(files, "f", "group", "s2");
+        StateEncoder journal("group", "s2", seed);
         Follower f(seed);
         std::optional<PersistentState> answered;
         for (int i = 0; i < 60 && !folder.failed(); ++i) {
             if (i == 10) files.failing(0.1);
-            if (f.step() && folder.keep(journal.changes(*f.raft))) answered = f.raft->kept();
+            if (f.step() && folder.persist(journal.encodeChanges(*f.raft)))
+                answered = f.raft->persistentState();
         }
         if (!folder.failed()) continue;
         ++failures;
         files.failing(0);
-        EXPECT_FALSE(folder.keep({true, 5, "x"}));
+        EXPECT_FALSE(folder.persist({true, 5, "x"}));
         std::string note;
-        Folder next(files, "f", "group", "s2");
-        const Read read = next.load(note);
-        ASSERT_TRUE(read.kept) << seed << note;
-        EXPECT_GE(read.kept->term, answered->term);
+        StateFolder next(files, "f", "group", "s2");
+        const ReadState read = next.load(note);
+        ASSERT_TRUE(read.state) << seed << note;
+        EXPECT_GE(read.state->currentTerm, answered->currentTerm);
     }
     EXPECT_GT(failures, 60);
 }
 // A byte that turned, wherever it stands, is found; the member comes back with nothing rather than with something else.
 TEST(Folder, AChangedByteAnywhereIsFound) {
     FaultyFiles files(1);
-    Folder folder(files, "f", "group", "s2");
-    Journal journal("group", "s2", 3);
+    StateFolder folder(files, "f", "group", "s2");
+    StateEncoder journal("group", "s2", 3);
     Follower f(4, 40);
     for (int i = 0; i < 40; ++i)
         if (f.step()) {
-            ASSERT_TRUE(folder.keep(journal.changes(*f.raft)));
+            ASSERT_TRUE(folder.persist(journal.encodeChanges(*f.raft)));
         }
     const auto all = files.all();
     ASSERT_EQ(all.size(), 2u);
@@ -156,16 +160,16 @@
             std::string bad = text;
             bad[i] = static_cast<char>(bad[i] ^ (1 << (i % 8)));
             copy.put(path, bad);
-            Folder again(copy, "f", "group", "s2");
+            StateFolder again(copy, "f", "group", "s2");
             std::string note;
-            const Read read = again.load(note);
-            ASSERT_FALSE(read.kept) << path << " byte " << i;
+            const ReadState read = again.load(note);
+            ASSERT_FALSE(read.state) << path << " byte " << i;
             ASSERT_FALSE(note.empty());
         }
     EXPECT_GT(bytes, 1000u);
     // Another's folder, or another group's, is not taken for one's own.
     for (const auto& [group, self] : {std::pair{"group", "s3"}, std::pair{"other", "s2"}}) {
-        EXPECT_EQ(readKept(group, self, all.begin()->second, "").how, Reading::foreign);
+        EXPECT_EQ(decodeState(group, self, all.begin()->second, "").outcome, ReadOutcome::foreign);
     }
 }
 // A real process writes on a real disk and is killed in the middle, again and again. Its steps follow from its seed, so this
@@ -173,7 +177,7 @@
 TEST(Folder, AProcessKilledInMidWriteComesBackWithAllItAnsweredFor) {
     std::string path = std::filesystem::canonical("/proc/self/exe").parent_path() / "folder-XXXXXX";
     ASSERT_NE(::mkdtemp(path.data()), nullptr);
-    durable_files::Disk disk;
+    durable_files::FileSystem disk;
     std::mt19937_64 random(7);
     std::uint64_t answered = 0, later = 0;
     std::optional<PersistentState> kept;
@@ -184,14 +188,14 @@
         const pid_t pid = ::fork();
         if (pid == 0) {
             ::close(ends[0]);
-            Folder folder(disk, path, "group", "s2");
+            StateFolder folder(disk, path, "group", "s2");
             std::string note;
-            const Read read = folder.load(note);
-            Journal journal("group", "s2", static_cast<ProcessIncarnation>(n) + 1);
-            Follower f(static_cast<std::uint64_t>(n), 12, read.kept);
+            const ReadState read = folder.load(note);
+            StateEncoder journal("group", "s2", static_cast<ProcessIncarnation>(n) + 1);
+            Follower f(static_cast<std::uint64_t>(n), 12, read.state);
             for (;;) {
                 if (!f.step()) continue;
-                if (!folder.keep(journal.changes(*f.raft, 4000))) ::_exit(2);
+                if (!folder.persist(journal.encodeChanges(*f.raft, 4000))) ::_exit(2);
                 if (::write(ends[1], "k", 1) != 1) ::_exit(3);
             }
         }
@@ -205,14 +209,14 @@
         int status = 0;
         ::waitpid(pid, &status, 0);
         ASSERT_TRUE(WIFSIGNALED(status)) << n;
-        Folder folder(disk, path, "group", "s2");
+        StateFolder folder(disk, path, "group", "s2");
         std::string note;
-        const Read read = folder.load(note);
-        ASSERT_NE(read.how, Reading::damaged) << n << note;
+        const ReadState read = folder.load(note);
+        ASSERT_NE(read.outcome, ReadOutcome::corrupt) << n << note;
         // The same steps again, up to the state that was read.
         Follower f(static_cast<std::uint64_t>(n), 12, kept);
         std::uint64_t steps = 0;
-        const auto equal = [&] { return read.kept && same(*read.kept, f.raft->kept()); };
+        const auto equal = [&] { return read.state && same(*read.state, f.raft->persistentState()); };
         while (steps < said) steps += f.step() ? 1 : 0;
         const bool asSaid = said == 0 || equal();
         if (!asSaid) {
@@ -223,7 +227,7 @@
             ++later;
         }
         answered += said;
-        kept = read.kept;
+        kept = read.state;
     }
     std::filesystem::remove_all(path);
     EXPECT_GT(answered, 500u);
--- a/tests/cluster/virtual_test.cpp
+++ b/tests/cluster/virtual_test.cpp
@@ -116,7 +116,7 @@
         plan.singletonRoles = 1;
         plan.willing = 3;
         plan.rates = {1, 1, 1, 1, 1};
-        if (!margin) plan.times.drift = plan.times.margin = plan.times.settle = 0;
+        if (!margin) plan.times.drift = plan.times.margin = plan.times.stabilization = 0;
         std::uint64_t broken = 0;
         for (int run = 0; run < 9; ++run) {
             const int slow = run % 3;
@@ -161,11 +161,11 @@
         plan.safeguards.preVote = preVote;
         Calm world(plan);
         const int deaf = (world.leader() + 1) % 5;
-        const raft::Term before = world.core(world.leader()).raft().term();
+        const raft::Term before = world.core(world.leader()).raft().currentTerm();
         world.cutOff(deaf, false, true);
         world.until(world.now() + 20'000);
         raft::Term most = 0;
-        for (int i = 0; i < 5; ++i) most = std::max(most, world.core(i).raft().term());
+        for (int i = 0; i < 5; ++i) most = std::max(most, world.core(i).raft().currentTerm());
         return most - before;
     };
     EXPECT_EQ(terms(true), 0u);
@@ -198,19 +198,19 @@
         Calm world(Calm::calm(), seed);
         const std::string singletonRole = GroupWorld::singletonRoleName(0);
         const int old = world.holder(singletonRole);
-        const std::uint64_t fencingToken = world.core(old).holder().held().at(singletonRole);
+        const std::uint64_t fencingToken = world.core(old).leaseClient().heldLeases().at(singletonRole);
         world.leave(old);
         world.resume(old);  // at once: while its session is still being closed
         for (int i = 0; i < 200; ++i) {
             world.until(world.now() + 5);
-            const auto& held = world.core(old).holder().held();
+            const auto& held = world.core(old).leaseClient().heldLeases();
             if (const auto h = held.find(singletonRole);
                 h != held.end() && world.holder(singletonRole) == old) {
                 ASSERT_GT(h->second, fencingToken) << seed;
             }
         }
         world.until(world.now() + 3000);
-        EXPECT_TRUE(world.core(old).holder().inSession(world.localNow(old))) << seed;
+        EXPECT_TRUE(world.core(old).leaseClient().inSession(world.localNow(old))) << seed;
         EXPECT_TRUE(world.report().broken.empty()) << text(world.report());
     }
 }
@@ -223,26 +223,26 @@
         h.receive(now, {"l", "a", 9, std::move(body)}, out);
     };
     h.advance(0, out);
-    says(10, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"});  // in session 5
-    h.take("d");
+    says(10, lease_sessions::CommandReply{1, 1, {lease_sessions::Verdict::done, 0, 5}, "l"});  // in session 5
+    h.acquire("d");
     h.advance(20, out);
     std::uint64_t renewal = 0, take = 0;
     for (const lease_sessions::Message& m : out) {
-        if (const auto* r = std::get_if<lease_sessions::Renew>(&m.body)) renewal = r->number;
-        if (const auto* a = std::get_if<lease_sessions::Ask>(&m.body)) take = a->command.number;
+        if (const auto* r = std::get_if<lease_sessions::RenewRequest>(&m.body)) renewal = r->number;
+        if (const auto* a = std::get_if<lease_sessions::CommandRequest>(&m.body)) take = a->command.number;
     }
     ASSERT_EQ(take, 2u);
-    says(30, lease_sessions::Renewed{1, renewal, lease_sessions::Verdict::yes, 5, "l", {{"d", 77}}});
+    says(30, lease_sessions::RenewReply{1, renewal, lease_sessions::Verdict::done, 5, "l", {{"d", 77}}});
     ASSERT_EQ(h.mayAct(31, "d"), 77u);
-    h.giveUp("d");
+    h.release("d");
     EXPECT_FALSE(h.mayAct(32, "d"));
-    says(40, lease_sessions::Answer{1, take, {lease_sessions::Verdict::yes, 77, 5}, "l"});
+    says(40, lease_sessions::CommandReply{1, take, {lease_sessions::Verdict::done, 77, 5}, "l"});
     EXPECT_FALSE(h.mayAct(41, "d"));
-    says(50, lease_sessions::Granted{1, 5, "d", 77});
+    says(50, lease_sessions::GrantNotice{1, 5, "d", 77});
     EXPECT_FALSE(h.mayAct(51, "d"));
-    says(60, lease_sessions::Granted{1, 4, "d", 80});  // an earlier session's
+    says(60, lease_sessions::GrantNotice{1, 4, "d", 80});  // an earlier session's
     EXPECT_FALSE(h.mayAct(61, "d"));
-    says(70, lease_sessions::Granted{1, 5, "d", 80});
+    says(70, lease_sessions::GrantNotice{1, 5, "d", 80});
     EXPECT_EQ(h.mayAct(71, "d"), 80u);
     EXPECT_FALSE(h.mayAct(2500, "d"));
 }
@@ -257,14 +257,15 @@
     const auto newestRenewal = [&] {
         std::uint64_t number = 0;
         for (const lease_sessions::Message& m : out)
-            if (const auto* r = std::get_if<lease_sessions::Renew>(&m.body)) number = r->number;
+            if (const auto* r = std::get_if<lease_sessions::RenewRequest>(&m.body)) number = r->number;
         return number;
     };
     h.advance(0, out);
-    says(10, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"});
-    says(20, lease_sessions::Renewed{1, newestRenewal(), lease_sessions::Verdict::yes, 5, "l", {{"d", 77}}});
+    says(10, lease_sessions::CommandReply{1, 1, {lease_sessions::Verdict::done, 0, 5}, "l"});
+    says(20,
+         lease_sessions::RenewReply{1, newestRenewal(), lease_sessions::Verdict::done, 5, "l", {{"d", 77}}});
     ASSERT_EQ(h.mayAct(21, "d"), 77u);
-    h.giveUp("d");
+    h.release("d");
     h.advance(30, out);    // asked; nobody answers
     h.advance(2500, out);  // the session is over by its own clock
     ASSERT_FALSE(h.inSession(2500));
@@ -272,22 +273,23 @@
     for (Millis t = 8200; t < 9000 && !h.inSession(t); t += 200) {
         h.advance(t, out);
         for (const lease_sessions::Message& m : std::vector<lease_sessions::Message>(out))
-            if (const auto* a = std::get_if<lease_sessions::Ask>(&m.body);
-                a && a->command.op == lease_sessions::Op::open)
-                says(t,
-                     lease_sessions::Answer{1, a->command.number, {lease_sessions::Verdict::yes, 0, 5}, "l"});
+            if (const auto* a = std::get_if<lease_sessions::CommandRequest>(&m.body);
+                a && a->command.op == lease_sessions::Operation::open)
+                says(t, lease_sessions::CommandReply{
+                            1, a->command.number, {lease_sessions::Verdict::done, 0, 5}, "l"});
     }
     ASSERT_TRUE(h.inSession(9000));
-    says(9000, lease_sessions::Renewed{
-                   1, newestRenewal(), lease_sessions::Verdict::yes, 5, "l", {{"d", 77}, {"e", 78}}});
+    says(9000, lease_sessions::RenewReply{
+                   1, newestRenewal(), lease_sessions::Verdict::done, 5, "l", {{"d", 77}, {"e", 78}}});
     EXPECT_FALSE(h.mayAct(9001, "d"));
     EXPECT_EQ(h.mayAct(9001, "e"), 78u);
     // Its asking came to nothing, so it is given up anew: else nobody would ever have it.
     out.clear();
     h.advance(9300, out);
     const auto again = std::find_if(out.begin(), out.end(), [](const lease_sessions::Message& m) {
-        const auto* a = std::get_if<lease_sessions::Ask>(&m.body);
-        return a != nullptr && a->command.op == lease_sessions::Op::giveUp && a->command.fencingToken == 77;
+        const auto* a = std::get_if<lease_sessions::CommandRequest>(&m.body);
+        return a != nullptr && a->command.op == lease_sessions::Operation::release &&
+               a->command.fencingToken == 77;
     });
     EXPECT_NE(again, out.end());
 }
@@ -297,16 +299,19 @@
     lease_sessions::LeaseClient h({}, "a", 2, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     h.advance(0, out);
-    h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}},
+    h.receive(10,
+              {"l", "a", 9, lease_sessions::CommandReply{1, 1, {lease_sessions::Verdict::done, 0, 5}, "l"}},
               out);
     EXPECT_FALSE(h.inSession(11));
-    h.receive(12, {"l", "a", 9, lease_sessions::Answer{2, 1, {lease_sessions::Verdict::yes, 0, 6}, "l"}},
+    h.receive(12,
+              {"l", "a", 9, lease_sessions::CommandReply{2, 1, {lease_sessions::Verdict::done, 0, 6}, "l"}},
               out);
     ASSERT_TRUE(h.inSession(13));
-    h.receive(14, {"l", "a", 9, lease_sessions::Granted{1, 6, "d", 80}}, out);
-    h.receive(14,
-              {"l", "a", 9, lease_sessions::Renewed{1, 1, lease_sessions::Verdict::yes, 6, "l", {{"d", 80}}}},
-              out);
+    h.receive(14, {"l", "a", 9, lease_sessions::GrantNotice{1, 6, "d", 80}}, out);
+    h.receive(
+        14,
+        {"l", "a", 9, lease_sessions::RenewReply{1, 1, lease_sessions::Verdict::done, 6, "l", {{"d", 80}}}},
+        out);
     EXPECT_FALSE(h.mayAct(15, "d"));
 }
 // Found over 10,000 seeds (1179): two renewals lost in a row, and from then on it asked everybody but the leader until its lease
@@ -314,9 +319,10 @@
 TEST(LeaseClient, AfterTwoLostRenewalsItAsksWhomOthersName) {
     lease_sessions::LeaseClient h({}, "a", 1, {"l", "m", "n"}, 1, 0);
     std::vector<lease_sessions::Message> out;
-    h.leaderIs("l");
+    h.setLeader("l");
     h.advance(0, out);
-    h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}},
+    h.receive(10,
+              {"l", "a", 9, lease_sessions::CommandReply{1, 1, {lease_sessions::Verdict::done, 0, 5}, "l"}},
               out);
     std::size_t seen = out.size();
     int lost = 2, toLeader = 0;
@@ -324,7 +330,7 @@
         h.advance(t, out);
         for (; seen < out.size(); ++seen) {
             const lease_sessions::Message m = out[seen];
-            const auto* r = std::get_if<lease_sessions::Renew>(&m.body);
+            const auto* r = std::get_if<lease_sessions::RenewRequest>(&m.body);
             if (r == nullptr) continue;
             if (m.to == "l") {
                 if (lost-- > 0) continue;
@@ -332,10 +338,10 @@
             }
             h.receive(t + 5,
                       {m.to, "a", 9,
-                       lease_sessions::Renewed{
+                       lease_sessions::RenewReply{
                            1,
                            r->number,
-                           m.to == "l" ? lease_sessions::Verdict::yes : lease_sessions::Verdict::no,
+                           m.to == "l" ? lease_sessions::Verdict::done : lease_sessions::Verdict::rejected,
                            5,
                            "l",
                            {}}},
@@ -350,13 +356,14 @@
     lease_sessions::LeaseClient h({}, "a", 1, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     h.advance(0, out);
-    h.receive(10, {"l", "a", 9, lease_sessions::Answer{1, 1, {lease_sessions::Verdict::yes, 0, 5}, "l"}},
+    h.receive(10,
+              {"l", "a", 9, lease_sessions::CommandReply{1, 1, {lease_sessions::Verdict::done, 0, 5}, "l"}},
               out);
-    const std::uint64_t request = h.take("d");
+    const std::uint64_t request = h.acquire("d");
     h.advance(20, out);
     EXPECT_TRUE(h.takeOutcomes().empty());
-    h.leave(30, out);
-    const std::vector<lease_sessions::Outcome> ends = h.takeOutcomes();
+    h.endSession(30, out);
+    const std::vector<lease_sessions::CommandOutcome> ends = h.takeOutcomes();
     ASSERT_EQ(ends.size(), 1u);
     EXPECT_EQ(ends[0].request, request);
     EXPECT_FALSE(ends[0].known);
@@ -372,18 +379,19 @@
             h.advance(t, out);
             for (; seen < out.size(); ++seen) {
                 const lease_sessions::Message m = out[seen];
-                const auto* ask = std::get_if<lease_sessions::Ask>(&m.body);
+                const auto* ask = std::get_if<lease_sessions::CommandRequest>(&m.body);
                 if (ask == nullptr) continue;
                 const auto number = ask->command.number;
                 const bool leads = m.to == "l";
-                h.receive(t + 5,
-                          {m.to, "a", 9,
-                           lease_sessions::Answer{
-                               1,
-                               number,
-                               {leads ? lease_sessions::Verdict::yes : lease_sessions::Verdict::wait, 0, 5},
-                               "l"}},
-                          out);
+                h.receive(
+                    t + 5,
+                    {m.to, "a", 9,
+                     lease_sessions::CommandReply{
+                         1,
+                         number,
+                         {leads ? lease_sessions::Verdict::done : lease_sessions::Verdict::retryLater, 0, 5},
+                         "l"}},
+                    out);
             }
         }
         EXPECT_TRUE(h.inSession(400)) << seed;
@@ -454,7 +462,7 @@
     for (int d = 0; d < 3; ++d) EXPECT_EQ(world.holder(GroupWorld::singletonRoleName(d)), -1);
     world.found(0, kNumber + 1);  // not while others have something
     world.until(world.now() + 3000);
-    EXPECT_EQ(world.core(0).raft().number(), kNumber);
+    EXPECT_EQ(world.core(0).raft().groupNumber(), kNumber);
     for (int i = 0; i < 5; ++i) world.kill(i);
     for (int i = 0; i < 5; ++i) world.restart(i);
     world.until(world.now() + 3000);
@@ -462,7 +470,7 @@
     world.found(2, kNumber + 1);
     world.until(world.now() + 6000);
     EXPECT_GE(world.leader(), 0);
-    EXPECT_EQ(world.core(0).raft().number(), kNumber + 1);
+    EXPECT_EQ(world.core(0).raft().groupNumber(), kNumber + 1);
     EXPECT_TRUE(world.report().broken.empty()) << text(world.report());
 }
 TEST(Group, TwoPersonsWhoFoundItAtOnceMakeOneGroup) {
@@ -475,7 +483,7 @@
         world.until(9000);
         std::set<std::uint64_t> numbers;
         for (int i = 0; i < 5; ++i)
-            if (world.core(i).raft().number() != 0) numbers.insert(world.core(i).raft().number());
+            if (world.core(i).raft().groupNumber() != 0) numbers.insert(world.core(i).raft().groupNumber());
         EXPECT_LE(numbers.size(), 1u) << seed;
         EXPECT_TRUE(world.report().broken.empty()) << text(world.report());
     }
--- a/tests/cluster/wire_test.cpp
+++ b/tests/cluster/wire_test.cpp
@@ -8,48 +8,48 @@
 namespace beechpoint::cluster {
 namespace {
 
-using gossip::Refusal;
+using gossip::DropReason;
 
 const std::string kName(raft::kMaxMemberNameBytes, 'n'), kDuty(lease_sessions::kMaxRoleNameBytes, 'd');
 constexpr std::uint64_t kBig = 0xffffffffffffffffULL, kIndex = 0xffffffffULL;
 
 std::vector<raft::Body> ledgerBodies() {
     using namespace raft;
-    const Entry entry{kIndex, Kind::command, std::string(kMaxEntryBytes, '\xff')};
+    const Entry entry{kIndex, EntryKind::command, std::string(kMaxEntryBytes, '\xff')};
     return {PreVote{kIndex, kIndex, kIndex},
             PreVoteReply{kIndex, true, kIndex},
-            VoteRequest{kIndex, kIndex, kIndex},
-            VoteReply{kIndex, true},
-            Append{kIndex, kIndex, kBig, kIndex, kIndex, true, entry},
-            AppendReply{kIndex, true, kIndex, kIndex, true},
-            StateRequest{kBig},
-            StateReply{kBig, Standing::normal, kIndex, kIndex, true, kIndex, kIndex, true},
-            Found{kIndex, kBig},
+            RequestVote{kIndex, kIndex, kIndex},
+            RequestVoteReply{kIndex, true},
+            AppendEntries{kIndex, kIndex, kBig, kIndex, kIndex, true, entry},
+            AppendEntriesReply{kIndex, true, kIndex, kIndex, true},
+            RecoveryRequest{kBig},
+            RecoveryResponse{kBig, RecoveryStatus::normal, kIndex, kIndex, true, kIndex, kIndex, true},
+            FoundGroup{kIndex, kBig},
             SnapshotChunk{kIndex, kIndex, kIndex, kBig, kBig, 1U << 24, 1U << 24,
                           std::string(kSnapshotChunkBytes, '\xff')},
             SnapshotChunkReply{kIndex, kIndex, 1U << 24},
-            Pull{kIndex, kBig},
-            Tail{kIndex, kBig, kIndex, true, entry}};
+            CatchUpRequest{kIndex, kBig},
+            CatchUpReply{kIndex, kBig, kIndex, true, entry}};
 }
 std::vector<lease_sessions::Body> dutyBodies() {
     using namespace lease_sessions;
-    Renewed renewed{kBig, kIndex, Verdict::yes, kIndex, kName, {}};
-    for (std::size_t i = 0; i < kGrantsTold; ++i) renewed.held.emplace_back(kDuty, kBig);
-    return {Ask{{Op::hand, kName, kBig, kIndex, kIndex, kDuty, kBig, kName}},
-            Answer{kBig, kIndex, {Verdict::wait, kBig, kIndex}, kName}, Renew{kIndex, kIndex}, renewed,
-            Granted{kBig, kIndex, kDuty, kBig}};
+    RenewReply renewed{kBig, kIndex, Verdict::done, kIndex, kName, {}};
+    for (std::size_t i = 0; i < kMaxLeasesPerRenewal; ++i) renewed.leases.emplace_back(kDuty, kBig);
+    return {CommandRequest{{Operation::transfer, kName, kBig, kIndex, kIndex, kDuty, kBig, kName}},
+            CommandReply{kBig, kIndex, {Verdict::retryLater, kBig, kIndex}, kName},
+            RenewRequest{kIndex, kIndex}, renewed, GrantNotice{kBig, kIndex, kDuty, kBig}};
 }
 std::string sealed(gossip::Channel room, const std::string& body) {
-    return gossip::seal("gatherers", {room, kName, kBig, kIndex}, body);
+    return gossip::encodeDatagram("gatherers", {room, kName, kBig, kIndex}, body);
 }
 
 TEST(Wire, EveryMessageFitsOneDatagramAndComesBackAsItWas) {
-    Refusal why;
+    DropReason why;
     for (const raft::Body& b : ledgerBodies()) {
         const std::string bytes = sealed(gossip::Channel::raft, write(b));
         ASSERT_FALSE(bytes.empty()) << b.index();
-        EXPECT_LE(bytes.size(), gossip::kMostBytes);
-        const auto opened = gossip::open("gatherers", bytes, why);
+        EXPECT_LE(bytes.size(), gossip::kMaxDatagramBytes);
+        const auto opened = gossip::decodeDatagram("gatherers", bytes, why);
         ASSERT_TRUE(opened) << nameOf(why);
         EXPECT_EQ(opened->header.sender, kName);
         EXPECT_EQ(opened->header.processIncarnation, kBig);
@@ -61,7 +61,7 @@
     for (const lease_sessions::Body& b : dutyBodies()) {
         const std::string bytes = sealed(gossip::Channel::singletonRoles, write(b));
         ASSERT_FALSE(bytes.empty()) << b.index();
-        const auto opened = gossip::open("gatherers", bytes, why);
+        const auto opened = gossip::decodeDatagram("gatherers", bytes, why);
         ASSERT_TRUE(opened);
         const auto back = readLeaseSessions(opened->body);
         ASSERT_TRUE(back);
@@ -70,36 +70,37 @@
 }
 TEST(Wire, EveryChangedBitAndEveryCutIsRefused) {
     const std::string good = sealed(gossip::Channel::raft, write(ledgerBodies()[4]));
-    Refusal why;
+    DropReason why;
     for (std::size_t i = 0; i < good.size(); ++i)
         for (int bit = 0; bit < 8; ++bit) {
             std::string bad = good;
             bad[i] = static_cast<char>(bad[i] ^ (1 << bit));
-            EXPECT_FALSE(gossip::open("gatherers", bad, why)) << i;
+            EXPECT_FALSE(gossip::decodeDatagram("gatherers", bad, why)) << i;
         }
     for (std::size_t n = 0; n < good.size(); ++n)
-        EXPECT_FALSE(gossip::open("gatherers", good.substr(0, n), why));
-    EXPECT_FALSE(gossip::open("gatherers", good + "x", why));
+        EXPECT_FALSE(gossip::decodeDatagram("gatherers", good.substr(0, n), why));
+    EXPECT_FALSE(gossip::decodeDatagram("gatherers", good + "x", why));
 }
 TEST(Wire, WhatIsNotOursIsCountedByItsReason) {
     const std::string good = sealed(gossip::Channel::raft, "x");
-    Refusal why = Refusal::none;
+    DropReason why = DropReason::none;
     const auto refused = [&](std::string bytes, const char* group = "gatherers") {
-        return gossip::open(group, bytes, why) ? Refusal::none : why;
+        return gossip::decodeDatagram(group, bytes, why) ? DropReason::none : why;
     };
-    EXPECT_EQ(refused(good), Refusal::none);
-    EXPECT_EQ(refused(good, "others"), Refusal::group);
-    EXPECT_EQ(refused(std::string(300, 'b')), Refusal::tooLong);
-    EXPECT_EQ(refused("bg"), Refusal::tooShort);
-    EXPECT_EQ(refused("xx" + good.substr(2)), Refusal::notOurs);
+    EXPECT_EQ(refused(good), DropReason::none);
+    EXPECT_EQ(refused(good, "others"), DropReason::group);
+    EXPECT_EQ(refused(std::string(300, 'b')), DropReason::tooLong);
+    EXPECT_EQ(refused("bg"), DropReason::tooShort);
+    EXPECT_EQ(refused("xx" + good.substr(2)), DropReason::foreign);
     std::string version = good;
     version[2] = 2;
-    EXPECT_EQ(refused(version), Refusal::version);
-    EXPECT_EQ(gossip::seal("gatherers", {}, std::string(300, 'x')), "");
+    EXPECT_EQ(refused(version), DropReason::version);
+    EXPECT_EQ(gossip::encodeDatagram("gatherers", {}, std::string(300, 'x')), "");
 }
 TEST(Wire, ASnapshotThatCannotBeReadChangesNothing) {
-    lease_sessions::Table table;
-    table.apply(1, 1, lease_sessions::write({lease_sessions::Op::want, "a", 1, 1, 0, "one", 0, ""}));
+    lease_sessions::SessionTable table;
+    table.apply(
+        1, 1, lease_sessions::encodeCommand({lease_sessions::Operation::define, "a", 1, 1, 0, "one", 0, ""}));
     const std::string before = table.save();
     for (const std::string& bad : {std::string("\xc1"), std::string("\x93\x01\x02\x03"), before.substr(0, 3)})
         EXPECT_FALSE(table.load(bad));
@@ -113,7 +114,7 @@
         EXPECT_FALSE(readRaft(bad));
         EXPECT_FALSE(readLeaseSessions(bad));
     }
-    raft::Append long_;
+    raft::AppendEntries long_;
     long_.entry.data = std::string(raft::kMaxEntryBytes + 1, 'x');
     EXPECT_FALSE(readRaft(write(raft::Body(long_))));
 }
--- a/tests/golden/gatherer/group_datagrams_test.cpp
+++ b/tests/golden/gatherer/group_datagrams_test.cpp
@@ -34,39 +34,44 @@
     return {{"pre_vote", PreVote{11, 300, 70'000}},
             {"pre_vote_reply_yes", PreVoteReply{12, true, 13}},
             {"pre_vote_reply_no", PreVoteReply{12, false, 13}},
-            {"vote_ask", VoteRequest{14, 5'000'000'000, 15}},
-            {"vote_reply_yes", VoteReply{16, true}},
-            {"vote_reply_no", VoteReply{16, false}}};
+            {"vote_ask", RequestVote{14, 5'000'000'000, 15}},
+            {"vote_reply_yes", RequestVoteReply{16, true}},
+            {"vote_reply_no", RequestVoteReply{16, false}}};
 }
 
 Samples<raft::Body> replicationSamples() {
     using namespace raft;
-    const Entry longest{22, Kind::command, std::string(kMaxEntryBytes, '\xc3')};
+    const Entry longest{22, EntryKind::command, std::string(kMaxEntryBytes, '\xc3')};
     return {
-        {"append_begin", Append{21, 22, 0xa1a2a3a4a5a6a7a8, 23, 24, true, {25, Kind::begin, ""}}},
-        {"append_command", Append{21, 22, 0xa1a2a3a4a5a6a7a8, 23, 24, true, {25, Kind::command, "data"}}},
-        {"append_voters", Append{21, 22, 0xa1a2a3a4a5a6a7a8, 23, 24, true, {25, Kind::voters, "s1 s2 s3"}}},
-        {"append_longest", Append{22, 1, 2, 3, 4, true, longest}},
-        {"append_sign_of_life", Append{21, 22, 0xa1a2a3a4a5a6a7a8, 23, 24, false, {}}},
-        {"append_reply_ok", AppendReply{26, true, 27, 28, false}},
-        {"append_reply_counts", AppendReply{26, false, 27, 28, true}},
-        {"pull", Pull{29, 0xb1b2b3b4b5b6b7b8}},
-        {"tail", Tail{30, 0xc1c2c3c4c5c6c7c8, 31, true, {32, Kind::command, std::string("a\0b", 3)}}},
-        {"tail_at_the_end", Tail{30, 0xc1c2c3c4c5c6c7c8, 31, false, {}}}};
+        {"append_begin", AppendEntries{21, 22, 0xa1a2a3a4a5a6a7a8, 23, 24, true, {25, EntryKind::noOp, ""}}},
+        {"append_command",
+         AppendEntries{21, 22, 0xa1a2a3a4a5a6a7a8, 23, 24, true, {25, EntryKind::command, "data"}}},
+        {"append_voters",
+         AppendEntries{21, 22, 0xa1a2a3a4a5a6a7a8, 23, 24, true, {25, EntryKind::voters, "s1 s2 s3"}}},
+        {"append_longest", AppendEntries{22, 1, 2, 3, 4, true, longest}},
+        {"append_sign_of_life", AppendEntries{21, 22, 0xa1a2a3a4a5a6a7a8, 23, 24, false, {}}},
+        {"append_reply_ok", AppendEntriesReply{26, true, 27, 28, false}},
+        {"append_reply_counts", AppendEntriesReply{26, false, 27, 28, true}},
+        {"pull", CatchUpRequest{29, 0xb1b2b3b4b5b6b7b8}},
+        {"tail",
+         CatchUpReply{30, 0xc1c2c3c4c5c6c7c8, 31, true, {32, EntryKind::command, std::string("a\0b", 3)}}},
+        {"tail_at_the_end", CatchUpReply{30, 0xc1c2c3c4c5c6c7c8, 31, false, {}}}};
 }
 
 Samples<raft::Body> recoverySamples() {
     using namespace raft;
-    return {{"state_ask", StateRequest{0xd1d2d3d4d5d6d7d8}},
-            {"state_reply_empty", StateReply{41, Standing::empty, 42, 43, true, 44, 45, false}},
-            {"state_reply_recovering", StateReply{41, Standing::recovering, 42, 43, false, 44, 45, true}},
-            {"state_reply_normal", StateReply{41, Standing::normal, 42, 43, false, 44, 45, false}},
-            {"found", Found{46, 0xe1e2e3e4e5e6e7e8}},
-            {"piece",
-             SnapshotChunk{47, 48, 49, 0xf1f2f3f4f5f6f7f8, 50, 260, 300, "the last bytes of a snapshot"}},
-            {"piece_longest",
-             SnapshotChunk{47, 48, 49, 51, 52, 130, 390, std::string(kSnapshotChunkBytes, '\x01')}},
-            {"piece_reply", SnapshotChunkReply{53, 54, 260}}};
+    return {
+        {"state_ask", RecoveryRequest{0xd1d2d3d4d5d6d7d8}},
+        {"state_reply_empty", RecoveryResponse{41, RecoveryStatus::empty, 42, 43, true, 44, 45, false}},
+        {"state_reply_recovering",
+         RecoveryResponse{41, RecoveryStatus::recovering, 42, 43, false, 44, 45, true}},
+        {"state_reply_normal", RecoveryResponse{41, RecoveryStatus::normal, 42, 43, false, 44, 45, false}},
+        {"found", FoundGroup{46, 0xe1e2e3e4e5e6e7e8}},
+        {"piece",
+         SnapshotChunk{47, 48, 49, 0xf1f2f3f4f5f6f7f8, 50, 260, 300, "the last bytes of a snapshot"}},
+        {"piece_longest",
+         SnapshotChunk{47, 48, 49, 51, 52, 130, 390, std::string(kSnapshotChunkBytes, '\x01')}},
+        {"piece_reply", SnapshotChunkReply{53, 54, 260}}};
 }
 
 Samples<raft::Body> ledgerDefaults() {
@@ -77,22 +82,25 @@
 
 Samples<lease_sessions::Body> askSamples() {
     using namespace lease_sessions;
-    const auto ask = [](Op op) { return Ask{{op, "gatherer-b", 61, 62, 63, "layout", 64, "gatherer-c"}}; };
-    return {{"ask_open", ask(Op::open)},   {"ask_close", ask(Op::close)},    {"ask_want", ask(Op::want)},
-            {"ask_grant", ask(Op::grant)}, {"ask_give_up", ask(Op::giveUp)}, {"ask_hand", ask(Op::hand)}};
+    const auto ask = [](Operation op) {
+        return CommandRequest{{op, "gatherer-b", 61, 62, 63, "layout", 64, "gatherer-c"}};
+    };
+    return {{"ask_open", ask(Operation::open)},       {"ask_close", ask(Operation::close)},
+            {"ask_want", ask(Operation::define)},     {"ask_grant", ask(Operation::grant)},
+            {"ask_give_up", ask(Operation::release)}, {"ask_hand", ask(Operation::transfer)}};
 }
 
 Samples<lease_sessions::Body> answerSamples() {
     using namespace lease_sessions;
-    return {{"answer_yes", Answer{71, 72, {Verdict::yes, 73, 74}, ""}},
-            {"answer_no", Answer{71, 72, {Verdict::no, 73, 74}, "gatherer-d"}},
-            {"answer_wait", Answer{71, 72, {Verdict::wait, 73, 74}, "gatherer-d"}},
-            {"answer_gone", Answer{71, 72, {Verdict::gone, 73, 74}, "gatherer-d"}},
-            {"renew", Renew{75, 76}},
-            {"renewed_with_nothing_held", Renewed{77, 78, Verdict::gone, 79, "gatherer-e", {}}},
+    return {{"answer_yes", CommandReply{71, 72, {Verdict::done, 73, 74}, ""}},
+            {"answer_no", CommandReply{71, 72, {Verdict::rejected, 73, 74}, "gatherer-d"}},
+            {"answer_wait", CommandReply{71, 72, {Verdict::retryLater, 73, 74}, "gatherer-d"}},
+            {"answer_gone", CommandReply{71, 72, {Verdict::noSession, 73, 74}, "gatherer-d"}},
+            {"renew", RenewRequest{75, 76}},
+            {"renewed_with_nothing_held", RenewReply{77, 78, Verdict::noSession, 79, "gatherer-e", {}}},
             {"renewed_with_two_held",
-             Renewed{77, 78, Verdict::yes, 79, "gatherer-e", {{"layout", 80}, {"host-prober", 81}}}},
-            {"granted", Granted{82, 83, "host-prober", 0x0000000900000054}}};
+             RenewReply{77, 78, Verdict::done, 79, "gatherer-e", {{"layout", 80}, {"host-prober", 81}}}},
+            {"granted", GrantNotice{82, 83, "host-prober", 0x0000000900000054}}};
 }
 
 Samples<lease_sessions::Body> dutiesDefaults() {
@@ -115,8 +123,8 @@
     using namespace gossip;
     Samples<Body> samples = {{"ping", Ping{101, allRumours()}},
                              {"ping_without_rumours", Ping{101, {}}},
-                             {"ping_ask", PingAsk{102, "g6", allRumours()}},
-                             {"ping_ask_without_rumours", PingAsk{102, "g6", {}}},
+                             {"ping_ask", PingRequest{102, "g6", allRumours()}},
+                             {"ping_ask_without_rumours", PingRequest{102, "g6", {}}},
                              {"ack", Ack{103, allRumours()}},
                              {"ack_without_rumours", Ack{103, {}}},
                              {"nack", Nack{104}}};
@@ -126,10 +134,10 @@
 
 Samples<health_check::Body> hostProberSamples() {
     using namespace health_check;
-    Samples<Body> samples = {{"ask", Ask{"host-17", 111}},
-                             {"ask_longest", Ask{std::string(kMostHost, 'h'), 112}},
-                             {"word_there", Word{"host-17", 113, true, 1500}},
-                             {"word_away", Word{"host-17", 113, false, 4'000'000'000}}};
+    Samples<Body> samples = {{"ask", HealthQuery{"host-17", 111}},
+                             {"ask_longest", HealthQuery{std::string(kMaxHostIdBytes, 'h'), 112}},
+                             {"word_there", HealthReport{"host-17", 113, true, 1500}},
+                             {"word_away", HealthReport{"host-17", 113, false, 4'000'000'000}}};
     addDefaults(samples);
     return samples;
 }
@@ -142,14 +150,14 @@
     for (const auto& [name, body] : samples) {
         SCOPED_TRACE(name);
         const std::string bytes = expectGolden("group_datagrams", prefix + "." + name,
-                                               gossip::seal(kGroup, header, cluster::write(body)));
-        gossip::Refusal why = gossip::Refusal::none;
-        const auto opened = gossip::open(kGroup, bytes, why);
+                                               gossip::encodeDatagram(kGroup, header, cluster::write(body)));
+        gossip::DropReason why = gossip::DropReason::none;
+        const auto opened = gossip::decodeDatagram(kGroup, bytes, why);
         ASSERT_TRUE(opened) << gossip::nameOf(why);
-        EXPECT_EQ(opened->header.room, room);
+        EXPECT_EQ(opened->header.channel, room);
         EXPECT_EQ(opened->header.sender, header.sender);
         EXPECT_EQ(opened->header.processIncarnation, header.processIncarnation);
-        EXPECT_EQ(opened->header.number, header.number);
+        EXPECT_EQ(opened->header.groupNumber, header.groupNumber);
         const std::optional<Body> message = read(opened->body);
         ASSERT_TRUE(message);
         EXPECT_TRUE(sameMessage(*message, body));
@@ -194,15 +202,15 @@
 
 // A member that has joined no group yet seals under number 0.
 TEST(GroupDatagrams, HeaderOfAMemberWithoutAGroup) {
-    const std::string bytes = expectGolden(
-        "group_datagrams", "header.without_a_group",
-        gossip::seal("g", {gossip::Channel::raft, "a", 1, 0}, cluster::write(raft::StateRequest{2})));
-    gossip::Refusal why = gossip::Refusal::none;
-    const auto opened = gossip::open("g", bytes, why);
+    const std::string bytes = expectGolden("group_datagrams", "header.without_a_group",
+                                           gossip::encodeDatagram("g", {gossip::Channel::raft, "a", 1, 0},
+                                                                  cluster::write(raft::RecoveryRequest{2})));
+    gossip::DropReason why = gossip::DropReason::none;
+    const auto opened = gossip::decodeDatagram("g", bytes, why);
     ASSERT_TRUE(opened) << gossip::nameOf(why);
     EXPECT_EQ(opened->header.sender, "a");
     EXPECT_EQ(opened->header.processIncarnation, 1u);
-    EXPECT_EQ(opened->header.number, 0u);
+    EXPECT_EQ(opened->header.groupNumber, 0u);
 }
 
 // What an earlier version took for another group's it still does, and a damaged datagram is still refused.
@@ -211,12 +219,12 @@
     const auto found = entries.find("ledger.pre_vote");
     ASSERT_NE(found, entries.end());
     std::string bytes = found->second;
-    gossip::Refusal why = gossip::Refusal::none;
-    EXPECT_FALSE(gossip::open("another", bytes, why));
-    EXPECT_EQ(why, gossip::Refusal::group);
+    gossip::DropReason why = gossip::DropReason::none;
+    EXPECT_FALSE(gossip::decodeDatagram("another", bytes, why));
+    EXPECT_EQ(why, gossip::DropReason::group);
     bytes.back() = static_cast<char>(bytes.back() ^ 1);
-    EXPECT_FALSE(gossip::open(kGroup, bytes, why));
-    EXPECT_EQ(why, gossip::Refusal::checksum);
+    EXPECT_FALSE(gossip::decodeDatagram(kGroup, bytes, why));
+    EXPECT_EQ(why, gossip::DropReason::checksum);
 }
 
 }  // namespace
--- a/tests/golden/gatherer/ledger_folder_test.cpp
+++ b/tests/golden/gatherer/ledger_folder_test.cpp
@@ -11,10 +11,10 @@
 namespace beechpoint::golden {
 namespace {
 
-using lease_sessions::Op;
-using raft::Append;
+using lease_sessions::Operation;
+using raft::AppendEntries;
 using raft::Entry;
-using raft::Kind;
+using raft::EntryKind;
 using raft::PersistentState;
 
 constexpr const char* kFamily = "ledger_folder";
@@ -24,7 +24,7 @@
 constexpr raft::ProcessIncarnation kLife = 0xa1a2a3a4a5a6a7a8;
 
 std::string openSession(const std::string& member, raft::ProcessIncarnation processIncarnation) {
-    return lease_sessions::write({Op::open, member, processIncarnation, 1, 0, "", 0, ""});
+    return lease_sessions::encodeCommand({Operation::open, member, processIncarnation, 1, 0, "", 0, ""});
 }
 
 // A voter that follows, and keeps each of its steps in a folder.
@@ -39,38 +39,38 @@
     // An entry from the leader s1, after the one at `prev`; all up to `commit` is settled.
     void append(raft::Term term, raft::Index prev, Entry entry, raft::Index commit) {
         receive(now_ + 10, "s1",
-                Append{term, prev, raft_.digestAt(prev), commit, ++round_, true, std::move(entry)});
+                AppendEntries{term, prev, raft_.digestAt(prev), commit, ++round_, true, std::move(entry)});
     }
     // A message from s3 once no leader has been heard for long.
     template <class Body>
     void election(Body body) {
         receive(now_ + 5000, "s3", std::move(body));
     }
-    PersistentState kept() const { return raft_.kept(); }
+    PersistentState kept() const { return raft_.persistentState(); }
 
 private:
     static raft::Options options() {
         raft::Options options;
-        options.mostEntries = 3;
+        options.maxLogEntries = 3;
         return options;
     }
     static PersistentState founded() {
         PersistentState kept;
-        kept.number = kNumber;
+        kept.groupNumber = kNumber;
         return kept;
     }
     void receive(Millis now, const std::string& from, raft::Body body) {
         raft::Actions actions;
         raft_.receive(now_ = now, {from, kSelf, 5, kNumber, std::move(body)}, actions);
-        EXPECT_TRUE(actions.keep);
+        EXPECT_TRUE(actions.mustPersist);
         keep();
     }
-    void keep() { EXPECT_TRUE(folder_.keep(journal_.changes(raft_))); }
+    void keep() { EXPECT_TRUE(folder_.persist(journal_.encodeChanges(raft_))); }
 
-    durable_files::Disk disk_;
-    raft::Folder folder_;
-    raft::Journal journal_;
-    lease_sessions::Table table_;
+    durable_files::FileSystem disk_;
+    raft::StateFolder folder_;
+    raft::StateEncoder journal_;
+    lease_sessions::SessionTable table_;
     raft::RaftConsensus raft_;
     Millis now_ = 0;
     std::uint64_t round_ = 0;
@@ -80,41 +80,43 @@
 // entry replaced by another leader's, a promise, a vote, a new term.
 PersistentState writeFolder(const std::string& folder) {
     Voter voter(folder);
-    voter.append(3, 0, {3, Kind::begin, ""}, 0);
-    voter.append(3, 1, {3, Kind::command, openSession("g1", 101)}, 1);
-    voter.append(3, 2, {3, Kind::voters, "s1 s2 s3 s4"}, 2);
-    voter.append(3, 3, {3, Kind::command, openSession("g2", 102)}, 4);
+    voter.append(3, 0, {3, EntryKind::noOp, ""}, 0);
+    voter.append(3, 1, {3, EntryKind::command, openSession("g1", 101)}, 1);
+    voter.append(3, 2, {3, EntryKind::voters, "s1 s2 s3 s4"}, 2);
+    voter.append(3, 3, {3, EntryKind::command, openSession("g2", 102)}, 4);
     voter.append(3, 4,
-                 {3, Kind::command, lease_sessions::write({Op::want, "g1", 101, 2, 1, "layout", 0, ""})}, 5);
-    voter.append(3, 5, {3, Kind::voters, "s1 s2 s3"}, 5);
-    voter.append(3, 6, {3, Kind::command, "replaced"}, 5);
-    voter.append(4, 6, {4, Kind::begin, ""}, 5);
+                 {3, EntryKind::command,
+                  lease_sessions::encodeCommand({Operation::define, "g1", 101, 2, 1, "layout", 0, ""})},
+                 5);
+    voter.append(3, 5, {3, EntryKind::voters, "s1 s2 s3"}, 5);
+    voter.append(3, 6, {3, EntryKind::command, "replaced"}, 5);
+    voter.append(4, 6, {4, EntryKind::noOp, ""}, 5);
     voter.election(raft::PreVote{6, 7, 4});
-    voter.election(raft::VoteRequest{6, 7, 4});
-    voter.append(7, 7, {7, Kind::command, openSession("g3", 103)}, 5);
+    voter.election(raft::RequestVote{6, 7, 4});
+    voter.append(7, 7, {7, EntryKind::command, openSession("g3", 103)}, 5);
     return voter.kept();
 }
 
 void expectSame(const PersistentState& a, const PersistentState& b) {
-    EXPECT_EQ(a.number, b.number);
-    EXPECT_EQ(a.term, b.term);
-    EXPECT_EQ(a.promised, b.promised);
-    EXPECT_EQ(a.vote, b.vote);
-    EXPECT_EQ(a.base, b.base);
-    EXPECT_EQ(a.baseTerm, b.baseTerm);
-    EXPECT_EQ(a.baseDigest, b.baseDigest);
-    EXPECT_EQ(a.saved, b.saved);
-    EXPECT_EQ(a.baseVoters, b.baseVoters);
+    EXPECT_EQ(a.groupNumber, b.groupNumber);
+    EXPECT_EQ(a.currentTerm, b.currentTerm);
+    EXPECT_EQ(a.promisedTerm, b.promisedTerm);
+    EXPECT_EQ(a.votedFor, b.votedFor);
+    EXPECT_EQ(a.lastIncludedIndex, b.lastIncludedIndex);
+    EXPECT_EQ(a.lastIncludedTerm, b.lastIncludedTerm);
+    EXPECT_EQ(a.lastIncludedDigest, b.lastIncludedDigest);
+    EXPECT_EQ(a.snapshot, b.snapshot);
+    EXPECT_EQ(a.lastIncludedVoters, b.lastIncludedVoters);
     EXPECT_EQ(a.entries, b.entries);
 }
 
-std::optional<PersistentState> readFolder(const TemporaryFolder& folder, raft::Reading expected) {
-    durable_files::Disk disk;
-    raft::Folder kept(disk, folder.path(), kGroup, kSelf);
+std::optional<PersistentState> readFolder(const TemporaryFolder& folder, raft::ReadOutcome expected) {
+    durable_files::FileSystem disk;
+    raft::StateFolder kept(disk, folder.path(), kGroup, kSelf);
     std::string note;
-    const raft::Read read = kept.load(note);
-    EXPECT_EQ(read.how, expected) << note;
-    return read.kept;
+    const raft::ReadState read = kept.load(note);
+    EXPECT_EQ(read.outcome, expected) << note;
+    return read.state;
 }
 
 // The golden folder as files.
@@ -134,7 +136,7 @@
 TEST(LedgerFolder, OpenedWithAllThatWasKept) {
     const TemporaryFolder folder, fresh;
     restore(folder);
-    const std::optional<PersistentState> kept = readFolder(folder, raft::Reading::sound);
+    const std::optional<PersistentState> kept = readFolder(folder, raft::ReadOutcome::intact);
     ASSERT_TRUE(kept);
     expectSame(*kept, writeFolder(fresh.path()));
     EXPECT_EQ(folder.files(), loadFamily(kFamily));  // opening it changes nothing
@@ -143,23 +145,24 @@
 TEST(LedgerFolder, ContentsAreThoseOfTheOperations) {
     const TemporaryFolder folder;
     restore(folder);
-    const std::optional<PersistentState> kept = readFolder(folder, raft::Reading::sound);
+    const std::optional<PersistentState> kept = readFolder(folder, raft::ReadOutcome::intact);
     ASSERT_TRUE(kept);
-    EXPECT_EQ(kept->number, kNumber);
-    EXPECT_EQ(kept->term, 7u);
-    EXPECT_EQ(kept->promised, 7u);
-    EXPECT_EQ(kept->vote, "");
-    EXPECT_EQ(kept->base, 4u);
-    EXPECT_EQ(kept->baseTerm, 3u);
-    EXPECT_EQ(kept->baseVoters, (std::vector<std::string>{"s1", "s2", "s3", "s4"}));
+    EXPECT_EQ(kept->groupNumber, kNumber);
+    EXPECT_EQ(kept->currentTerm, 7u);
+    EXPECT_EQ(kept->promisedTerm, 7u);
+    EXPECT_EQ(kept->votedFor, "");
+    EXPECT_EQ(kept->lastIncludedIndex, 4u);
+    EXPECT_EQ(kept->lastIncludedTerm, 3u);
+    EXPECT_EQ(kept->lastIncludedVoters, (std::vector<std::string>{"s1", "s2", "s3", "s4"}));
     const std::vector<Entry> entries = {
-        {3, Kind::command, lease_sessions::write({Op::want, "g1", 101, 2, 1, "layout", 0, ""})},
-        {3, Kind::voters, "s1 s2 s3"},
-        {4, Kind::begin, ""},
-        {7, Kind::command, openSession("g3", 103)}};
+        {3, EntryKind::command,
+         lease_sessions::encodeCommand({Operation::define, "g1", 101, 2, 1, "layout", 0, ""})},
+        {3, EntryKind::voters, "s1 s2 s3"},
+        {4, EntryKind::noOp, ""},
+        {7, EntryKind::command, openSession("g3", 103)}};
     EXPECT_EQ(kept->entries, entries);
-    lease_sessions::Table table;
-    ASSERT_TRUE(raft::RaftConsensus::readable(*kept, table));
+    lease_sessions::SessionTable table;
+    ASSERT_TRUE(raft::RaftConsensus::isReadable(*kept, table));
     EXPECT_EQ(table.sessions().size(), 2u);
 }
 
@@ -168,10 +171,10 @@
     const TemporaryFolder folder;
     for (const auto& [name, bytes] : loadFamily(kFamily))
         folder.write(name, name.ends_with(".log") ? bytes.substr(0, bytes.size() - 1) : bytes);
-    const std::optional<PersistentState> kept = readFolder(folder, raft::Reading::cutShort);
+    const std::optional<PersistentState> kept = readFolder(folder, raft::ReadOutcome::truncated);
     ASSERT_TRUE(kept);
-    EXPECT_EQ(kept->term, 6u);
-    EXPECT_EQ(kept->vote, "s3");
+    EXPECT_EQ(kept->currentTerm, 6u);
+    EXPECT_EQ(kept->votedFor, "s3");
     EXPECT_EQ(kept->entries.size(), 3u);
 }
 
@@ -179,14 +182,14 @@
 TEST(LedgerFolder, ALedgerGoesOnFromIt) {
     const TemporaryFolder folder;
     restore(folder);
-    const std::optional<PersistentState> kept = readFolder(folder, raft::Reading::sound);
+    const std::optional<PersistentState> kept = readFolder(folder, raft::ReadOutcome::intact);
     ASSERT_TRUE(kept);
-    lease_sessions::Table table;
+    lease_sessions::SessionTable table;
     const raft::RaftConsensus raft({}, kSelf, kLife + 1, {"s1", "s2", "s3"}, 1, 0, table, kept);
     EXPECT_EQ(raft.role(), raft::Role::follower);
-    EXPECT_EQ(raft.last(), 8u);
+    EXPECT_EQ(raft.lastLogIndex(), 8u);
     EXPECT_EQ(raft.voters(), (std::vector<std::string>{"s1", "s2", "s3"}));
-    expectSame(raft.kept(), *kept);
+    expectSame(raft.persistentState(), *kept);
 }
 
 }  // namespace
--- a/tests/golden/gatherer/message_fields.hpp
+++ b/tests/golden/gatherer/message_fields.hpp
@@ -12,25 +12,34 @@
 
 namespace beechpoint::raft {
 
-inline auto members(const PreVote& x) { return std::tie(x.term, x.last, x.lastTerm); }
-inline auto members(const PreVoteReply& x) { return std::tie(x.term, x.yes, x.known); }
-inline auto members(const VoteRequest& x) { return std::tie(x.term, x.last, x.lastTerm); }
-inline auto members(const VoteReply& x) { return std::tie(x.term, x.yes); }
-inline auto members(const Append& x) {
-    return std::tie(x.term, x.prev, x.prevDigest, x.commit, x.round, x.holds, x.entry);
+inline auto members(const PreVote& x) { return std::tie(x.term, x.lastLogIndex, x.lastLogTerm); }
+inline auto members(const PreVoteReply& x) { return std::tie(x.term, x.voteGranted, x.newestTerm); }
+inline auto members(const RequestVote& x) { return std::tie(x.term, x.lastLogIndex, x.lastLogTerm); }
+inline auto members(const RequestVoteReply& x) { return std::tie(x.term, x.voteGranted); }
+inline auto members(const AppendEntries& x) {
+    return std::tie(x.term, x.prevLogIndex, x.prevLogDigest, x.leaderCommit, x.heartbeatRound, x.hasEntry,
+                    x.entry);
 }
-inline auto members(const AppendReply& x) { return std::tie(x.term, x.ok, x.match, x.round, x.counts); }
-inline auto members(const StateRequest& x) { return std::tie(x.nonce); }
-inline auto members(const StateReply& x) {
-    return std::tie(x.nonce, x.standing, x.term, x.promised, x.leads, x.last, x.number, x.voter);
+inline auto members(const AppendEntriesReply& x) {
+    return std::tie(x.term, x.success, x.matchIndex, x.heartbeatRound, x.canVote);
 }
-inline auto members(const Found& x) { return std::tie(x.number, x.processIncarnation); }
+inline auto members(const RecoveryRequest& x) { return std::tie(x.nonce); }
+inline auto members(const RecoveryResponse& x) {
+    return std::tie(x.nonce, x.status, x.term, x.promisedTerm, x.isLeader, x.lastLogIndex, x.groupNumber,
+                    x.askerIsVoter);
+}
+inline auto members(const FoundGroup& x) { return std::tie(x.groupNumber, x.processIncarnation); }
 inline auto members(const SnapshotChunk& x) {
-    return std::tie(x.term, x.index, x.indexTerm, x.digest, x.sum, x.offset, x.total, x.bytes);
+    return std::tie(x.term, x.lastIncludedIndex, x.lastIncludedTerm, x.lastIncludedDigest, x.checksum,
+                    x.offset, x.totalBytes, x.bytes);
+}
+inline auto members(const SnapshotChunkReply& x) {
+    return std::tie(x.term, x.lastIncludedIndex, x.nextOffset);
+}
+inline auto members(const CatchUpRequest& x) { return std::tie(x.commitIndex, x.commitDigest); }
+inline auto members(const CatchUpReply& x) {
+    return std::tie(x.prevLogIndex, x.prevLogDigest, x.commitIndex, x.hasEntry, x.entry);
 }
-inline auto members(const SnapshotChunkReply& x) { return std::tie(x.term, x.index, x.offset); }
-inline auto members(const Pull& x) { return std::tie(x.last, x.digest); }
-inline auto members(const Tail& x) { return std::tie(x.prev, x.prevDigest, x.commit, x.holds, x.entry); }
 
 }  // namespace beechpoint::raft
 
@@ -40,26 +49,28 @@
     return std::tie(x.op, x.member, x.processIncarnation, x.number, x.session, x.singletonRole,
                     x.fencingToken, x.to);
 }
-inline auto members(const Ask& x) { return members(x.command); }
-inline auto members(const Answer& x) { return std::tie(x.to, x.number, x.result, x.leader); }
-inline auto members(const Renew& x) { return std::tie(x.session, x.number); }
-inline auto members(const Renewed& x) {
-    return std::tie(x.to, x.number, x.verdict, x.session, x.leader, x.held);
+inline auto members(const CommandRequest& x) { return members(x.command); }
+inline auto members(const CommandReply& x) { return std::tie(x.to, x.number, x.result, x.leader); }
+inline auto members(const RenewRequest& x) { return std::tie(x.session, x.number); }
+inline auto members(const RenewReply& x) {
+    return std::tie(x.to, x.number, x.verdict, x.session, x.leader, x.leases);
+}
+inline auto members(const GrantNotice& x) {
+    return std::tie(x.to, x.session, x.singletonRole, x.fencingToken);
 }
-inline auto members(const Granted& x) { return std::tie(x.to, x.session, x.singletonRole, x.fencingToken); }
 
 }  // namespace beechpoint::lease_sessions
 
 namespace beechpoint::gossip {
 
-inline auto members(const Rumour& x) { return std::tie(x.member, x.presence, x.incarnation, x.by); }
+inline auto members(const Rumour& x) { return std::tie(x.member, x.presence, x.incarnation, x.suspectedBy); }
 inline auto members(const std::vector<Rumour>& rumours) {
     std::vector<decltype(members(rumours.front()))> all;
     for (const Rumour& rumour : rumours) all.push_back(members(rumour));
     return all;
 }
 inline auto members(const Ping& x) { return std::tuple(x.number, members(x.rumours)); }
-inline auto members(const PingAsk& x) { return std::tuple(x.number, x.target, members(x.rumours)); }
+inline auto members(const PingRequest& x) { return std::tuple(x.number, x.target, members(x.rumours)); }
 inline auto members(const Ack& x) { return std::tuple(x.number, members(x.rumours)); }
 inline auto members(const Nack& x) { return std::tie(x.number); }
 
@@ -67,8 +78,8 @@
 
 namespace beechpoint::health_check {
 
-inline auto members(const Ask& x) { return std::tie(x.host, x.number); }
-inline auto members(const Word& x) { return std::tie(x.host, x.number, x.there, x.ageMs); }
+inline auto members(const HealthQuery& x) { return std::tie(x.host, x.number); }
+inline auto members(const HealthReport& x) { return std::tie(x.host, x.number, x.reachable, x.ageMs); }
 
 }  // namespace beechpoint::health_check
 
--- a/tests/layout/store_test.cpp
+++ b/tests/layout/store_test.cpp
@@ -87,28 +87,28 @@
 
 // The numbers come from the group's table of duties, as the ledger settles it.
 TEST(Store, WhoWasOvertakenIsTurnedDownByTheDutysNumber) {
-    lease_sessions::Table table;
+    lease_sessions::SessionTable table;
     table.begin(3);
     raft::Index entry = 0;
-    const auto settle = [&](lease_sessions::Op op, const std::string& member, raft::Index session) {
+    const auto settle = [&](lease_sessions::Operation op, const std::string& member, raft::Index session) {
         lease_sessions::Command c;
         c.op = op, c.member = member, c.singletonRole = "layout", c.session = session,
         c.processIncarnation = 1;
-        table.apply(++entry, 1, lease_sessions::write(c));
+        table.apply(++entry, 1, lease_sessions::encodeCommand(c));
         return entry;
     };
-    settle(lease_sessions::Op::want, "", 0);
-    const raft::Index s1 = settle(lease_sessions::Op::open, "g1", 0),
-                      s2 = settle(lease_sessions::Op::open, "g2", 0);
-    settle(lease_sessions::Op::grant, "g1", s1);
+    settle(lease_sessions::Operation::define, "", 0);
+    const raft::Index s1 = settle(lease_sessions::Operation::open, "g1", 0),
+                      s2 = settle(lease_sessions::Operation::open, "g2", 0);
+    settle(lease_sessions::Operation::grant, "g1", s1);
     const std::uint64_t f1 = table.singletonRole("layout")->fencingToken;
     Folder folder;
     LayoutStore one(folder.file(), "g1", f1, 1'000, first());
     one.step(2'000, BeginStep{Move{1, "a", "c"}});
     EXPECT_THROW(LayoutStore(folder.file(), "g2", f1, 2'000, first()),
-                 LeaseLost);                      // the same number, another holder
-    settle(lease_sessions::Op::close, "g1", s1);  // it stands still, and its session has run out
-    settle(lease_sessions::Op::grant, "g2", s2);
+                 LeaseLost);                             // the same number, another holder
+    settle(lease_sessions::Operation::close, "g1", s1);  // it stands still, and its session has run out
+    settle(lease_sessions::Operation::grant, "g2", s2);
     const std::uint64_t f2 = table.singletonRole("layout")->fencingToken;
     ASSERT_GT(f2, f1);
     LayoutStore two(folder.file(), "g2", f2, 9'001, first());
