--- a/src/raft/leader_election.cpp
+++ b/src/raft/leader_election.cpp
@@ -48,7 +48,7 @@
     votesGranted_ = {self_};
     resetElectionTimer(now);
     if (votesGranted_.size() >= majority()) return becomeCandidate(now, out);
-    sendVoters(PreVote{preVoteTerm_, lastLogIndex(), termAt(lastLogIndex())}, out);
+    sendVoters(PreVote{preVoteTerm_, lastLogIndex(), log_.lastTerm()}, out);
 }
 
 void RaftConsensus::becomeCandidate(Millis now, Actions& out) {
@@ -59,7 +59,7 @@
     votesGranted_ = {self_};
     resetElectionTimer(now);
     if (votesGranted_.size() >= majority()) return becomeLeader(now, out);
-    sendVoters(RequestVote{currentTerm_, lastLogIndex(), termAt(lastLogIndex())}, out);
+    sendVoters(RequestVote{currentTerm_, lastLogIndex(), log_.lastTerm()}, out);
 }
 
 void RaftConsensus::becomeLeader(Millis now, Actions& out) {
@@ -68,7 +68,7 @@
     leader_ = self_;
     leaderSince_ = now;
     followers_.clear();
-    for (const std::string& name : voters_) {
+    for (const std::string& name : log_.voters()) {
         Follower f;
         f.nextIndex = lastLogIndex() + 1;
         f.lastContact = now;
@@ -76,7 +76,7 @@
     }
     heartbeatRound_ = 0;
     out.events.push_back(fmt::format("raft: leader of term {}", currentTerm_));
-    append({currentTerm_, EntryKind::noOp, ""});
+    log_.append({currentTerm_, EntryKind::noOp, ""});
     out.mustPersist = true;
     sendHeartbeats(now, out);
     advanceCommitIndex(now, out);
@@ -85,7 +85,8 @@
 void RaftConsensus::on(Millis now, const Message& message, const PreVote& body, Actions& out) {
     if (!canVote()) return;
     const bool hears = role_ == Role::leader || now - lastLeaderContact_ < options_.electionTimeoutMin;
-    const bool yes = !hears && body.term > currentTerm_ && upToDate(body.lastLogIndex, body.lastLogTerm);
+    const bool yes =
+        !hears && body.term > currentTerm_ && log_.isUpToDate(body.lastLogIndex, body.lastLogTerm);
     if (yes && body.term > promisedTerm_) promisedTerm_ = body.term, out.mustPersist = true;
     send(message.from, PreVoteReply{body.term, yes, std::max(currentTerm_, promisedTerm_)}, out);
 }
@@ -110,7 +111,7 @@
         becomeFollower(now, "heard a newer term", out);
     }
     const bool yes = body.term == currentTerm_ && (votedFor_.empty() || votedFor_ == message.from) &&
-                     upToDate(body.lastLogIndex, body.lastLogTerm);
+                     log_.isUpToDate(body.lastLogIndex, body.lastLogTerm);
     if (yes) {
         votedFor_ = message.from;
         out.mustPersist = true;
--- a/src/raft/log.cpp
+++ b/src/raft/log.cpp
@@ -1,77 +1,100 @@
-// The log: entries with their chained digests, what is appended, cut off and applied.
+#include "raft/log.hpp"
+
 #include <fmt/format.h>
+#include <xxhash.h>
 
 #include <algorithm>
+#include <sstream>
 #include <utility>
 
-#include "raft/raft_consensus.hpp"
-#include "raft/raft_consensus_detail.hpp"
-
 namespace beechpoint::raft {
 
-Term RaftConsensus::termAt(Index index) const {
+namespace {
+
+// Digest of a log up to and with `entry`, from that of the log before it.
+Digest chainDigest(Digest before, const Entry& entry) {
+    const std::string head = fmt::format("{:016x}.{}.{}.", before, entry.term, static_cast<int>(entry.kind));
+    const Digest seed = XXH3_64bits(head.data(), head.size());
+    return XXH3_64bits_withSeed(entry.data.data(), entry.data.size(), seed);
+}
+
+}  // namespace
+
+std::vector<std::string> splitNames(const std::string& names) {
+    std::istringstream in(names);
+    std::vector<std::string> list;
+    for (std::string name; in >> name;) list.push_back(name);
+    return list;
+}
+
+std::string joinNames(const std::vector<std::string>& names) {
+    return fmt::format("{}", fmt::join(names, " "));
+}
+
+bool contains(const std::vector<std::string>& list, const std::string& name) {
+    return std::find(list.begin(), list.end(), name) != list.end();
+}
+
+Log::Log(std::vector<std::string> firstVoters)
+    : lastIncludedVoters_(std::move(firstVoters)), voters_(lastIncludedVoters_) {}
+
+Term Log::termAt(Index index) const {
     if (index == lastIncludedIndex_) return lastIncludedTerm_;
-    return index < lastIncludedIndex_ || index > lastLogIndex() ? 0 : at(index).term;
+    if (index < lastIncludedIndex_ || index > lastIndex()) return 0;
+    return record(index).entry.term;
 }
 
-Digest RaftConsensus::digestAt(Index index) const {
+Digest Log::digestAt(Index index) const {
     if (index == lastIncludedIndex_) return lastIncludedDigest_;
-    return index < lastIncludedIndex_ || index > lastLogIndex() ? 0
-                                                                : log_[index - lastIncludedIndex_ - 1].digest;
+    if (index < lastIncludedIndex_ || index > lastIndex()) return 0;
+    return record(index).digest;
 }
 
-void RaftConsensus::append(Entry entry) {
-    const Digest digest = chainDigest(digestAt(lastLogIndex()), entry);
-    if (entry.kind == EntryKind::voters) voters_ = splitNames(entry.data);
-    log_.push_back({std::move(entry), digest});
+std::vector<Entry> Log::entries() const {
+    std::vector<Entry> all;
+    for (const Record& record : records_) all.push_back(record.entry);
+    return all;
 }
 
-void RaftConsensus::truncateFrom(Index index) {
-    while (lastLogIndex() >= index && !log_.empty()) log_.pop_back();
-    outOfOrder_.clear();
-    leaderMatchIndex_ = std::min(
-        leaderMatchIndex_, lastLogIndex());  // what is gone here is settled here no more, whatever was equal
-    updateVoters();
+std::vector<std::string> Log::votersAt(Index index) const {
+    for (Index at = index; at > lastIncludedIndex_; --at)
+        if (entry(at).kind == EntryKind::voters) return splitNames(entry(at).data);
+    return lastIncludedVoters_;
 }
 
-bool RaftConsensus::upToDate(Index last, Term lastTerm) const {
-    const Term own = termAt(this->lastLogIndex());
-    return lastTerm > own || (lastTerm == own && last >= this->lastLogIndex());
+bool Log::isUpToDate(Index lastLogIndex, Term lastLogTerm) const {
+    if (lastLogTerm != lastTerm()) return lastLogTerm > lastTerm();
+    return lastLogIndex >= lastIndex();
 }
 
-bool RaftConsensus::appendIfMatching(Index prev, Digest prevDigest, bool holds, const Entry& entry,
-                                     Actions& out) {
-    if (prev < lastIncludedIndex_)
-        return holds ? prev + 1 <= lastIncludedIndex_ : true;  // settled here long ago
-    if (prev > lastLogIndex() || digestAt(prev) != prevDigest) {
-        // What is settled can't differ while the rules hold: a damaged copy, or an old folder put back.
-        if (prev <= commitIndex_ && prev <= lastLogIndex()) {
-            ++counters_.conflicts;
-            out.events.push_back(fmt::format("raft: this log differs at committed entry {}", prev));
-        }
-        return false;
-    }
-    if (!holds) return true;
-    const Index index = prev + 1;
-    if (index <= lastLogIndex()) {
-        if (at(index) == entry) return true;
-        if (index <= commitIndex_) {
-            ++counters_.conflicts;
-            return false;
-        }
-        truncateFrom(index);
-    }
-    append(entry);
-    out.mustPersist = true;
-    return true;
+void Log::append(Entry entry) {
+    const Digest digest = chainDigest(digestAt(lastIndex()), entry);
+    if (entry.kind == EntryKind::voters) voters_ = splitNames(entry.data);
+    records_.push_back({std::move(entry), digest});
+}
+
+void Log::truncateFrom(Index index) {
+    while (lastIndex() >= index && !records_.empty()) records_.pop_back();
+    voters_ = votersAt(lastIndex());
 }
 
-void RaftConsensus::applyCommitted(Actions& out) {
-    while (lastApplied_ < commitIndex_) {
-        const Entry& e = at(++lastApplied_);
-        if (e.kind == EntryKind::command) machine_.apply(lastApplied_, e.term, e.data);
+void Log::compactTo(Index index) {
+    lastIncludedTerm_ = termAt(index);
+    lastIncludedDigest_ = digestAt(index);
+    lastIncludedVoters_ = votersAt(index);
+    while (lastIncludedIndex_ < index) {
+        records_.pop_front();
+        ++lastIncludedIndex_;
     }
-    if (log_.size() > options_.maxLogEntries) compactLog(), out.mustPersist = true;
+}
+
+void Log::resetTo(Index index, Term term, Digest digest, std::vector<std::string> voters) {
+    records_.clear();
+    lastIncludedIndex_ = index;
+    lastIncludedTerm_ = term;
+    lastIncludedDigest_ = digest;
+    lastIncludedVoters_ = std::move(voters);
+    voters_ = lastIncludedVoters_;
 }
 
 }  // namespace beechpoint::raft
--- a/src/raft/log_catch_up.cpp
+++ b/src/raft/log_catch_up.cpp
@@ -17,29 +17,20 @@
 // it once as many again are settled.
 void RaftConsensus::compactLog() {
     if (log_.size() <= options_.maxLogEntries) return;
-    if (nextSnapshot_.index > lastIncludedIndex_) {
-        lastIncludedTerm_ = termAt(nextSnapshot_.index), lastIncludedDigest_ = digestAt(nextSnapshot_.index);
-        while (lastIncludedIndex_ < nextSnapshot_.index) {
-            if (log_.front().entry.kind == EntryKind::voters)
-                lastIncludedVoters_ = splitNames(log_.front().entry.data);
-            log_.pop_front();
-            ++lastIncludedIndex_;
-        }
+    if (nextSnapshot_.index > log_.lastIncludedIndex()) {
+        log_.compactTo(nextSnapshot_.index);
         snapshot_ = std::move(nextSnapshot_.snapshot);
     }
-    if (lastApplied_ <= lastIncludedIndex_) return;
-    std::vector<std::string> then = lastIncludedVoters_;
-    for (Index i = lastIncludedIndex_ + 1; i <= lastApplied_; ++i)
-        if (at(i).kind == EntryKind::voters) then = splitNames(at(i).data);
-    nextSnapshot_ = {lastApplied_, joinNames(then) + "\n" + machine_.save()};
+    if (lastApplied_ <= log_.lastIncludedIndex()) return;
+    nextSnapshot_ = {lastApplied_, joinNames(log_.votersAt(lastApplied_)) + "\n" + machine_.save()};
 }
 
 void RaftConsensus::sendSnapshotChunk(const std::string& to, std::uint32_t offset, Actions& out) {
     if (offset > snapshot_.size()) return;
     SnapshotChunk p{currentTerm_,
-                    lastIncludedIndex_,
-                    lastIncludedTerm_,
-                    lastIncludedDigest_,
+                    log_.lastIncludedIndex(),
+                    log_.lastIncludedTerm(),
+                    log_.lastIncludedDigest(),
                     XXH3_64bits(snapshot_.data(), snapshot_.size()),
                     offset,
                     static_cast<std::uint32_t>(snapshot_.size()),
@@ -79,7 +70,7 @@
     // A snapshot that comes late may stand for less than this log holds. What follows in the log was acknowledged and may
     // be settled by that: it stays. That the entries up to the snapshot's are settled is all that is new.
     if (body.lastIncludedIndex <= lastLogIndex() &&
-        digestAt(body.lastIncludedIndex) == body.lastIncludedDigest) {
+        log_.digestAt(body.lastIncludedIndex) == body.lastIncludedDigest) {
         commitIndex_ = body.lastIncludedIndex;
         applyCommitted(out);
         return;
@@ -91,26 +82,22 @@
             fmt::format("raft: a snapshot up to entry {} can't be read here", body.lastIncludedIndex));
         return;
     }
-    lastIncludedVoters_ = splitNames(incomingSnapshot_.bytes.substr(0, line));
+    log_.resetTo(body.lastIncludedIndex, body.lastIncludedTerm, body.lastIncludedDigest,
+                 splitNames(incomingSnapshot_.bytes.substr(0, line)));
     snapshot_ = incomingSnapshot_.bytes;
-    log_.clear();
-    lastIncludedIndex_ = body.lastIncludedIndex;
-    lastIncludedTerm_ = body.lastIncludedTerm;
-    lastIncludedDigest_ = body.lastIncludedDigest;
-    commitIndex_ = lastApplied_ = lastIncludedIndex_;
-    leaderMatchIndex_ = std::min(leaderMatchIndex_, lastIncludedIndex_);
+    commitIndex_ = lastApplied_ = log_.lastIncludedIndex();
+    leaderMatchIndex_ = std::min(leaderMatchIndex_, log_.lastIncludedIndex());
     nextSnapshot_ = {};
-    updateVoters();
     ++counters_.snapshotsInstalled;
     out.mustPersist = true;
-    out.events.push_back(fmt::format("raft: installed a snapshot up to entry {}", lastIncludedIndex_));
+    out.events.push_back(fmt::format("raft: installed a snapshot up to entry {}", log_.lastIncludedIndex()));
     updateRole(now, out);
 }
 
 void RaftConsensus::on(Millis now, const Message& message, const SnapshotChunkReply& body, Actions& out) {
     const auto f = followers_.find(message.from);
     if (isLeader() && f != followers_.end()) {
-        if (body.lastIncludedIndex != lastIncludedIndex_) {
+        if (body.lastIncludedIndex != log_.lastIncludedIndex()) {
             f->second.snapshotOffset = 0;
             return;
         }
@@ -118,23 +105,24 @@
             return;  // said again: the piece after it is on its way
         f->second.snapshotOffset = body.nextOffset;
         if (body.nextOffset >= snapshot_.size()) {
-            f->second.nextIndex = std::max(f->second.nextIndex, lastIncludedIndex_ + 1);
+            f->second.nextIndex = std::max(f->second.nextIndex, log_.lastIncludedIndex() + 1);
             f->second.snapshotOffset = 0;
             return replicateTo(now, message.from, out, true);
         }
     }
-    if (body.lastIncludedIndex == lastIncludedIndex_ && body.nextOffset < snapshot_.size())
+    if (body.lastIncludedIndex == log_.lastIncludedIndex() && body.nextOffset < snapshot_.size())
         sendSnapshotChunk(message.from, body.nextOffset, out);
 }
 
 void RaftConsensus::on(Millis, const Message& message, const CatchUpRequest& body, Actions& out) {
     if (!canVote() || (message.groupNumber != 0 && message.groupNumber != groupNumber_)) return;
-    if (body.commitIndex < lastIncludedIndex_) return sendSnapshotChunk(message.from, 0, out);
+    if (body.commitIndex < log_.lastIncludedIndex()) return sendSnapshotChunk(message.from, 0, out);
     Index from = std::min(body.commitIndex, commitIndex_);
-    CatchUpReply t{from, digestAt(from), commitIndex_, false, {}};
+    CatchUpReply t{from, log_.digestAt(from), commitIndex_, false, {}};
     if (from >= commitIndex_) return send(message.from, t, out);
     for (std::size_t i = 0; i < options_.maxInFlightEntries && from < commitIndex_; ++i, ++from) {
-        t.prevLogIndex = from, t.prevLogDigest = digestAt(from), t.hasEntry = true, t.entry = at(from + 1);
+        t.prevLogIndex = from, t.prevLogDigest = log_.digestAt(from), t.hasEntry = true,
+        t.entry = log_.entry(from + 1);
         send(message.from, t, out);
     }
 }
--- a/src/raft/log_file.hpp
+++ b/src/raft/log_file.hpp
@@ -1,15 +1,15 @@
-// What a ledger must not forget over a restart, as bytes: a whole file, and a short log of records after it. Free of
-// I/O: Journal says what has to be written, readKept() puts together what was read. Folder (ledger/folder.hpp) carries it
-// to the disk.
-//
-//     whole   "beechpoint ledger 1\n", xxHash64 of the rest (8 bytes), MessagePack: group, member, generation, state, entries
-//     record  length (4), number (4), xxHash of these two and the generation (4), MessagePack, xxHash64 of that (8)
-//
-// A record holds what one step of the ledger changed, so a step is kept whole or not at all. Numbers are big-endian.
-//
-// What is read of a damaged file: nothing. A voter that took an older state for its newest would break its word, while one
-// that comes back with nothing asks the others (ledger.hpp). Only a log that ends in the middle of its last record,
-// whose head is sound, is a write that a crash cut short, and was never answered for: it is read up to there.
+/// Raft's persistent state as bytes: a file with the full state, and a log of records after it. Free of I/O: StateEncoder
+/// says what has to be written, decodeState() puts together what was read. StateFolder (raft/state_folder.hpp) does the
+/// I/O.
+///
+///     full    "beechpoint ledger 1\n", xxHash64 of the rest (8 bytes), MessagePack: group, member, generation, state, entries
+///     record  length (4), number (4), xxHash of these two and the generation (4), MessagePack, xxHash64 of that (8)
+///
+/// A record holds what one step changed, so a step is persisted completely or not at all. Numbers are big-endian.
+///
+/// Nothing is read of a corrupt file: a voter that took an older state for its newest would break its promises, while one
+/// that returns without state recovers by the others (raft_consensus.hpp). Only a log that ends in the middle of its last
+/// record, whose header is sound, is a write that a crash truncated, and was never acknowledged: it is read up to there.
 #pragma once
 
 #include <optional>
--- a/src/raft/log_replication.cpp
+++ b/src/raft/log_replication.cpp
@@ -9,30 +9,30 @@
 namespace beechpoint::raft {
 
 namespace {
-constexpr std::size_t kEarly = 32;    // entries kept that came before their turn
-constexpr std::uint64_t kSilent = 3;  // rounds without an answer: from then on one message a round
+constexpr std::size_t kMaxOutOfOrder = 32;        // entries buffered that came before their turn
+constexpr std::uint64_t kUnresponsiveRounds = 3;  // without a reply: from then on one message a round
 }  // namespace
 
 std::optional<Index> RaftConsensus::propose(Millis now, const std::string& data, Actions& out) {
     if (!isLeader() || data.size() > kMaxEntryBytes) return std::nullopt;
-    append({currentTerm_, EntryKind::command, data});
+    log_.append({currentTerm_, EntryKind::command, data});
     out.mustPersist = true;
     const Index index = lastLogIndex();
-    for (const std::string& name : voters_)
+    for (const std::string& name : log_.voters())
         if (name != self_) replicateTo(now, name, out, false);
     advanceCommitIndex(now, out);
     return index;
 }
 
-// With the next signs, a heartbeat off at the most: one round proves it for all who ask meanwhile, however many they are.
+// Proven by the next heartbeats, at most one interval away: one round serves all requests made meanwhile.
 void RaftConsensus::confirmLeadership(Millis, std::uint64_t token, Actions&) {
     if (isLeader()) pendingConfirmations_[heartbeatRound_ + 1].push_back(token);
 }
 
-void RaftConsensus::replicateTo(Millis, const std::string& name, Actions& out, bool sign) {
+void RaftConsensus::replicateTo(Millis, const std::string& name, Actions& out, bool isHeartbeat) {
     Follower& f = followers_[name];
-    if (f.nextIndex <= lastIncludedIndex_) {
-        if (sign) {
+    if (f.nextIndex <= log_.lastIncludedIndex()) {
+        if (isHeartbeat) {
             send(name, AppendEntries{currentTerm_, 0, 0, 0, heartbeatRound_, false, {}}, out);
             sendSnapshotChunk(name, f.snapshotOffset, out);
         }
@@ -41,16 +41,16 @@
     const auto one = [&] {
         AppendEntries a{currentTerm_,
                         f.nextIndex - 1,
-                        digestAt(f.nextIndex - 1),
+                        log_.digestAt(f.nextIndex - 1),
                         commitIndex_,
                         heartbeatRound_,
                         f.nextIndex <= lastLogIndex(),
                         {}};
-        if (a.hasEntry) a.entry = at(f.nextIndex);
+        if (a.hasEntry) a.entry = log_.entry(f.nextIndex);
         send(name, a, out);
         if (a.hasEntry && !f.probing) ++f.nextIndex;
     };
-    if (sign) one();
+    if (isHeartbeat) one();
     while (!f.probing && f.nextIndex <= lastLogIndex() &&
            f.nextIndex <= f.replicatedIndex + options_.maxInFlightEntries)
         one();
@@ -62,15 +62,15 @@
     for (auto it = followers_.begin(); it != followers_.end();) {
         const std::string& name = it->first;
         Follower& f = it->second;
-        if (!isVoter(name) && f.nextIndex > lastLogIndex()) {  // taken out, and has been told
+        if (!isVoter(name) && f.nextIndex > lastLogIndex()) {  // removed, and has replicated that entry
             it = followers_.erase(it);
             continue;
         }
-        // On its way since the signs before, and nothing of it has come: lost. Who answers nothing is not sent a window each time.
+        // In flight since the heartbeat before, and none of it acknowledged: lost. An unresponsive one is not sent a window each time.
         if (!f.probing && f.nextIndex > f.replicatedIndex + 1 &&
             f.replicatedIndex == f.replicatedAtLastHeartbeat)
             f.nextIndex = f.replicatedIndex + 1;
-        if (f.heartbeatRound + kSilent < heartbeatRound_)
+        if (f.heartbeatRound + kUnresponsiveRounds < heartbeatRound_)
             f.probing = true, f.nextIndex = std::min(f.nextIndex, lastLogIndex() + 1);
         f.replicatedAtLastHeartbeat = f.replicatedIndex;
         if (name != self_) replicateTo(now, name, out, true);
@@ -83,7 +83,7 @@
     while (!pendingConfirmations_.empty()) {
         const std::uint64_t round = pendingConfirmations_.begin()->first;
         std::size_t count = 0;
-        for (const std::string& name : voters_)
+        for (const std::string& name : log_.voters())
             count += name == self_ ? heartbeatRound_ >= round : followers_[name].heartbeatRound >= round;
         if (count < majority()) return;
         for (const std::uint64_t token : pendingConfirmations_.begin()->second)
@@ -94,9 +94,10 @@
 
 void RaftConsensus::advanceCommitIndex(Millis now, Actions& out) {
     for (Index n = lastLogIndex(); n > commitIndex_; --n) {
-        if (options_.safeguards.ownTermCommit && termAt(n) != currentTerm_) break;
+        if (options_.safeguards.ownTermCommit && log_.termAt(n) != currentTerm_) break;
         std::size_t count = 0;
-        for (const std::string& name : voters_) count += name == self_ ? 1 : followers_[name].matchIndex >= n;
+        for (const std::string& name : log_.voters())
+            count += name == self_ ? 1 : followers_[name].matchIndex >= n;
         if (count < majority()) continue;
         commitIndex_ = n;
         applyCommitted(out);
@@ -107,7 +108,7 @@
 }
 
 void RaftConsensus::on(Millis now, const Message& message, const AppendEntries& body, Actions& out) {
-    if (groupNumber_ == 0) return;  // which group it is is told by answers to own questions alone
+    if (groupNumber_ == 0) return;  // a member learns its group by replies to its own requests alone
     AppendEntriesReply reply{currentTerm_, false, lastLogIndex(), body.heartbeatRound, canVote()};
     if (body.term < currentTerm_) return send(message.from, reply, out);
     if (body.term > currentTerm_) {
@@ -123,9 +124,9 @@
     lastLeaderContact_ = now;
     reply.term = currentTerm_;
     reply.success = appendIfMatching(body.prevLogIndex, body.prevLogDigest, body.hasEntry, body.entry, out);
-    // Datagrams overtake each other: what came too early waits here, and is taken once what it follows is there.
+    // Datagrams overtake each other: what came too early is buffered, and appended once the entry it follows is there.
     if (!reply.success && body.hasEntry && body.prevLogIndex > lastLogIndex() &&
-        body.prevLogIndex <= lastLogIndex() + kEarly)
+        body.prevLogIndex <= lastLogIndex() + kMaxOutOfOrder)
         outOfOrder_.emplace(body.prevLogIndex, body);
     Index taken = body.prevLogIndex + (body.hasEntry ? 1 : 0);
     for (auto e = outOfOrder_.begin(); reply.success && e != outOfOrder_.end() && e->first <= taken;
@@ -134,7 +135,7 @@
             appendIfMatching(e->first, e->second.prevLogDigest, true, e->second.entry, out))
             ++taken;
     reply.matchIndex = reply.success
-                           ? std::max(taken, std::min(lastIncludedIndex_, lastLogIndex()))
+                           ? std::max(taken, std::min(log_.lastIncludedIndex(), lastLogIndex()))
                            : std::min(lastLogIndex(), body.prevLogIndex > 0 ? body.prevLogIndex - 1 : 0);
     if (reply.success) {
         if (leaderMatchTerm_ != body.term) leaderMatchIndex_ = 0, leaderMatchTerm_ = body.term;
@@ -184,4 +185,46 @@
     if (isLeader()) reportConfirmedLeadership(out);
 }
 
+void RaftConsensus::truncateFrom(Index index) {
+    log_.truncateFrom(index);
+    outOfOrder_.clear();
+    // What was removed is not known to be equal to the leader's any more.
+    leaderMatchIndex_ = std::min(leaderMatchIndex_, lastLogIndex());
+}
+
+bool RaftConsensus::appendIfMatching(Index prev, Digest prevDigest, bool holds, const Entry& entry,
+                                     Actions& out) {
+    if (prev < log_.lastIncludedIndex())
+        return holds ? prev + 1 <= log_.lastIncludedIndex() : true;  // committed here long ago
+    if (prev > lastLogIndex() || log_.digestAt(prev) != prevDigest) {
+        // Committed entries can't differ (State Machine Safety): a corrupt log, or an old folder that was put back.
+        if (prev <= commitIndex_ && prev <= lastLogIndex()) {
+            ++counters_.conflicts;
+            out.events.push_back(fmt::format("raft: this log differs at committed entry {}", prev));
+        }
+        return false;
+    }
+    if (!holds) return true;
+    const Index index = prev + 1;
+    if (index <= lastLogIndex()) {
+        if (log_.entry(index) == entry) return true;
+        if (index <= commitIndex_) {
+            ++counters_.conflicts;
+            return false;
+        }
+        truncateFrom(index);
+    }
+    log_.append(entry);
+    out.mustPersist = true;
+    return true;
+}
+
+void RaftConsensus::applyCommitted(Actions& out) {
+    while (lastApplied_ < commitIndex_) {
+        const Entry& e = log_.entry(++lastApplied_);
+        if (e.kind == EntryKind::command) machine_.apply(lastApplied_, e.term, e.data);
+    }
+    if (log_.size() > options_.maxLogEntries) compactLog(), out.mustPersist = true;
+}
+
 }  // namespace beechpoint::raft
--- a/src/raft/messages.hpp
+++ b/src/raft/messages.hpp
@@ -1,4 +1,5 @@
-// What the members of a group say to each other about the ledger. Values only: no wire (peers/ carries them).
+/// The messages between the members of a group about the Raft log. Values only; cluster/wire.hpp has their form on the
+/// wire, in which the order of the fields and the enumerators' numbers are fixed.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 namespace beechpoint::raft {
 
 using Index = std::uint64_t;               // of an entry, from 1; 0: before the first
-using Term = std::uint64_t;                // a leader's time in office, from 1
+using Term = std::uint64_t;                // of one leader at most, from 1 (Raft, 5.1)
 using Digest = std::uint64_t;              // over all entries up to one, in order
 using ProcessIncarnation = std::uint64_t;  // one start of a process; never used twice
 
@@ -20,7 +21,7 @@
 inline constexpr std::size_t kSnapshotChunkBytes = 130;  // bytes of a snapshot in one message
 
 enum class EntryKind : std::uint8_t {
-    noOp,     // a leader's first; means nothing
+    noOp,     // a leader's first entry; changes nothing
     command,  // for the machine
     voters    // the new set, names with a space between; in force from its appending on
 };
@@ -32,8 +33,8 @@
     bool operator==(const Entry&) const = default;
 };
 
-// Would you vote for me in this term? Who says yes remembers the term, so that a majority knows of it before
-// anybody votes in it.
+/// Raft thesis, 9.6: would the receiver vote for the sender in this term? Who grants it remembers the term, so that a
+/// majority knows of it before anybody votes in it.
 struct PreVote {
     Term term = 0;
     Index lastLogIndex = 0;
@@ -53,23 +54,23 @@
     Term term = 0;
     bool voteGranted = false;
 };
-struct AppendEntries {  // also the sign of life, with no entry
+struct AppendEntries {  // the heartbeat too, with no entry (Raft, 5.2, 5.3)
     Term term = 0;
     Index prevLogIndex = 0;
     Digest prevLogDigest = 0;
     Index leaderCommit = 0;
-    std::uint64_t heartbeatRound = 0;  // of signs of life; rises within a term
+    std::uint64_t heartbeatRound = 0;  // rises within a term
     bool hasEntry = false;
     Entry entry;
 };
 struct AppendEntriesReply {
     Term term = 0;
     bool success = false;
-    Index matchIndex = 0;  // ok: equal up to here; else: try from here on
+    Index matchIndex = 0;  // success: equal up to here; else: retry from here on
     std::uint64_t heartbeatRound = 0;
-    bool canVote = false;  // it is a voter with its memory whole
+    bool canVote = false;  // it is a voter that has its state
 };
-// A voter that lost its memory asks how things stand; the nonce makes old answers worthless.
+/// A voter without state asks for the others' status (VR Revisited, 4.3); the nonce makes old responses worthless.
 struct RecoveryRequest {
     std::uint64_t nonce = 0;
 };
@@ -84,7 +85,7 @@
     std::uint64_t groupNumber = 0;  // of the group; 0: not founded
     bool askerIsVoter = false;      // the asker is one, as the answerer has it
 };
-// The group begins, by an operator's word: only at that very life of an empty member.
+/// The group is founded, as an operator asked: valid only at that process incarnation of an empty member.
 struct FoundGroup {
     std::uint64_t groupNumber = 0;
     ProcessIncarnation processIncarnation = 0;
@@ -94,20 +95,20 @@
     Index lastIncludedIndex = 0;  // that it stands for
     Term lastIncludedTerm = 0;
     Digest lastIncludedDigest = 0;
-    std::uint64_t checksum = 0;  // hash of the whole
+    std::uint64_t checksum = 0;  // hash of the full snapshot
     std::uint32_t offset = 0, totalBytes = 0;
     std::string bytes;
 };
 struct SnapshotChunkReply {
     Term term = 0;
     Index lastIncludedIndex = 0;
-    std::uint32_t nextOffset = 0;  // wanted next
+    std::uint32_t nextOffset = 0;  // requested next
 };
-struct CatchUpRequest {  // a learner's question for what comes after
+struct CatchUpRequest {  // from a learner, for the entries after its own
     Index commitIndex = 0;
     Digest commitDigest = 0;
 };
-struct CatchUpReply {  // its answer: settled entries only
+struct CatchUpReply {  // its reply: committed entries only
     Index prevLogIndex = 0;
     Digest prevLogDigest = 0;
     Index commitIndex = 0;
--- a/src/raft/raft_consensus.cpp
+++ b/src/raft/raft_consensus.cpp
@@ -40,8 +40,7 @@
       firstVoters_(std::move(voters)),
       draw_(seed),
       machine_(machine),
-      lastIncludedVoters_(firstVoters_),
-      voters_(firstVoters_),
+      log_(firstVoters_),
       requestDeadline_(now),
       nonce_(processIncarnation) {
     if (kept && kept->groupNumber != 0) {
@@ -49,19 +48,16 @@
         currentTerm_ = kept->currentTerm;
         promisedTerm_ = kept->promisedTerm;
         votedFor_ = kept->votedFor;
-        lastIncludedIndex_ = kept->lastIncludedIndex;
-        lastIncludedTerm_ = kept->lastIncludedTerm;
-        lastIncludedDigest_ = kept->lastIncludedDigest;
-        if (!kept->lastIncludedVoters.empty()) lastIncludedVoters_ = kept->lastIncludedVoters;
+        log_.resetTo(kept->lastIncludedIndex, kept->lastIncludedTerm, kept->lastIncludedDigest,
+                     kept->lastIncludedVoters.empty() ? firstVoters_ : kept->lastIncludedVoters);
         snapshot_ = kept->snapshot;
         if (!isReadable(*kept, machine_))
             throw std::invalid_argument("raft: the persistent state can't be read");
-        commitIndex_ = lastApplied_ = lastIncludedIndex_;
-        for (const Entry& e : kept->entries) append(e);
-        updateVoters();
-        role_ = contains(voters_, self_) ? Role::follower : Role::learner;
+        commitIndex_ = lastApplied_ = log_.lastIncludedIndex();
+        for (const Entry& e : kept->entries) log_.append(e);
+        role_ = contains(log_.voters(), self_) ? Role::follower : Role::learner;
     } else {
-        role_ = contains(voters_, self_) ? Role::empty : Role::learner;
+        role_ = contains(log_.voters(), self_) ? Role::empty : Role::learner;
     }
     resetElectionTimer(now);
 }
@@ -71,11 +67,16 @@
 }
 
 PersistentState RaftConsensus::persistentState() const {
-    PersistentState k{
-        groupNumber_,      currentTerm_,        promisedTerm_, votedFor_,           lastIncludedIndex_,
-        lastIncludedTerm_, lastIncludedDigest_, snapshot_,     lastIncludedVoters_, {}};
-    for (const LogRecord& h : log_) k.entries.push_back(h.entry);
-    return k;
+    return {groupNumber_,
+            currentTerm_,
+            promisedTerm_,
+            votedFor_,
+            log_.lastIncludedIndex(),
+            log_.lastIncludedTerm(),
+            log_.lastIncludedDigest(),
+            snapshot_,
+            log_.lastIncludedVoters(),
+            log_.entries()};
 }
 
 Millis RaftConsensus::nextDeadline() const {
@@ -96,7 +97,7 @@
         if (now >= electionDeadline_) {  // who can't be heard by a majority leads nobody
             resetElectionTimer(now);
             std::size_t count = 0;
-            for (const std::string& name : voters_)
+            for (const std::string& name : log_.voters())
                 count += name == self_ || now - followers_[name].lastContact < options_.electionTimeoutMax;
             if (count < majority()) return becomeFollower(now, "no contact with a majority", out);
         }
@@ -104,10 +105,10 @@
     } else if (role_ == Role::learner) {
         if (now < requestDeadline_) return;
         requestDeadline_ = now + options_.catchUpInterval * (0.8 + 0.4 * draw_());
-        if (voters_.empty()) return;
+        if (log_.voters().empty()) return;
         if (groupNumber_ == 0) return sendVoters(RecoveryRequest{nonce_}, out);
-        const std::string& to = voters_[draw_.below(voters_.size())];
-        send(to, CatchUpRequest{commitIndex_, digestAt(commitIndex_)}, out);
+        const std::string& to = log_.voters()[draw_.below(log_.voters().size())];
+        send(to, CatchUpRequest{commitIndex_, log_.digestAt(commitIndex_)}, out);
     } else if (role_ == Role::empty || role_ == Role::recovering) {
         if (now >= requestDeadline_) sendRecoveryRequests(now, out);
     } else if (now >= electionDeadline_) {
--- a/src/raft/state_folder.hpp
+++ b/src/raft/state_folder.hpp
@@ -1,9 +1,9 @@
-// Where a folder lasts: a ledger's journal on the disk. Two files a member, the whole and its log; the whole is written
-// beside, synced and renamed, so there is always one that is complete. Called from the disk's thread (group/) or, in tests,
-// directly. Owns the names of its files; knows no ledger's meaning.
-//
-// After a write that failed nothing more is kept: what is on the disk is not known any more, and whoever answers by it
-// would break its word. The caller has to stop taking part in the group; the next start reads what is there.
+/// A member's persistent state on the disk: two files, the full state and a log of records after it. The full state is
+/// written beside the old one, synced and renamed, so one complete file is always there. Owns the names of its files;
+/// knows nothing of Raft. Called from the disk's thread (cluster/) or, in tests, directly; not thread-safe.
+///
+/// After a failed write nothing more is persisted: what is on the disk is unknown, and acknowledging by it could break a
+/// promise. The caller has to leave the group; the next start reads what is there.
 #pragma once
 
 #include <string>
--- a/src/raft/state_recovery.cpp
+++ b/src/raft/state_recovery.cpp
@@ -26,7 +26,7 @@
         role_ = Role::follower;
         return resetElectionTimer(now);
     }
-    std::set<std::string> ask(voters_.begin(), voters_.end());
+    std::set<std::string> ask(log_.voters().begin(), log_.voters().end());
     ask.insert(firstVoters_.begin(), firstVoters_.end());
     if (foundingNumber_ != 0 && now > foundingDeadline_) foundingNumber_ = 0;
     for (const std::string& name : ask) send(name, RecoveryRequest{nonce_}, out);
--- a/src/raft/voter_changes.cpp
+++ b/src/raft/voter_changes.cpp
@@ -13,16 +13,7 @@
 constexpr double kOfLate = 2.5;  // heartbeats
 }  // namespace
 
-bool RaftConsensus::isVoter(const std::string& name) const { return contains(voters_, name); }
-
-void RaftConsensus::updateVoters() {
-    for (auto e = log_.rbegin(); e != log_.rend(); ++e)
-        if (e->entry.kind == EntryKind::voters) {
-            voters_ = splitNames(e->entry.data);
-            return;
-        }
-    voters_ = lastIncludedVoters_;
-}
+bool RaftConsensus::isVoter(const std::string& name) const { return contains(log_.voters(), name); }
 
 // A change of voters may make a learner of a voter, and the other way round. Who comes in may have been a voter
 // before and have forgotten it, so it recovers first.
@@ -41,9 +32,9 @@
 bool RaftConsensus::changeVoters(Millis now, std::vector<std::string> voters, Actions& out) {
     if (!isReadyLeader() || voters.empty() || voters.size() > kMaxVoters) return false;
     for (Index i = commitIndex_ + 1; i <= lastLogIndex(); ++i)
-        if (at(i).kind == EntryKind::voters) return false;
+        if (log_.entry(i).kind == EntryKind::voters) return false;
     std::sort(voters.begin(), voters.end());
-    std::vector<std::string> old = voters_, differ;
+    std::vector<std::string> old = log_.voters(), differ;
     std::sort(old.begin(), old.end());
     std::set_symmetric_difference(old.begin(), old.end(), voters.begin(), voters.end(),
                                   std::back_inserter(differ));
@@ -58,9 +49,9 @@
             now - f->second.lastContact > kOfLate * options_.heartbeatInterval)
             return false;
     }
-    append({currentTerm_, EntryKind::voters, names});
+    log_.append({currentTerm_, EntryKind::voters, names});
     out.mustPersist = true;
-    for (const std::string& name : voters_)
+    for (const std::string& name : log_.voters())
         if (!followers_.contains(name)) {
             Follower f;
             f.nextIndex = lastLogIndex();
