--- a/tests/cluster/host_prober_test.cpp
+++ b/tests/cluster/host_prober_test.cpp
@@ -86,7 +86,7 @@
     std::uint64_t datagrams = 0;
 };
 
-TEST(HostProber, LooksAtADeadHostFallToATenth) {
+TEST(HostProber, ProbesOfADeadHostFallToATenthWhenOneMemberHoldsTheRole) {
     for (const int size : {50, 300}) {
         Fleet each(size, false), one(size);
         for (Fleet* f : {&each, &one}) f->until(10'000), f->looksPerS(1), f->datagrams = 0, f->until(40'000);
@@ -101,7 +101,7 @@
     }
 }
 // Killed, stopped or cut off: its last word ends, and all look themselves as without it.
-TEST(HostProber, AHolderThatIsGoneCostsNothingButItsWord) {
+TEST(HostProber, ProbesItselfOnceTheReportOfAStoppedLeaseHolderExpires) {
     Fleet fleet(50);
     fleet.until(10'000);
     fleet.gone = true;
@@ -111,7 +111,7 @@
     EXPECT_GT(fleet.looksPerS(10'000), 1.85 * 49);
 }
 // The host is back and the holder goes on saying that it is away: each sees it by its own look within `own`.
-TEST(HostProber, ALiarDelaysALookByItsTimeAtTheMost) {
+TEST(HostProber, FalseReportDelaysOwnProbeByAtMostItsInterval) {
     for (const bool liar : {false, true}) {
         Fleet fleet(50);
         fleet.until(10'000);
@@ -122,7 +122,7 @@
         for (const auto& [member, at] : fleet.foundAt) EXPECT_LE(at, 10'000 + 5'600) << member;
     }
 }
-TEST(HostProber, LossBringsMoreOwnLooksAndNoWrongOnes) {
+TEST(HostProber, MessageLossCausesMoreOwnProbesAndNoWrongResult) {
     Fleet fleet(50);
     fleet.loss = 0.3;
     fleet.until(10'000);
@@ -130,7 +130,7 @@
     fleet.until(40'000);
     EXPECT_LT(fleet.looksPerS(30'000), 2.0 * 50 / 2);
 }
-TEST(HostProber, WordsAreTakenOnlyWhereTheyWereAskedForAndWithTheirAge) {
+TEST(HostProber, AcceptsReportsOnlyWhenQueriedAndCountsTheirAge) {
     HostProber l({}, "a");
     std::vector<Message> out;
     EXPECT_EQ(l.probeWanted(0, "h", "b", out), Advice::probe);
@@ -155,7 +155,7 @@
     EXPECT_EQ(l.probeWanted(2401, "h", "b", out), Advice::probe);
     EXPECT_EQ(l.avoidedProbes(), 1u);
 }
-TEST(HostProber, HostsAreBounded) {
+TEST(HostProber, EvictsTheLeastRecentlyWantedHostAtTheLimit) {
     HostProber l({}, "a");
     std::vector<Message> out;
     for (int i = 0; i < 2000; ++i) l.probeWanted(i, "h" + std::to_string(i), "b", out);
--- a/tests/cluster/linear_test.cpp
+++ b/tests/cluster/linear_test.cpp
@@ -17,7 +17,7 @@
     return op;
 }
 
-TEST(Linear, GoodHistories) {
+TEST(Linearizability, AcceptsLinearizableHistories) {
     EXPECT_TRUE(linearizable({}));
     EXPECT_TRUE(linearizable({take("a", 0, 1, 1), give("a", 2, 3, 1), take("b", 4, 5, 2)}));
     EXPECT_TRUE(linearizable({take("a", 0, 9, 2), take("b", 1, 2, 1)}));  // they overlap: b first
@@ -27,7 +27,7 @@
     EXPECT_TRUE(linearizable({unknown(take("a", 0, 1, 1)), take("b", 2, 3, 1)}));  // never happened
     EXPECT_TRUE(linearizable({unknown(take("a", 0, 1, 1)), take("b", 2, 3, 2), give("b", 4, 5, 2)}));
 }
-TEST(Linear, BadHistories) {
+TEST(Linearizability, RejectsHistoriesThatAreNotLinearizable) {
     EXPECT_FALSE(linearizable({take("a", 0, 1, 2), take("b", 2, 3, 1)}));  // the number goes back
     EXPECT_FALSE(linearizable({take("a", 0, 1, 1), take("b", 2, 3, 1)}));  // one number twice
     EXPECT_FALSE(linearizable({take("a", 0, 5, 4), take("b", 1, 6, 4)}));  // also where they overlap
@@ -39,7 +39,7 @@
     EXPECT_FALSE(
         linearizable({take("a", 0, 1, 1), give("a", 2, 3, 1), take("b", 4, 5, 1), take("c", 6, 7, 2)}));
 }
-TEST(Linear, TheSearchEnds) {
+TEST(Linearizability, SearchStopsAtItsLimit) {
     std::vector<DutyOp> many;  // all at once: the order is anybody's guess
     for (int i = 0; i < 14; ++i) many.push_back(take("a", 0, 100, static_cast<std::uint64_t>(i + 1)));
     EXPECT_TRUE(linearizable(many, 50'000));
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -130,7 +130,7 @@
     }
 };
 
-TEST(Membership, OneThatDiesIsSuspectedThenDeadAtAll) {
+TEST(Membership, StoppedMemberIsSuspectedThenDeadAtAllMembers) {
     Settled town(7);
     town.kill(3);
     const Millis killed = town.now();
@@ -145,14 +145,14 @@
     EXPECT_TRUE(town.allAlive());
     EXPECT_GT(town.at(3).incarnation(), 1u);
 }
-TEST(Membership, WhoSaysThatItGoesIsNotSuspected) {
+TEST(Membership, MemberThatLeavesInOrderIsNotSuspected) {
     Settled town(7);
     town.leave(2);
     town.until(town.now() + 12'000);
     EXPECT_EQ(town.see(2, Presence::left), 6);
 }
 // Two that can't hear each other, but are heard by all others: asked by way of these, neither is suspected.
-TEST(Membership, ACutBetweenTwoMakesNobodyDead) {
+TEST(Membership, PartitionBetweenTwoMembersMakesNobodyDead) {
     Settled town(7);
     town.cut(1, 2), town.cut(2, 1);
     for (int s = 0; s < 60; ++s) {
@@ -161,7 +161,7 @@
     }
 }
 // It is heard but hears nothing: it doubts itself, and the others, who hear its suspicions, refute them.
-TEST(Membership, OneThatHearsNothingMakesNobodyDead) {
+TEST(Membership, MemberThatReceivesNothingMakesNobodyDead) {
     for (const bool doubts : {true, false}) {
         MembershipOptions options;
         options.localHealthAware = doubts;
@@ -182,7 +182,7 @@
     }
 }
 // It stood still for ten seconds and believes that nothing happened: nobody else is dead for that.
-TEST(Membership, OneThatStoodStillBlamesNobody) {
+TEST(Membership, MemberThatWasPausedSuspectsNobody) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Settled town(7, seed);
         town.stop(5);
@@ -199,7 +199,7 @@
         EXPECT_TRUE(town.allAlive()) << seed;
     }
 }
-TEST(Membership, ACutInTwoIsHealed) {
+TEST(Membership, RecoversAfterAPartitionInTwoHalves) {
     Settled town(9);
     for (int a = 0; a < 4; ++a)
         for (int b = 4; b < 9; ++b) town.cut(a, b), town.cut(b, a);
@@ -209,7 +209,7 @@
     town.until(town.now() + 60'000);
     EXPECT_TRUE(town.allAlive());
 }
-TEST(Membership, LossOfThreeInTenKillsNobody) {
+TEST(Membership, LossOfThreeDatagramsInTenMakesNobodyDead) {
     Settled town(12);
     town.loss = 0.3;
     for (int s = 0; s < 60; ++s) {
@@ -218,7 +218,7 @@
     }
 }
 // What one sends is bounded by a constant: at 300, with 50 that come in at once, and a third killed at one moment.
-TEST(Membership, DatagramsAreBoundedWhateverTheSize) {
+TEST(Membership, DatagramRatePerMemberIsBoundedForAnyGroupSize) {
     Town town(300, 3);
     for (int i = 0; i < 250; ++i) town.start(i);
     town.until(30'000);
@@ -239,7 +239,7 @@
 }
 
 // Words about one member in any order, any number of times: what is believed in the end is the same.
-RC_GTEST_PROP(MembershipLaws, WordsJoinInAnyOrder, ()) {
+RC_GTEST_PROP(MembershipProperties, RumoursConvergeInAnyOrder, ()) {
     const auto words = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(1, 5), rc::gen::inRange(1, 5)));
     auto other = words;
@@ -261,7 +261,7 @@
     RC_ASSERT(believed(words) == believed(other));
 }
 // Whatever is said of a member itself, it is alive in its own eyes and above every word against it.
-RC_GTEST_PROP(MembershipLaws, NobodyIsTalkedOutOfItsLife, ()) {
+RC_GTEST_PROP(MembershipProperties, MemberRefutesEveryRumourThatItIsNotAlive, ()) {
     Membership m({}, "a", {"a", "b"}, 1, 0);
     std::vector<Message> out;
     const auto words = *rc::gen::container<std::vector<std::pair<int, int>>>(
--- a/tests/cluster/net.hpp
+++ b/tests/cluster/net.hpp
@@ -1,4 +1,4 @@
-// Ledgers with their messages carried by hand: no clock but the test's, nothing sent unless it says so.
+// Raft members with their messages carried by hand: no clock but the test's, nothing sent unless it says so.
 #pragma once
 
 #include <algorithm>
@@ -25,7 +25,7 @@
     explicit Net(int size, Options o = {}, bool lasting = true) : options(o), lasting(lasting) {
         for (int i = 0; i < size; ++i) names.push_back("s" + std::to_string(i + 1));
         machines.resize(static_cast<std::size_t>(size));
-        ledgers.resize(static_cast<std::size_t>(size));
+        consensus.resize(static_cast<std::size_t>(size));
         kept.resize(static_cast<std::size_t>(size));
         for (int i = 0; i < size; ++i) start(i);
     }
@@ -33,13 +33,13 @@
         const auto n = static_cast<std::size_t>(i);
         machines[n] = std::make_unique<Text>();
         ++processIncarnation;
-        ledgers[n] =
+        consensus[n] =
             std::make_unique<RaftConsensus>(options, names[n], processIncarnation, names, processIncarnation,
                                             now, *machines[n], lasting ? kept[n] : std::nullopt);
     }
-    void kill(int i) { ledgers[static_cast<std::size_t>(i)].reset(); }
-    RaftConsensus& at(int i) { return *ledgers[static_cast<std::size_t>(i)]; }
-    int place(const std::string& name) const {
+    void kill(int i) { consensus[static_cast<std::size_t>(i)].reset(); }
+    RaftConsensus& at(int i) { return *consensus[static_cast<std::size_t>(i)]; }
+    int indexOf(const std::string& name) const {
         return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
     }
     void out(int i, Actions& a) {
@@ -52,8 +52,8 @@
         for (int guard = 0; !wire.empty() && guard < 20'000; ++guard) {
             const Message m = wire.front();
             wire.pop_front();
-            const int from = place(m.from), to = place(m.to);
-            if (!among.contains(from) || !among.contains(to) || !ledgers[static_cast<std::size_t>(to)])
+            const int from = indexOf(m.from), to = indexOf(m.to);
+            if (!among.contains(from) || !among.contains(to) || !consensus[static_cast<std::size_t>(to)])
                 continue;
             if (drop && drop(m)) continue;
             Actions a;
@@ -65,7 +65,7 @@
     void pass(Millis d, const std::set<int>& among) {
         for (const Millis end = now + d; now < end; now += 10) {
             for (const int i : among) {
-                if (!ledgers[static_cast<std::size_t>(i)] || at(i).nextDeadline() > now) continue;
+                if (!consensus[static_cast<std::size_t>(i)] || at(i).nextDeadline() > now) continue;
                 Actions a;
                 at(i).advance(now, a);
                 out(i, a);
@@ -98,7 +98,7 @@
         while (!wire.empty() && !at(who).isLeader()) {
             const Message m = wire.front();
             wire.pop_front();
-            const int from = place(m.from), to = place(m.to);
+            const int from = indexOf(m.from), to = indexOf(m.to);
             if (!among.contains(from) || !among.contains(to)) continue;
             Actions a;
             at(to).receive(now, m, a);
@@ -107,7 +107,8 @@
     }
     int leader() const {
         for (int i = 0; i < static_cast<int>(names.size()); ++i)
-            if (ledgers[static_cast<std::size_t>(i)] && ledgers[static_cast<std::size_t>(i)]->isReadyLeader())
+            if (consensus[static_cast<std::size_t>(i)] &&
+                consensus[static_cast<std::size_t>(i)]->isReadyLeader())
                 return i;
         return -1;
     }
@@ -119,7 +120,7 @@
     ProcessIncarnation processIncarnation = 0;
     std::vector<std::string> names;
     std::vector<std::unique_ptr<Text>> machines;
-    std::vector<std::unique_ptr<RaftConsensus>> ledgers;
+    std::vector<std::unique_ptr<RaftConsensus>> consensus;
     std::vector<std::optional<PersistentState>> kept;
     std::deque<Message> wire;
     std::function<bool(const Message&)> drop;  // lost on their way
--- a/tests/cluster/properties_test.cpp
+++ b/tests/cluster/properties_test.cpp
@@ -26,7 +26,7 @@
 
 // ---- the ledger: at most one leader a term; what one applied, all apply, in that order; nothing applied is ever lost. Members
 // keep their folder; any of them die and return, and any part of them can talk at a time.
-RC_GTEST_PROP(LedgerLaws, WhatOneAppliedAllApply, ()) {
+RC_GTEST_PROP(RaftConsensusProperties, EveryAppliedEntryIsAppliedAtAllMembers, ()) {
     constexpr int kSize = 3;
     raft::Options options;
     options.maxLogEntries = 10;
@@ -36,7 +36,7 @@
     std::string longest;
     const auto check = [&] {
         for (int i = 0; i < kSize; ++i) {
-            if (!net.ledgers[static_cast<std::size_t>(i)]) continue;
+            if (!net.consensus[static_cast<std::size_t>(i)]) continue;
             const std::string& text = net.text(i);
             const std::string& more = text.size() > longest.size() ? text : longest;
             RC_ASSERT(more.starts_with(text) && more.starts_with(longest));
@@ -51,7 +51,7 @@
     int said = 0;
     for (const Step& s : *steps(6, 900)) {
         const int i = s.a % kSize;
-        const bool processIncarnations = net.ledgers[static_cast<std::size_t>(i)] != nullptr;
+        const bool processIncarnations = net.consensus[static_cast<std::size_t>(i)] != nullptr;
         std::set<int> among;
         for (int m = 0; m < kSize; ++m)
             if (s.b >> m & 1) among.insert(m);
@@ -75,7 +75,7 @@
         check();
     }
     for (int i = 0; i < kSize; ++i)
-        if (!net.ledgers[static_cast<std::size_t>(i)]) net.start(i);
+        if (!net.consensus[static_cast<std::size_t>(i)]) net.start(i);
     net.pass(9000, {0, 1, 2});
     check();
     RC_ASSERT(net.leader() >= 0);
@@ -84,7 +84,7 @@
 
 // ---- the table: numbers only rise, each grant has its own, who holds is in session, both lists by holder agree with the
 // duties, a request has its effect once, and what is saved is read back the same.
-RC_GTEST_PROP(TableLaws, NumbersRiseAndRequestsHaveTheirEffectOnce, ()) {
+RC_GTEST_PROP(SessionTableProperties, FencingTokensRiseAndCommandsAreAppliedOnce, ()) {
     lease_sessions::SessionTable table;
     table.begin(2);
     std::map<std::string, std::uint64_t> fences;
@@ -133,7 +133,7 @@
 
 // ---- the holder: it acts only within ttl x (1 - drift) of the sending of something that was confirmed, and never under a number
 // that it gave up, whatever the leader's words, their order and their repeats.
-RC_GTEST_PROP(HolderLaws, ActsOnlyWithinItsLeaseAndNeverOnWhatItGaveUp, ()) {
+RC_GTEST_PROP(LeaseClientProperties, ActsOnlyWithinItsLeaseAndNeverAfterItsRelease, ()) {
     const lease_sessions::Times times;
     lease_sessions::LeaseClient holder(times, "a", 1, {"l", "m"}, 3, 0);
     std::vector<lease_sessions::Message> out,
--- a/tests/cluster/raft_consensus_test.cpp
+++ b/tests/cluster/raft_consensus_test.cpp
@@ -17,7 +17,7 @@
     net.out(leader, a);
 }
 
-TEST(RaftConsensus, WhatAMajorityHasIsSettledAndAppliedAlike) {
+TEST(RaftConsensus, CommitsAndAppliesAlikeWhatAMajorityHas) {
     Net net(5);
     net.found();
     net.pass(3000, kAll);
@@ -28,7 +28,7 @@
     for (int i = 0; i < 5; ++i) EXPECT_EQ(net.text(i), "a;b;c;");
     EXPECT_EQ(net.at(0).digestAt(net.at(0).commitIndex()), net.at(4).digestAt(net.at(0).commitIndex()));
 }
-TEST(RaftConsensus, AMinoritySettlesNothing) {
+TEST(RaftConsensus, MinorityCommitsNothing) {
     Net net(5);
     net.found();
     net.pass(3000, kAll);
@@ -89,14 +89,14 @@
     net.pass(2000, {1, 2, 3, 4});
     return {settled, net.text(4)};
 }
-TEST(RaftConsensus, OnlyEntriesOfTheOwnTermAreSettledByCounting) {
+TEST(RaftConsensus, CommitsByCountingOnlyEntriesOfItsOwnTerm) {
     const auto [settled, after] = figureEight(true);
     EXPECT_EQ(settled, "");
     EXPECT_EQ(after, "new;");
 }
 
 // The same script, settled by counting alone: what one leader called settled, a later one never had.
-TEST(LedgerBroken, AnOldTermsEntrySettledByCountingIsLost) {
+TEST(RaftConsensusBroken, WithoutOwnTermCommitACommittedEntryIsLost) {
     const auto [settled, after] = figureEight(false);
     EXPECT_EQ(settled, "old;");
     EXPECT_EQ(after.find("old"), std::string::npos);
@@ -117,7 +117,7 @@
     net.elect(2, {1});
     return net.at(2).isLeader() && net.at(2).currentTerm() == term && net.at(0).isLeader() ? 2 : 1;
 }
-TEST(LedgerBroken, AVoteForgottenElectsTwoInOneTerm) {
+TEST(RaftConsensusBroken, WithoutRecoveryAForgottenVoteElectsTwoLeadersInOneTerm) {
     EXPECT_EQ(leadersInOneTerm(false), 2);
     EXPECT_EQ(leadersInOneTerm(true), 1);
 }
@@ -139,7 +139,7 @@
     std::optional<RaftConsensus> raft;
 };
 // What it acknowledged may be settled by its word: a snapshot that comes late takes none of it back.
-TEST(RaftConsensus, ALateSnapshotTakesNoAcknowledgedEntryBack) {
+TEST(RaftConsensus, LateSnapshotKeepsAcknowledgedEntries) {
     Back s2;
     const RaftConsensus& l = *s2.raft;
     const Actions reply = s2.hears(AppendEntries{5, 10, l.digestAt(10), 0, 1, false, {}});
@@ -154,7 +154,7 @@
     EXPECT_EQ(s2.machine.all, "1;2;3;4;5;6;7;8;9;10;");
 }
 // One that was taken out by an entry that never came to be settled, and is replaced: nothing beyond the log is settled.
-TEST(RaftConsensus, WhatWasEqualBeforeACutIsNotSettledAfterIt) {
+TEST(RaftConsensus, TruncatedEntriesAreNotCommittedByAnEarlierMatch) {
     Back s2;
     const RaftConsensus& l = *s2.raft;
     const Digest three = l.digestAt(3);
@@ -169,7 +169,7 @@
 }
 
 // One vote a term, kept before it is given: neither a restart nor a second asker gets another.
-TEST(RaftConsensus, AVoteIsGivenOnceATermAlsoOverARestart) {
+TEST(RaftConsensus, GrantsOneVoteATermAlsoAfterARestart) {
     for (const bool lasting : {true, false}) {
         Net net(3, {}, lasting);
         net.found();
@@ -192,7 +192,7 @@
     }
 }
 // A renewal is confirmed by answers to signs sent after it came, not by old ones.
-TEST(RaftConsensus, LeadingIsProvenByNewAnswersOnly) {
+TEST(RaftConsensus, ConfirmsLeadershipByRepliesToLaterHeartbeatsOnly) {
     Net net(3);
     net.found();
     net.pass(3000, {0, 1, 2});
@@ -206,7 +206,7 @@
     net.pass(300, {0, 1, 2});
     EXPECT_EQ(net.confirmed, std::vector<std::uint64_t>{77});
 }
-TEST(RaftConsensus, OneThatIsFarBehindCatchesUpByASnapshot) {
+TEST(RaftConsensus, MemberFarBehindCatchesUpByASnapshot) {
     Options o;
     o.maxLogEntries = 20;
     Net net(3, o, false);
@@ -224,7 +224,7 @@
     EXPECT_EQ(net.text(away), net.text(lead));
     EXPECT_GT(net.at(away).counters().snapshotsInstalled, 0u);
 }
-TEST(RaftConsensus, VotersChangeOneAtATimeAndTheRemovedDisturbsNobody) {
+TEST(RaftConsensus, VotersChangeOneAtATimeAndARemovedVoterStartsNoElection) {
     Net net(5);
     net.found();
     net.pass(3000, kAll);
@@ -246,7 +246,7 @@
 }
 // Found in virtual time (voters that change, seed 11): one of three has forgotten, and a fourth comes in. Of the four only two have
 // their memory: they could settle nothing any more, and neither of the others could recover by them.
-TEST(RaftConsensus, AVoterComesInOnlyWhereTheNewSetHasAMajorityWithItsMemory) {
+TEST(RaftConsensus, RejectsAVoterWhenTheNewSetHasNoMajorityWithState) {
     Net net(4, {}, false);
     for (int i = 0; i < 4; ++i) net.names[static_cast<std::size_t>(i)] = "s" + std::to_string(i + 1);
     net.names.resize(3);  // the group begins with three
@@ -265,7 +265,7 @@
     net.pass(3000, {0, 1, 2});  // it has recovered
     EXPECT_TRUE(net.at(lead).changeVoters(net.now, four, yes));
 }
-TEST(RaftConsensus, EntriesAreBounded) {
+TEST(RaftConsensus, RejectsEntriesOverTheMaximumSize) {
     Net net(3);
     net.found();
     net.pass(3000, {0, 1, 2});
--- a/tests/cluster/scenario_test.cpp
+++ b/tests/cluster/scenario_test.cpp
@@ -18,7 +18,7 @@
         return e.what();
     }
 }
-TEST(GroupScenario, SaysWhatIsWrong) {
+TEST(GroupScenario, NamesTheFieldOfAnInvalidScenario) {
     EXPECT_EQ(why(R"({"name":"x"})"), "");
     EXPECT_EQ(why(R"({"name":"x","member":3})"), "scenario: no such key: member");
     EXPECT_EQ(why(R"({"name":"x","voters":9,"members":12})"), "voters: 1 to 7, and no more than members");
@@ -31,7 +31,7 @@
     EXPECT_NE(why("{"), "");
 }
 // The files that real processes are played by (process_test), here in virtual time and over seeds.
-TEST(GroupScenario, TheShortFormHoldsInVirtualTime) {
+TEST(GroupScenario, ShortScenarioPassesInVirtualTime) {
     const GroupScenario s = readGroupScenarioFile(BEECHPOINT_SCENARIOS "/group/short.json");
     GroupTimes all;
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -46,7 +46,7 @@
     EXPECT_LT(all.afterEnd[all.afterEnd.size() / 2], 300);  // handed on in order: no lease is waited for
     EXPECT_GT(*std::min_element(all.afterKill.begin(), all.afterKill.end()), 1000);
 }
-TEST(GroupScenario, TheLongFormsHoldInVirtualTimeForTwoMinutes) {
+TEST(GroupScenario, LongScenariosPassInVirtualTimeForTwoMinutes) {
     for (const char* file : {"/group/long-5.json", "/group/long-7.json"}) {
         GroupScenario s = readGroupScenarioFile(std::string(BEECHPOINT_SCENARIOS) + file);
         s.length = 120'000;
@@ -57,7 +57,7 @@
 }
 
 // Nothing that was said after a promise leaves before the promise is durable, and the order stays.
-TEST(Outbox, HoldsBackWhatFollowsAWrite) {
+TEST(Outbox, DelaysDatagramsUntilTheEarlierWriteIsDurable) {
     using cluster::Datagram;
     cluster::Outbox box(3);
     const auto step = [](const char* text) { return std::vector<Datagram>{{"g1", text}}; };
@@ -81,7 +81,7 @@
 }
 
 // Membership's longest messages fit into one datagram, and what is read is what was written.
-TEST(MembershipWire, TheLongestFits) {
+TEST(MembershipWire, LongestMessagesFitOneDatagram) {
     const std::string name(19, 'n');
     gossip::PingRequest longest{~0ull, name, {}};
     // As many as the rule's bytes let in: each three of the form, the name and two numbers.
--- a/tests/cluster/seeds_test.cpp
+++ b/tests/cluster/seeds_test.cpp
@@ -11,7 +11,7 @@
 
 // Faults and operations close together, in blocks so that they run side by side. The long form is in docs/group.md.
 class ManySeeds : public testing::TestWithParam<int> {};
-TEST_P(ManySeeds, HoldWhatTheyPromise) {
+TEST_P(ManySeeds, ViolateNoInvariant) {
     GroupScenario s = seeds();
     s.folder = GetParam() % 3 == 2;
     if (GetParam() == 7) s.members = s.voters = 7;
--- a/tests/cluster/state_folder_test.cpp
+++ b/tests/cluster/state_folder_test.cpp
@@ -73,7 +73,7 @@
 
 // The machine stops in any call, and what was not synced is kept, dropped or torn: what is read is the newest that was
 // answered for, or the step that was under way; never less, never damaged, never a mix.
-TEST(Folder, ACrashAnywhereLosesNothingThatWasAnsweredFor) {
+TEST(StateFolder, CrashInAnyCallLosesNothingAcknowledged) {
     std::uint64_t crashes = 0, cutShort = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
         FaultyFiles files(seed);
@@ -115,7 +115,7 @@
     EXPECT_GT(cutShort, 30u);
 }
 // A disk that has no room or fails a sync: nothing more is said to be kept, and what was is there.
-TEST(Folder, AfterAFailureNothingMoreIsSaidToBeKept) {
+TEST(StateFolder, AcknowledgesNoWriteAfterAFailure) {
     int failures = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         FaultyFiles files(seed);
@@ -141,7 +141,7 @@
     EXPECT_GT(failures, 60);
 }
 // A byte that turned, wherever it stands, is found; the member comes back with nothing rather than with something else.
-TEST(Folder, AChangedByteAnywhereIsFound) {
+TEST(StateFolder, DetectsAnyChangedByte) {
     FaultyFiles files(1);
     StateFolder folder(files, "f", "group", "s2");
     StateEncoder journal("group", "s2", 3);
@@ -174,7 +174,7 @@
 }
 // A real process writes on a real disk and is killed in the middle, again and again. Its steps follow from its seed, so this
 // process knows each of its states: what is read is the newest that was answered for, or a later one, whole.
-TEST(Folder, AProcessKilledInMidWriteComesBackWithAllItAnsweredFor) {
+TEST(StateFolder, ProcessKilledWhileWritingRestartsWithAllItAcknowledged) {
     std::string path = std::filesystem::canonical("/proc/self/exe").parent_path() / "folder-XXXXXX";
     ASSERT_NE(::mkdtemp(path.data()), nullptr);
     durable_files::FileSystem disk;
--- a/tests/cluster/virtual_test.cpp
+++ b/tests/cluster/virtual_test.cpp
@@ -61,7 +61,7 @@
     }
 };
 
-TEST(Group, ACalmGroupElectsOnceAndActsOnEveryDuty) {
+TEST(Cluster, WithoutFaultsElectsOnceAndActsOnEveryRole) {
     GroupPlan plan = Calm::calm();
     plan.length = 15'000;
     const GroupReport r = GroupWorld(plan, 1).run();
@@ -73,14 +73,14 @@
 }
 
 // The short form of the long run in docs/group.md. A report whose faults met nothing would prove nothing.
-TEST(GroupSeeds, FiveWithoutADisk) {
+TEST(ClusterSeeds, FiveWithoutADisk) {
     const GroupReport r = allSound(shortPlan(), 1, 30);
     EXPECT_GT(r.handOvers, 30u);
     EXPECT_GT(r.refused, 20u);  // spoilt datagrams
     for (const char* kind : {"kill at a leader", "stop at a leader", "stop at a holder"})
         EXPECT_GT(r.met.count(kind) ? r.met.at(kind) : 0, 0u) << kind;
 }
-TEST(GroupSeeds, FiveWithAFolder) {
+TEST(ClusterSeeds, FiveWithAFolder) {
     GroupPlan plan = shortPlan();
     plan.lasting = true;
     const GroupReport r = allSound(plan, 1, 20);
@@ -89,12 +89,12 @@
     EXPECT_GT(r.folders.at("sound"), 20u);
     EXPECT_GT(r.folders.at("its last write was cut short"), 0u);
 }
-TEST(GroupSeeds, SevenWithoutADisk) {
+TEST(ClusterSeeds, SevenWithoutADisk) {
     GroupPlan plan = shortPlan();
     plan.members = plan.voters = 7;
     allSound(plan, 1, 8);
 }
-TEST(GroupSeeds, VotersThatChange) {
+TEST(ClusterSeeds, VotersThatChange) {
     GroupPlan plan = shortPlan();
     plan.members = 6, plan.voters = 4, plan.changesVoters = true;
     const GroupReport r = allSound(plan, 1, 12);
@@ -102,7 +102,7 @@
     for (const auto& [what, n] : r.met) changes += what.starts_with("voters changed") ? n : 0;
     EXPECT_GE(changes, 2u);
 }
-TEST(GroupSeeds, LearnersBesideTheVoters) {
+TEST(ClusterSeeds, LearnersBesideTheVoters) {
     GroupPlan plan = shortPlan();
     plan.members = 9;
     allSound(plan, 1, 6);
@@ -110,7 +110,7 @@
 
 // The holder's clock is slow, the leader's fast, and the holder is cut off: with the drift and the margin that the rules name
 // it stops first; without them the next one begins while it still acts.
-TEST(GroupBroken, NoMarginForClocksThatRunApart) {
+TEST(ClusterBroken, WithoutMarginForClockDriftTwoMembersAct) {
     const auto two = [](bool margin) {
         GroupPlan plan = Calm::calm();
         plan.singletonRoles = 1;
@@ -138,7 +138,7 @@
     EXPECT_EQ(two(true), 0u);
     EXPECT_GT(two(false), 0u);
 }
-TEST(GroupBroken, AFenceThatNobodyChecks) {
+TEST(ClusterBroken, WithoutFencingCheckALateActIsCarriedOut) {
     const auto back = [](bool checked) {
         GroupPlan plan = Calm::calm();
         plan.fencesChecked = checked;
@@ -155,7 +155,7 @@
     EXPECT_TRUE(back(false));
 }
 // A member that is heard but hears nothing asks for votes without end. With pre-votes nobody's term moves.
-TEST(GroupBroken, NoPreVoteAndTermsRunAway) {
+TEST(ClusterBroken, WithoutPreVoteTermsRise) {
     const auto terms = [](bool preVote) {
         GroupPlan plan = Calm::calm();
         plan.safeguards.preVote = preVote;
@@ -174,7 +174,7 @@
 
 // ---- single troubles, each with its time
 
-TEST(Group, AKilledHolderIsFollowedAfterItsLeaseAndNotBefore) {
+TEST(Cluster, LeaseOfAKilledHolderIsGrantedAfterItsEndAndNotBefore) {
     Calm world;
     const std::string singletonRole = GroupWorld::singletonRoleName(0);
     int old = world.holder(singletonRole);
@@ -184,7 +184,7 @@
     EXPECT_GT(took, 1500);  // what is left of a lease that was renewed within the last 0.4 s
     EXPECT_LT(took, 3500);
 }
-TEST(Group, AnOrderlyEndHandsOnAtOnce) {
+TEST(Cluster, GracefulShutdownTransfersLeasesAtOnce) {
     Calm world;
     const std::string singletonRole = GroupWorld::singletonRoleName(1);
     const int old = world.holder(singletonRole);
@@ -193,7 +193,7 @@
     EXPECT_LT(world.nextHolder(old, singletonRole), 1000);
 }
 // A drain that is undone: it takes part again, under new numbers, and never acts on what it had given up.
-TEST(Group, ADrainedMemberGivesUpItsDutiesAndTakesPartAgainLater) {
+TEST(Cluster, DrainedMemberReleasesItsLeasesAndRejoinsLater) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Calm world(Calm::calm(), seed);
         const std::string singletonRole = GroupWorld::singletonRoleName(0);
@@ -216,7 +216,7 @@
 }
 // Found in virtual time (short.json, seed 7): a take is settled and told by a renewal before its own answer comes; the duty
 // is given up meanwhile, and the answer, late, must not bring it back: another holds it by then.
-TEST(LeaseClient, ALateAnswerBringsNothingBackThatWasGivenUp) {
+TEST(LeaseClient, LateReplyRestoresNoReleasedLease) {
     lease_sessions::LeaseClient h({}, "a", 1, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     const auto says = [&](Millis now, lease_sessions::Body body) {
@@ -248,7 +248,7 @@
 }
 // Found in virtual time (short.json, seed 1): the session runs out by the own clock and is opened anew, under the same number,
 // while the giving up is still on its way. A word of the old grant comes with the first renewal.
-TEST(LeaseClient, WhatWasGivenUpStaysSoThoughTheSessionIsOpenedAnew) {
+TEST(LeaseClient, ReleasedLeaseStaysReleasedWhenTheSessionIsReopened) {
     lease_sessions::LeaseClient h({}, "a", 1, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     const auto says = [&](Millis now, lease_sessions::Body body) {
@@ -295,7 +295,7 @@
 }
 // Found over 10,000 seeds (3595): numbers begin anew with each life, so an answer to the one before, come again much later, was
 // taken for one's own; with it a session, and with another old word a duty.
-TEST(LeaseClient, AnAnswerToAnEarlierLifeIsNone) {
+TEST(LeaseClient, IgnoresRepliesToAnEarlierProcessIncarnation) {
     lease_sessions::LeaseClient h({}, "a", 2, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     h.advance(0, out);
@@ -316,7 +316,7 @@
 }
 // Found over 10,000 seeds (1179): two renewals lost in a row, and from then on it asked everybody but the leader until its lease
 // was over, though each of them named the leader.
-TEST(LeaseClient, AfterTwoLostRenewalsItAsksWhomOthersName) {
+TEST(LeaseClient, AsksTheNamedLeaderAfterTwoLostRenewals) {
     lease_sessions::LeaseClient h({}, "a", 1, {"l", "m", "n"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     h.setLeader("l");
@@ -352,7 +352,7 @@
     EXPECT_TRUE(h.inSession(2500));
 }
 // Whoever waits for a request's end hears of it, also where the member leaves: a drain never ends by itself.
-TEST(LeaseClient, LeavingEndsWhatWasAskedFor) {
+TEST(LeaseClient, EndSessionFailsPendingCommands) {
     lease_sessions::LeaseClient h({}, "a", 1, {"l"}, 1, 0);
     std::vector<lease_sessions::Message> out;
     h.advance(0, out);
@@ -369,7 +369,7 @@
     EXPECT_FALSE(ends[0].known);
 }
 // A request goes on to whom the asked one names, not to the next in turn.
-TEST(LeaseClient, ARequestFollowsTheLeadersName) {
+TEST(LeaseClient, ResendsACommandToTheNamedLeader) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         lease_sessions::LeaseClient h({}, "a", 1, {"m", "n", "o"}, seed,
                                       0);  // the leader is none of those it knows
@@ -397,7 +397,7 @@
         EXPECT_TRUE(h.inSession(400)) << seed;
     }
 }
-TEST(Group, ADutyIsHandedToANamedSuccessor) {
+TEST(Cluster, LeaseIsTransferredToANamedMember) {
     Calm world;
     const std::string singletonRole = GroupWorld::singletonRoleName(1);
     const int old = world.holder(singletonRole), next = (old + 2) % 5;
@@ -408,7 +408,7 @@
     EXPECT_EQ(world.holder(singletonRole), next);  // and stays
 }
 // It believes that nothing happened; its first act after waking asks its own clock, and what was begun before is late.
-TEST(Group, AHolderStoppedPastItsLeaseFindsOutBeforeItsNextAct) {
+TEST(Cluster, HolderPausedPastItsLeaseDoesNotActAgain) {
     Calm world;
     const std::string singletonRole = GroupWorld::singletonRoleName(0);
     const int old = world.holder(singletonRole);
@@ -423,7 +423,7 @@
     EXPECT_TRUE(world.report().broken.empty()) << text(world.report());
 }
 // The leader holds every duty and is cut off with them: for a moment there are two leaders, never two holders.
-TEST(Group, ALeaderCutOffWithItsDutiesStopsBeforeOthersBegin) {
+TEST(Cluster, PartitionedLeaderStopsActingBeforeOthersBegin) {
     Calm world;
     const int lead = world.leader();
     for (int d = 0; d < 3; ++d) {
@@ -442,7 +442,7 @@
     EXPECT_TRUE(world.report().rested) << world.report().restless;
 }
 // One that can send but not hear must not lead for ever: its followers hear it, and nothing is ever settled.
-TEST(Group, ALeaderThatHearsNothingStepsDown) {
+TEST(Cluster, LeaderWithoutContactToAMajorityStepsDown) {
     Calm world;
     const int lead = world.leader();
     world.cutOff(lead, false, true);
@@ -451,7 +451,7 @@
     EXPECT_GE(world.leader(), 0);
 }
 // More than half forgot at once: the group decides nothing, invents nothing, and begins anew only by a person's word.
-TEST(Group, WhenMostHaveForgottenNothingIsDecidedUntilAPersonSaysSo) {
+TEST(Cluster, CommitsNothingWithoutAMajorityWithStateUntilFoundedAgain) {
     Calm world;
     for (int i = 0; i < 3; ++i) world.kill(i);
     world.until(world.now() + 500);
@@ -473,7 +473,7 @@
     EXPECT_EQ(world.core(0).raft().groupNumber(), kNumber + 1);
     EXPECT_TRUE(world.report().broken.empty()) << text(world.report());
 }
-TEST(Group, TwoPersonsWhoFoundItAtOnceMakeOneGroup) {
+TEST(Cluster, TwoConcurrentFoundCallsMakeOneGroup) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         GroupWorld world(Calm::calm(), seed);
         world.until(100);
@@ -489,7 +489,7 @@
     }
 }
 // 300 gatherers, five of them voters, at rest.
-TEST(Group, ThreeHundredMembersCostLittle) {
+TEST(Cluster, CostOfThreeHundredMembersIsBounded) {
     GroupPlan plan = Calm::calm();
     plan.members = 300, plan.willing = 12;
     plan.length = 20'000;
--- a/tests/cluster/wire_test.cpp
+++ b/tests/cluster/wire_test.cpp
@@ -13,7 +13,7 @@
 const std::string kName(raft::kMaxMemberNameBytes, 'n'), kDuty(lease_sessions::kMaxRoleNameBytes, 'd');
 constexpr std::uint64_t kBig = 0xffffffffffffffffULL, kIndex = 0xffffffffULL;
 
-std::vector<raft::Body> ledgerBodies() {
+std::vector<raft::Body> raftBodies() {
     using namespace raft;
     const Entry entry{kIndex, EntryKind::command, std::string(kMaxEntryBytes, '\xff')};
     return {PreVote{kIndex, kIndex, kIndex},
@@ -31,7 +31,7 @@
             CatchUpRequest{kIndex, kBig},
             CatchUpReply{kIndex, kBig, kIndex, true, entry}};
 }
-std::vector<lease_sessions::Body> dutyBodies() {
+std::vector<lease_sessions::Body> leaseSessionBodies() {
     using namespace lease_sessions;
     RenewReply renewed{kBig, kIndex, Verdict::done, kIndex, kName, {}};
     for (std::size_t i = 0; i < kMaxLeasesPerRenewal; ++i) renewed.leases.emplace_back(kDuty, kBig);
@@ -43,9 +43,9 @@
     return gossip::encodeDatagram("gatherers", {room, kName, kBig, kIndex}, body);
 }
 
-TEST(Wire, EveryMessageFitsOneDatagramAndComesBackAsItWas) {
+TEST(Wire, EveryMessageFitsOneDatagramAndDecodesToItself) {
     DropReason why;
-    for (const raft::Body& b : ledgerBodies()) {
+    for (const raft::Body& b : raftBodies()) {
         const std::string bytes = sealed(gossip::Channel::raft, write(b));
         ASSERT_FALSE(bytes.empty()) << b.index();
         EXPECT_LE(bytes.size(), gossip::kMaxDatagramBytes);
@@ -58,7 +58,7 @@
         EXPECT_EQ(back->index(), b.index());
         EXPECT_EQ(write(*back), write(b));
     }
-    for (const lease_sessions::Body& b : dutyBodies()) {
+    for (const lease_sessions::Body& b : leaseSessionBodies()) {
         const std::string bytes = sealed(gossip::Channel::singletonRoles, write(b));
         ASSERT_FALSE(bytes.empty()) << b.index();
         const auto opened = gossip::decodeDatagram("gatherers", bytes, why);
@@ -68,8 +68,8 @@
         EXPECT_EQ(write(*back), write(b));
     }
 }
-TEST(Wire, EveryChangedBitAndEveryCutIsRefused) {
-    const std::string good = sealed(gossip::Channel::raft, write(ledgerBodies()[4]));
+TEST(Wire, RejectsEveryChangedBitAndEveryTruncation) {
+    const std::string good = sealed(gossip::Channel::raft, write(raftBodies()[4]));
     DropReason why;
     for (std::size_t i = 0; i < good.size(); ++i)
         for (int bit = 0; bit < 8; ++bit) {
@@ -81,7 +81,7 @@
         EXPECT_FALSE(gossip::decodeDatagram("gatherers", good.substr(0, n), why));
     EXPECT_FALSE(gossip::decodeDatagram("gatherers", good + "x", why));
 }
-TEST(Wire, WhatIsNotOursIsCountedByItsReason) {
+TEST(Wire, NamesTheReasonOfADroppedDatagram) {
     const std::string good = sealed(gossip::Channel::raft, "x");
     DropReason why = DropReason::none;
     const auto refused = [&](std::string bytes, const char* group = "gatherers") {
@@ -97,7 +97,7 @@
     EXPECT_EQ(refused(version), DropReason::version);
     EXPECT_EQ(gossip::encodeDatagram("gatherers", {}, std::string(300, 'x')), "");
 }
-TEST(Wire, ASnapshotThatCannotBeReadChangesNothing) {
+TEST(Wire, UnreadableSnapshotChangesNothing) {
     lease_sessions::SessionTable table;
     table.apply(
         1, 1, lease_sessions::encodeCommand({lease_sessions::Operation::define, "a", 1, 1, 0, "one", 0, ""}));
@@ -107,7 +107,7 @@
     EXPECT_EQ(table.save(), before);
     EXPECT_TRUE(table.load(before));
 }
-TEST(Wire, SenselessBodiesAreNoMessages) {
+TEST(Wire, RejectsInvalidBodies) {
     for (const std::string& bad :
          {std::string(), std::string("\xc1"), std::string("\x92\x63\x90"), std::string("\x92\x00\x91\x01"),
           std::string("\x92\xff\x90"), std::string(200, '\xdd')}) {
