--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -1,6 +1,6 @@
-// The rooms of a group put together, free of I/O: ledger, duties' table, keeper and holder of one member. Takes
-// datagrams and time, returns datagrams. The driver owns the socket and the folder; what must be kept is durable
-// before a datagram of the same step leaves.
+/// One member of a group, free of I/O: Raft consensus, the session table, lease manager and lease client, membership and
+/// host prober put together. Takes datagrams and time, returns datagrams. The driver (ClusterMember) owns the socket and the
+/// folder; what must be persisted is durable before a datagram of the same step leaves. Not thread-safe.
 #pragma once
 
 #include <map>
--- a/src/cluster/outbox.hpp
+++ b/src/cluster/outbox.hpp
@@ -1,7 +1,7 @@
-// What a member says, in the order in which it was said, held back until what it promised by it is durable. Free of I/O.
-//
-// A step that has something to keep opens a gate: it and all that follows it wait until the gate's write is done. Gates
-// are passed in order. At most `most` steps wait; a later one's datagrams are dropped, as if lost on their way, and counted.
+/// A member's datagrams in the order of its steps, delayed until the state they promise is durable. Free of I/O.
+///
+/// A step with state to persist opens a gate: it and all that follow wait until the gate's write is durable. Gates are
+/// passed in order. At most `most` steps wait; a later one's datagrams are dropped, as if lost on the network, and counted.
 #pragma once
 
 #include <cstdint>
--- a/src/durable_files/disk_thread.hpp
+++ b/src/durable_files/disk_thread.hpp
@@ -1,6 +1,7 @@
-// One helper thread for the disk, so that no query waits for a write or a sync. Work is done in the order in which it
-// was given; what follows it comes back to the loop's thread in the same order. No work is dropped while it lives; at
-// its end what is under way is finished, what is waiting is not begun, and nothing comes back any more.
+/// One helper thread for the disk, so that no query waits for a write or a sync. Work runs in the order of post(); its
+/// continuation comes back to the event loop's thread in the same order. No work is dropped while this object lives; at its
+/// end the running job is finished, pending ones are not begun, and nothing comes back any more. Called from the event
+/// loop's thread only.
 #pragma once
 
 #include <asio/io_context.hpp>
--- a/src/durable_files/files.hpp
+++ b/src/durable_files/files.hpp
@@ -1,8 +1,8 @@
-// The file layer: the few calls that what must last is written by, so that tests can put a disk in its place that
-// fails, tears and forgets (emulator/faulty_files.hpp). It decides nothing and owns no format.
-//
-// What holds after a crash: what was written before a sync() of that file came back true, and names made, replaced or
-// removed before a syncFolder() came back true. Anything else may be there, be missing, or be there in part.
+/// The file operations that durable state is written by, so that tests can put a file system in their place that fails,
+/// tears and forgets (emulator/faulty_files.hpp). Decides nothing and owns no format.
+///
+/// What holds after a crash: what was written before a sync() of that file returned true, and names made, replaced or
+/// removed before a syncFolder() returned true. Anything else may be there, be missing, or be there in part.
 #pragma once
 
 #include <optional>
--- a/src/gossip/datagram.hpp
+++ b/src/gossip/datagram.hpp
@@ -1,10 +1,10 @@
-// What every datagram between gatherers begins with, and the check of what comes in. No socket here.
-//
-//     bytes  0-1  "bg"    2  version    3  room    4-7  checksum (xxHash, big-endian) over the room and all that follows
-//     then   [hash of the group's name, sender's name, its life, its group's number] and the room's own, MessagePack
-//
-// What does not fit is dropped and counted by its reason; it costs nothing else. The checksum finds damage, not
-// forgery: who can send from a peer's address is trusted, as the platform's network is.
+/// The header of every datagram between gatherers, and the check of what comes in. No socket here.
+///
+///     bytes  0-1  "bg"    2  version    3  channel    4-7  checksum (xxHash, big-endian) over the channel and all that follows
+///     then   [hash of the group's name, sender's name, its process incarnation, its group's number], the message, MessagePack
+///
+/// What does not fit is dropped and counted by its reason. The checksum finds damage, not forgery: who can send from a
+/// peer's address is trusted, as the platform's network is.
 #pragma once
 
 #include <cstdint>
--- a/src/gossip/membership.hpp
+++ b/src/gossip/membership.hpp
@@ -1,21 +1,21 @@
-// Who of a group's members is there. A state machine: (now, event) in, messages and changes out; no I/O, clock, socket,
-// thread; its random numbers come from a seed. After SWIM (probes by way of others, rumours that ride on them) and
-// Lifeguard (who is slow itself doubts itself first). The members' names are known from the configuration; what is learnt
-// is their state. Nothing that must be safe rests on it: it is for people, for choosing whom to ask, for hints.
-//
-// | state of another | it answers, or is heard | probe fails       | suspicion ends | rumour, newer incarnation | it says it leaves |
-// | unknown          | alive                   | stays             | -              | as told                   | left              |
-// | alive            | -                       | suspect           | -              | as told                   | left              |
-// | suspect          | -  (it must refute)     | confirmed once    | dead           | as told                   | left              |
-// | dead, left       | told of it, so that it  | (looked at rarely)| -              | as told                   | -                 |
-// |                  | comes in anew           |                   |                |                           |                   |
-//
-// An incarnation is a number of the member's own that only it raises, to refute what is said of it; one that comes back
-// with nothing begins at 1, is told what is said of its name, and goes above it. Of two words about one member the higher
-// incarnation holds; at the same one left > dead > suspect > alive. That is a join: order, repeats and loss don't matter.
-//
-// Cost: one probe a period, to one member in turn; three askings for one that does not answer; answers. Each carries the
-// sender's own incarnation and as many rumours as fit. So datagrams a second are bounded by a constant, whatever the group's size.
+/// Which members of a group are alive. A state machine: (now, event) in, messages and changes out; no I/O, clock, socket or
+/// thread; random numbers come from a seed. After SWIM (direct and indirect probes, suspicion, dissemination by piggyback)
+/// and Lifeguard (local health awareness: a slow member doubts itself first). The members' names come from the
+/// configuration; only their state is learnt. Nothing that must be safe rests on it: it is for people and for hints.
+///
+/// | state of a peer | it answers, or is heard    | probe fails        | suspicion times out | rumour, newer incarnation | it leaves |
+/// | --------------- | -------------------------- | ------------------ | ------------------- | ------------------------- | --------- |
+/// | unknown         | alive                      | stays              | -                   | as in the rumour          | left      |
+/// | alive           | -                          | suspect            | -                   | as in the rumour          | left      |
+/// | suspect         | - (it must refute)         | confirmed once     | dead                | as in the rumour          | left      |
+/// | dead, left      | is informed, and refutes   | probed more rarely | -                   | as in the rumour          | -         |
+///
+/// An incarnation number is raised by its member alone, to refute a rumour (SWIM, 4.2); a member that starts without state
+/// begins at 1, hears the rumour about its name, and goes above it. Of two rumours about a member the higher incarnation
+/// number wins; at the same one left > dead > suspect > alive. That is a join: order, repeats and loss don't matter.
+///
+/// Cost: one probe a period, to one member in turn; indirect probes for one that does not answer; replies. Each carries the
+/// sender's own rumour and as many as fit. So datagrams a second are bounded by a constant, whatever the group's size.
 #pragma once
 
 #include <cstdint>
--- a/src/health_check/host_prober.hpp
+++ b/src/health_check/host_prober.hpp
@@ -1,20 +1,20 @@
-// One prober for track hosts that all avoid: the holder of a duty looks at a dead host, the others take its word for a
-// while in place of looking themselves, each anew. A state machine: (now, event) in, messages out; no I/O, clock, socket.
-// It decides about looks alone. Whether a host is used is the module's to judge (coordinator::Coordinator), by each look's end
-// as ever; here the end of some looks is another's word, which is never more than `word` old.
-//
-// | a look is wanted, and       | done                                                                          |
-// | nobody else has the duty    | one looks oneself, as without it                                              |
-// | no word, or an old one      | one looks oneself, and asks the holder                                        |
-// | the word is: it is there    | one looks oneself, at once: the own look decides                              |
-// | the word is: it is away     | taken for the look's end; asked anew once half its time is over; but one look |
-// |                             | in each `own` is one's own, whatever the word                                 |
-//
-// What a holder that lies or errs can do: keep others from seeing that a host is back for `own` at the most, and it can
-// make no host that answers look dead, since only hosts that one avoids already are looked at. A holder that is stopped,
-// killed or cut off: its last word ends after `word`, and all look themselves.
-//
-// A holder says only what it saw itself, by looks that its own module wanted; it looks at nothing for others.
+/// One prober for unreachable track hosts: the holder of a singleton role probes a dead host, the other members use its
+/// report for a while in place of probing themselves. A state machine: (now, event) in, messages out; no I/O, clock, socket.
+/// It decides about health checks alone. Whether a host is used is coordinator::Coordinator's to judge, by each check's
+/// result; here the result of some is another member's report, never older than `reportTtl`.
+///
+/// | a probe is wanted, and       | done                                                                           |
+/// | ---------------------------- | ------------------------------------------------------------------------------ |
+/// | nobody else holds the role   | probes itself                                                                  |
+/// | no report, or an old one     | probes itself, and queries the holder                                          |
+/// | the report says reachable    | probes itself at once: its own result decides                                  |
+/// | the report says unreachable  | taken for the result; queried again after half its time; but one probe in each |
+/// |                              | `ownProbeInterval` is its own, whatever the report                             |
+///
+/// A holder that lies or errs can keep others from seeing a recovered host for `ownProbeInterval` at most; it can make no
+/// answering host look dead, since only hosts already avoided are probed here. The last report of a holder that stopped
+/// or is partitioned ends after `reportTtl`, and all probe themselves. A holder reports only its own probes' results, and
+/// probes nothing for others.
 #pragma once
 
 #include <cstdint>
--- a/src/lease_sessions/lease_client.hpp
+++ b/src/lease_sessions/lease_client.hpp
@@ -1,11 +1,12 @@
-// A member's own side of duties: keeps its session alive, knows what it holds, and says before each act whether it
-// may still act. A state machine: (now, event) in, messages out. What it says rests on its own clock alone: an act
-// is allowed until ttl * (1 - drift) after the newest renewal that was confirmed was SENT.
-//
-// | session  | answer yes            | gone                     | its time is up           | leave()           | resume()      |
-// | none     | open                  | asks anew                | -                        | asks no more      | asks again    |
-// | open     | prolonged             | none: drops all, asks    | silent: drops all, asks  | closing: drops all| -             |
-// | closing  | -                     | none                     | none                     | -                 | asks once none|
+/// A member's own side of leases: keeps its session alive, knows which leases it holds, and says before each act whether
+/// it may still act (Gray and Cheriton, 1989). A state machine: (now, event) in, messages out; not thread-safe. It rests
+/// on its own clock alone: an act is allowed until ttl * (1 - drift) after the newest confirmed renewal was SENT.
+///
+/// | session | reply done | noSession             | its time is up               | endSession()       | resume()           |
+/// | ------- | ---------- | --------------------- | ---------------------------- | ------------------ | ------------------ |
+/// | none    | open       | asks again            | -                            | asks no more       | asks again         |
+/// | open    | prolonged  | none: drops all, asks | none: drops all, asks        | closing: drops all | -                  |
+/// | closing | -          | none                  | none                         | -                  | asks once none     |
 #pragma once
 
 #include <deque>
--- a/src/lease_sessions/lease_manager.hpp
+++ b/src/lease_sessions/lease_manager.hpp
@@ -1,18 +1,18 @@
-// The leader's side of duties: answers askers, judges by its own clock when a session has run out, grants free
-// duties. A state machine over a Ledger that it is handed: (now, event) in, messages out. It acts only while
-// the ledger is ready to lead; a new leader gives every session its full time anew from its election on.
-//
-// Why nobody else begins while a holder acts. The holder counts `ttl` from when it SENT a renewal, by a clock that
-// may be slow by `drift`; it stops after ttl * (1 - drift) of its own time. The leader confirms a renewal only once a
-// majority answered a sign of life sent after the renewal CAME, so no other leader was elected before it; it counts
-// ttl * (1 + drift) + margin from when the renewal came, or from its own election if that is later, and only then
-// settles the session's end. Both ways the end comes later, whatever is lost, late or repeated. What a holder that
-// stood still does too late is turned away by the fencing number where it is carried out.
-//
-// Who gets a free duty: the session with the fewest duties; among equals by a hash of duty and member, so that duties
-// spread alike everywhere. Who held that duty last gets it only if nobody else is in session. A session gets nothing
-// in its first `settle`, and a duty that was lost waits for `settle`, so that a flapping link makes no duty flap; one
-// that was given up in order is granted at once.
+/// The leader's side of leases: answers clients, judges by its own clock when a session has expired, grants free roles.
+/// A state machine over RaftConsensus, which it is handed: (now, event) in, messages out; not thread-safe. It acts only
+/// while the leader is ready; a new leader extends every session by its full time from its election on.
+///
+/// Why nobody else begins while a lease holder acts (Gray and Cheriton, 1989). The holder counts `ttl` from when it SENT a
+/// renewal, by a clock that may be slow by `drift`; it stops after ttl * (1 - drift) of its own time. The leader confirms
+/// a renewal only once a majority answered a heartbeat sent after the renewal was RECEIVED, so no other leader was elected
+/// before it; it counts ttl * (1 + drift) + margin from that receipt, or from its own election if that is later, and only
+/// then commits the session's end. So the end comes later at the leader, whatever is lost, late or repeated. What a paused
+/// holder does too late is rejected by the fencing token where the act is done (Chubby's sequencer, 2006).
+///
+/// A free role goes to the session with the fewest leases; among equals by a hash of role and member, so that roles spread
+/// alike everywhere. The last holder gets it only if nobody else is in session. A session gets nothing in its first
+/// `stabilization`, and a role whose session expired waits for `stabilization`, so that a flapping link makes no lease
+/// flap; a released one is granted at once.
 #pragma once
 
 #include <map>
--- a/src/lease_sessions/messages.hpp
+++ b/src/lease_sessions/messages.hpp
@@ -1,4 +1,4 @@
-// What holders of duties and the leader say to each other. Values only.
+/// The messages between lease clients and the lease manager. Values only; cluster/wire.hpp has their form on the wire.
 #pragma once
 
 #include <string>
--- a/src/lease_sessions/session_table.hpp
+++ b/src/lease_sessions/session_table.hpp
@@ -1,13 +1,15 @@
-// The duties of a group as the ledger settles them: who is in session, which duties there are, who holds each and
-// under which fencing number. A raft::Machine: the same entries give the same table everywhere; no clock, no
-// random number. Whether a session still runs is no part of it: that is time, and the leader's Keeper judges it.
-//
-// A session is one life of a member as the group knows it; its number is the index of the entry that opened it. All
-// that a member holds, it holds under its session: the session's end frees it.
-//
-// | state of a duty | grant                  | give up, by the holder | hand on, by the holder | session ends |
-// | free            | held, fence + 1        | no                     | no                     | -            |
-// | held            | no                     | free                   | held by the other, + 1 | free         |
+/// The singleton roles and sessions of a group as the Raft log commits them: who is in session, which roles there are, who
+/// holds the lease of each and under which fencing token. A raft::StateMachine: the same entries give the same table
+/// everywhere; no clock, no random number. Whether a session has expired is no part of it: the leader's LeaseManager
+/// judges that by time.
+///
+/// A session is one process incarnation of a member; its number is the index of the entry that opened it. All leases of a
+/// member belong to its session: the session's end frees them.
+///
+/// | role  | grant           | release, by the holder | transfer, by the holder  | session ends |
+/// | ----- | --------------- | ---------------------- | ------------------------ | ------------ |
+/// | free  | held, token + 1 | rejected               | rejected                 | -            |
+/// | held  | rejected        | free                   | held by the other, + 1   | free         |
 #pragma once
 
 #include <cstdint>
