--- a/src/raft/messages.hpp
+++ b/src/raft/messages.hpp
@@ -1,4 +1,5 @@
-// What the members of a group say to each other about the ledger. Values only: no wire (peers/ carries them).
+/// The messages between the members of a group about the Raft log. Values only; cluster/wire.hpp has their form on the
+/// wire, in which the order of the fields and the enumerators' numbers are fixed.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 namespace beechpoint::raft {
 
 using Index = std::uint64_t;               // of an entry, from 1; 0: before the first
-using Term = std::uint64_t;                // a leader's time in office, from 1
+using Term = std::uint64_t;                // of one leader at most, from 1 (Raft, 5.1)
 using Digest = std::uint64_t;              // over all entries up to one, in order
 using ProcessIncarnation = std::uint64_t;  // one start of a process; never used twice
 
@@ -19,109 +20,110 @@
 inline constexpr std::size_t kMaxMemberNameBytes = 19;   // bytes of a member's name
 inline constexpr std::size_t kSnapshotChunkBytes = 130;  // bytes of a snapshot in one message
 
-enum class Kind : std::uint8_t {
-    begin,    // a leader's first; means nothing
+enum class EntryKind : std::uint8_t {
+    noOp,     // a leader's first entry; changes nothing
     command,  // for the machine
     voters    // the new set, names with a space between; in force from its appending on
 };
 
 struct Entry {
     Term term = 0;
-    Kind kind = Kind::begin;
+    EntryKind kind = EntryKind::noOp;
     std::string data;
     bool operator==(const Entry&) const = default;
 };
 
-// Would you vote for me in this term? Who says yes remembers the term, so that a majority knows of it before
-// anybody votes in it.
+/// Raft thesis, 9.6: would the receiver vote for the sender in this term? Who grants it remembers the term, so that a
+/// majority knows of it before anybody votes in it.
 struct PreVote {
     Term term = 0;
-    Index last = 0;
-    Term lastTerm = 0;
+    Index lastLogIndex = 0;
+    Term lastLogTerm = 0;
 };
 struct PreVoteReply {
     Term term = 0;  // as asked
-    bool yes = false;
-    Term known = 0;  // the newest that the answerer knows
+    bool voteGranted = false;
+    Term newestTerm = 0;  // the newest that the answerer knows
 };
-struct VoteRequest {
+struct RequestVote {
     Term term = 0;
-    Index last = 0;
-    Term lastTerm = 0;
+    Index lastLogIndex = 0;
+    Term lastLogTerm = 0;
 };
-struct VoteReply {
+struct RequestVoteReply {
     Term term = 0;
-    bool yes = false;
+    bool voteGranted = false;
 };
-struct Append {  // also the sign of life, with no entry
+struct AppendEntries {  // the heartbeat too, with no entry (Raft, 5.2, 5.3)
     Term term = 0;
-    Index prev = 0;
-    Digest prevDigest = 0;
-    Index commit = 0;
-    std::uint64_t round = 0;  // of signs of life; rises within a term
-    bool holds = false;
+    Index prevLogIndex = 0;
+    Digest prevLogDigest = 0;
+    Index leaderCommit = 0;
+    std::uint64_t heartbeatRound = 0;  // rises within a term
+    bool hasEntry = false;
     Entry entry;
 };
-struct AppendReply {
+struct AppendEntriesReply {
     Term term = 0;
-    bool ok = false;
-    Index match = 0;  // ok: equal up to here; else: try from here on
-    std::uint64_t round = 0;
-    bool counts = false;  // it is a voter with its memory whole
+    bool success = false;
+    Index matchIndex = 0;  // success: equal up to here; else: retry from here on
+    std::uint64_t heartbeatRound = 0;
+    bool canVote = false;  // it is a voter that has its state
 };
-// A voter that lost its memory asks how things stand; the nonce makes old answers worthless.
-struct StateRequest {
+/// A voter without state asks for the others' status (VR Revisited, 4.3); the nonce makes old responses worthless.
+struct RecoveryRequest {
     std::uint64_t nonce = 0;
 };
-enum class Standing : std::uint8_t { empty, recovering, normal };
-struct StateReply {
+enum class RecoveryStatus : std::uint8_t { empty, recovering, normal };
+struct RecoveryResponse {
     std::uint64_t nonce = 0;
-    Standing standing = Standing::empty;
+    RecoveryStatus status = RecoveryStatus::empty;
     Term term = 0;
-    Term promised = 0;
-    bool leads = false;
-    Index last = 0;
-    std::uint64_t number = 0;  // of the group; 0: not founded
-    bool voter = false;        // the asker is one, as the answerer has it
-};
-// The group begins, by an operator's word: only at that very life of an empty member.
-struct Found {
-    std::uint64_t number = 0;
+    Term promisedTerm = 0;
+    bool isLeader = false;
+    Index lastLogIndex = 0;
+    std::uint64_t groupNumber = 0;  // of the group; 0: not founded
+    bool askerIsVoter = false;      // the asker is one, as the answerer has it
+};
+/// The group is founded, as an operator asked: valid only at that process incarnation of an empty member.
+struct FoundGroup {
+    std::uint64_t groupNumber = 0;
     ProcessIncarnation processIncarnation = 0;
 };
 struct SnapshotChunk {  // of a snapshot
     Term term = 0;
-    Index index = 0;  // that it stands for
-    Term indexTerm = 0;
-    Digest digest = 0;
-    std::uint64_t sum = 0;  // hash of the whole
-    std::uint32_t offset = 0, total = 0;
+    Index lastIncludedIndex = 0;  // that it stands for
+    Term lastIncludedTerm = 0;
+    Digest lastIncludedDigest = 0;
+    std::uint64_t checksum = 0;  // hash of the full snapshot
+    std::uint32_t offset = 0, totalBytes = 0;
     std::string bytes;
 };
 struct SnapshotChunkReply {
     Term term = 0;
-    Index index = 0;
-    std::uint32_t offset = 0;  // wanted next
-};
-struct Pull {  // a learner's question for what comes after
-    Index last = 0;
-    Digest digest = 0;
-};
-struct Tail {  // its answer: settled entries only
-    Index prev = 0;
-    Digest prevDigest = 0;
-    Index commit = 0;
-    bool holds = false;
+    Index lastIncludedIndex = 0;
+    std::uint32_t nextOffset = 0;  // requested next
+};
+struct CatchUpRequest {  // from a learner, for the entries after its own
+    Index commitIndex = 0;
+    Digest commitDigest = 0;
+};
+struct CatchUpReply {  // its reply: committed entries only
+    Index prevLogIndex = 0;
+    Digest prevLogDigest = 0;
+    Index commitIndex = 0;
+    bool hasEntry = false;
     Entry entry;
 };
 
-using Body = std::variant<PreVote, PreVoteReply, VoteRequest, VoteReply, Append, AppendReply, StateRequest,
-                          StateReply, Found, SnapshotChunk, SnapshotChunkReply, Pull, Tail>;
+using Body = std::variant<PreVote, PreVoteReply, RequestVote, RequestVoteReply, AppendEntries,
+                          AppendEntriesReply, RecoveryRequest, RecoveryResponse, FoundGroup, SnapshotChunk,
+                          SnapshotChunkReply, CatchUpRequest, CatchUpReply>;
 
 struct Message {
     std::string from, to;
     ProcessIncarnation processIncarnation = 0;  // of the sender
-    std::uint64_t number = 0;                   // of the sender's group; 0: not founded
+    std::uint64_t groupNumber = 0;              // of the sender's group; 0: not founded
     Body body;
 };
 
--- a/src/raft/state_folder.hpp
+++ b/src/raft/state_folder.hpp
@@ -1,9 +1,9 @@
-// Where a folder lasts: a ledger's journal on the disk. Two files a member, the whole and its log; the whole is written
-// beside, synced and renamed, so there is always one that is complete. Called from the disk's thread (group/) or, in tests,
-// directly. Owns the names of its files; knows no ledger's meaning.
-//
-// After a write that failed nothing more is kept: what is on the disk is not known any more, and whoever answers by it
-// would break its word. The caller has to stop taking part in the group; the next start reads what is there.
+/// A member's persistent state on the disk: two files, the full state and a log of records after it. The full state is
+/// written beside the old one, synced and renamed, so one complete file is always there. Owns the names of its files;
+/// knows nothing of Raft. Called from the disk's thread (cluster/) or, in tests, directly; not thread-safe.
+///
+/// After a failed write nothing more is persisted: what is on the disk is unknown, and acknowledging by it could break a
+/// promise. The caller has to leave the group; the next start reads what is there.
 #pragma once
 
 #include <string>
@@ -13,26 +13,26 @@
 
 namespace beechpoint::raft {
 
-class Folder {
+class StateFolder {
 public:
     // `folder` must be there. Names are made safe for the file system.
-    Folder(durable_files::Files& files, std::string folder, std::string group, std::string self);
+    StateFolder(durable_files::Files& files, std::string folder, std::string group, std::string self);
 
     // What was kept; `note` says in one line what was found, empty: nothing at all. A damaged file is put aside under one name
     // (the newest damage replaces the one before), so that staff can look at it.
-    Read load(std::string& note);
+    ReadState load(std::string& note);
     // Durable once it returns true.
-    bool keep(const Write& write);
+    bool persist(const StateWrite& write);
     bool failed() const { return failed_; }
 
 private:
     std::string logName(std::uint64_t generation) const;
-    bool put(const Write& write);
+    bool writeDurably(const StateWrite& write);
 
     durable_files::Files& files_;
     std::string folder_, group_, self_, path_;
     std::uint64_t generation_ = 0;  // whose log is in use
-    bool made_ = false;             // that log is there, by name
+    bool logExists_ = false;        // that log is there, by name
     bool failed_ = false;
 };
 
