--- a/src/dispatch/admission.hpp
+++ b/src/dispatch/admission.hpp
@@ -11,7 +11,7 @@
     Millis wait = 0;        // until it begins to be worked on: without the reading of its own prompt, so that
                             // large prompts are refused no more often than small ones
     double takenShare = 0;  // of the places of all hosts that it may go to, over all gateways; 1: they say so
-    Millis aim = 0;
+    Millis latencyTarget = 0;
     Millis deadline = 0;  // left
     int priorityClass = 0;
 };
@@ -27,6 +27,6 @@
 Millis retryAfter(Millis excess, Millis deadlineLeft);
 
 // For how long a request may wait for a host before it is given up.
-Millis patience(Millis aim, Millis deadlineLeft);
+Millis patience(Millis latencyTarget, Millis deadlineLeft);
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/arrival.cpp
+++ b/src/dispatch/arrival.cpp
@@ -31,7 +31,7 @@
     Request request;
     request.asked = arrived;
     request.arrivedAt = now;
-    request.aimAt = now + arrived.aim;
+    request.latencyTargetAt = now + arrived.latencyTarget;
     request.deadlineAt = now + arrived.deadline;
     request.service = drawService(arrived, draw);
     request.shared = sharedPrefix(arrived.prompt);
@@ -46,8 +46,8 @@
 
 Outlook outlookOf(const Request& request, const HostTable& hosts, const std::vector<int>& allowed,
                   const RouteRecord& route, const ServiceState& service, Millis now) {
-    Outlook result{std::numeric_limits<double>::infinity(), 0, request.asked.aim, request.asked.deadline,
-                   request.asked.priorityClass};
+    Outlook result{std::numeric_limits<double>::infinity(), 0, request.asked.latencyTarget,
+                   request.asked.deadline, request.asked.priorityClass};
     double taken = 0, places = 0;
     for (const int i : allowed) {
         const HostSlot& slot = hosts.at(i);
--- a/src/dispatch/attempt_log.cpp
+++ b/src/dispatch/attempt_log.cpp
@@ -41,7 +41,7 @@
     Sent sent = std::move(out->second);
     sent_.erase(out);
     if (ended.warmupLeft > 0)
-        health_.warming(WarmupSeen{hosts_.at(sent.host).host.instanceId, ended.warmupLeft}, now);
+        health_.warming(WarmupReported{hosts_.at(sent.host).host.instanceId, ended.warmupLeft}, now);
     learn(sent, ended.outcome, request && request->attempt(ended.attempt).unusable, now);
     return true;
 }
@@ -62,7 +62,7 @@
         case Outcome::cancelled:
             if (unusable) Predictor::learnEnd(slot, route.id, false, now);
             break;
-        case Outcome::notExecuted:
+        case Outcome::rejected:
         case Outcome::noCapacity:
             health_.full(slot, route, now);
             break;
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -27,9 +27,10 @@
 
 namespace {
 
-constexpr double kOverdue = 2;       // no copy before this many expected times
-constexpr double kLastCall = 3;      // nor while so many times the other host's t are left before the aim
-constexpr double kCalmShare = 0.25;  // mean time over aim above which everything is slow: no copies
+constexpr double kOverdue = 2;  // no copy before this many expected times
+constexpr double kLastCall =
+    3;  // nor while so many times the other host's t are left before the latencyTarget
+constexpr double kCalmShare = 0.25;  // mean time over latencyTarget above which everything is slow: no copies
 constexpr double kSilent = 3;        // but where a host has been silent for so many mean times
 constexpr int kDialsMore = 4;        // attempts that did not reach a host, beyond the hosts allowed
 constexpr Millis kRetryPlaces = 25;  // between looks for a host for what waits
@@ -76,9 +77,9 @@
         actions_.end();
     }
 
-    std::size_t live() const { return requests_.size(); }
-    std::size_t attemptsOut() const { return attempts_.size(); }
-    std::size_t hostsKept() const { return hosts_.size(); }
+    std::size_t requestCount() const { return requests_.size(); }
+    std::size_t attemptsInFlight() const { return attempts_.size(); }
+    std::size_t hostSlotCount() const { return hosts_.size(); }
 
 private:
     template <class T>
@@ -90,7 +91,7 @@
     ServiceState& serviceOf(const Request& request) { return services_.use(request.service, now_); }
     RouteRecord& routeOf(const Request& request) {
         RouteRecord& record = routes_.use(request.asked.route, now_);
-        record.aim = std::max(1.0, request.asked.aim);
+        record.latencyTarget = std::max(1.0, request.asked.latencyTarget);
         return record;
     }
     void prune() {
@@ -122,17 +123,17 @@
     void on(const RequestArrived& arrived) {
         if (requests_.contains(arrived.id)) return;
         Request request = newRequest(arrived, random_(), now_);
-        if (request.service.empty() || arrived.deadline <= 0) return act(Refuse{arrived.id, 503, 0});
+        if (request.service.empty() || arrived.deadline <= 0) return act(Reject{arrived.id, 503, 0});
         serviceOf(request).budget.requested(now_);
         if (request.idempotent()) copies_.repeatableArrived(now_);
-        if (requests_.size() >= settings_.mostRequests) {
+        if (requests_.size() >= settings_.maxRequests) {
             say("refused full", fmt::format("{} requests are held", requests_.size()));
-            return act(Refuse{arrived.id, 503, retryAfter(0, arrived.deadline)});
+            return act(Reject{arrived.id, 503, retryAfter(0, arrived.deadline)});
         }
         const Verdict verdict = on(Mechanism::admission) ? admit(outlook(request)) : Verdict{};
         if (verdict.refused) {
             say("refused late", fmt::format("route {}: every host is busy", arrived.route));
-            return act(Refuse{arrived.id, 503, verdict.retryAfter});
+            return act(Reject{arrived.id, 503, verdict.retryAfter});
         }
         Request& held = requests_.emplace(arrived.id, std::move(request)).first->second;
         firstSend(held);
@@ -183,7 +184,7 @@
     bool copiesAllowed(const Request& request) const { return request.idempotent() && !request.open; }
     // All slow alike is no reason for copies: they would feed the overload.
     bool calm(const Request& request) {
-        return routeOf(request).timeS(now_) * 1000 <= kCalmShare * request.asked.aim;
+        return routeOf(request).timeS(now_) * 1000 <= kCalmShare * request.asked.latencyTarget;
     }
     // Whether it may be sent (again) without a request running twice that must not.
     bool mayTryAgain(const Request& request) const {
@@ -251,7 +252,7 @@
         if (choice.empty() || std::max(age, silence) - choice.front().t < record.gainTargetS()) return;
         const Millis other = 1000 * choice.front().t;
         if (now_ + other / 2 > request.deadlineAt) return;
-        if (now_ + kLastCall * other < request.aimAt) return;
+        if (now_ + kLastCall * other < request.latencyTargetAt) return;
         send(request, choice.front().server, choice, true);
     }
 
@@ -260,7 +261,7 @@
     void wait(Request& request) {
         if (request.waiting) return;
         request.waiting = true;
-        request.giveUpAt = now_ + patience(request.asked.aim, request.deadlineAt - now_);
+        request.giveUpAt = now_ + patience(request.asked.latencyTarget, request.deadlineAt - now_);
     }
     void giveUpUnlessOut(Request& request) {
         if (request.outCount() == 0) giveUp(request);
@@ -268,9 +269,9 @@
     void giveUp(Request& request) {
         const RequestId id = request.asked.id;
         if (request.open) {
-            act(BreakOff{id});
+            act(AbortResponse{id});
         } else if (!request.mayHaveRun()) {  // a refusal promises that, also where a repeat would do no harm
-            act(Refuse{id, 503, retryAfter(0, request.deadlineAt - now_)});
+            act(Reject{id, 503, retryAfter(0, request.deadlineAt - now_)});
         } else {
             act(Fail{id, 502});
         }
@@ -278,7 +279,7 @@
     }
     void timeUp(Request& request) {
         const RequestId id = request.asked.id;
-        request.open ? act(BreakOff{id}) : act(Fail{id, 504});
+        request.open ? act(AbortResponse{id}) : act(Fail{id, 504});
         end(request);
     }
     void cancelOthers(Request& request, int kept) {
@@ -314,14 +315,14 @@
         Request* request = find(head.id, head.attempt);
         if (!request) return;
         Attempt& attempt = request->attempt(head.attempt);
-        if (!attempt.out || attempt.cancelled || head.notExecuted) return;
+        if (!attempt.out || attempt.cancelled || head.rejected) return;
         attempt.status = head.status;
         const bool success = head.status >= 200 && head.status < 300;
         const bool failure = head.status >= 500 && request->idempotent();
         attempt.unusable =
             (success && !head.sealed) || promises(head.status) || failure || (request->open && !success);
         if (attempt.unusable || request->open) return;  // a resumed one goes on with its first event
-        const bool held = request->idempotent() && head.bodyBytes && *head.bodyBytes <= kHeldBytes;
+        const bool held = request->idempotent() && head.bodyBytes && *head.bodyBytes <= kMaxBufferedBytes;
         if ((request->streaming() && success) || held) return;
         relay(*request, head.attempt);
         reschedule(head.id);
@@ -342,7 +343,7 @@
         attempt.out = false;
         attempt.mayHaveArrived =
             ended.outcome != Outcome::notConnected && ended.outcome != Outcome::noCapacity;
-        attempt.mayHaveRun = attempt.mayHaveArrived && ended.outcome != Outcome::notExecuted;
+        attempt.mayHaveRun = attempt.mayHaveArrived && ended.outcome != Outcome::rejected;
         if (!ended.lastEventId.empty() && request->relayed == ended.attempt)
             request->lastEventId = ended.lastEventId;
         conclude(*request, ended);
@@ -366,8 +367,8 @@
         }
         failover(request, attempt.host);
     }
-    void on(const ProbeEnded& ended) { health_.probeEnded(ended, now_); }
-    void on(const WarmupSeen& seen) { health_.warming(seen, now_); }
+    void on(const HealthCheckEnded& ended) { health_.probeEnded(ended, now_); }
+    void on(const WarmupReported& seen) { health_.warming(seen, now_); }
 
     // ---- the rest of what is told
 
@@ -375,18 +376,18 @@
         const auto found = requests_.find(gone.id);
         if (found != requests_.end()) end(found->second);
     }
-    void on(const Hosts& list) {
+    void on(const HostList& list) {
         hosts_.update(list, now_);
         shared_.hostsChanged();
         lookAtWaiting();
     }
-    void on(const Evacuated& zones) {
+    void on(const EvacuatedZones& zones) {
         hosts_.evacuate(zones, now_);
         lookAtWaiting();
     }
-    void on(const Services& list) { services_.configure(list, now_); }
+    void on(const ServiceList& list) { services_.configure(list, now_); }
     void on(const Fleet& fleet) { services_.share(fleet, now_); }
-    void on(const Closing&) {
+    void on(const ShutDown&) {
         std::vector<RequestId> ids;
         for (const auto& [id, request] : requests_) ids.push_back(id);
         std::sort(ids.begin(), ids.end());
@@ -498,8 +499,8 @@
 void Dispatcher::handle(Millis now, const Event& event, std::vector<Action>& out) {
     impl_->handle(now, event, out);
 }
-std::size_t Dispatcher::live() const { return impl_->live(); }
-std::size_t Dispatcher::attemptsOut() const { return impl_->attemptsOut(); }
-std::size_t Dispatcher::hostsKept() const { return impl_->hostsKept(); }
+std::size_t Dispatcher::requestCount() const { return impl_->requestCount(); }
+std::size_t Dispatcher::attemptsInFlight() const { return impl_->attemptsInFlight(); }
+std::size_t Dispatcher::hostSlotCount() const { return impl_->hostSlotCount(); }
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/dispatcher.hpp
+++ b/src/dispatch/dispatcher.hpp
@@ -7,7 +7,7 @@
 //   waiting   no host may take it now      -> sent; refused after a quarter of its aim
 //   sent      attempts are out             -> relayed; next host; refused (never ran); failed (502, 504)
 //   relayed   an answer goes to the client -> ended with it; resumed elsewhere; broken off
-// A final action (Refuse, Fail, BreakOff) or the end of a relayed answer ends the request; attempts still out are
+// A final action (Reject, Fail, AbortResponse) or the end of a relayed answer ends the request; attempts still out are
 // cancelled, and their ends only teach. Events about requests that are over are normal.
 #pragma once
 
@@ -39,8 +39,8 @@
     double warmupOvershoot = 1.5;
     double warmupSlack = 0;
     Prices prices;
-    Millis crossRegionDelay = 24;      // there and back
-    std::size_t mostRequests = 20000;  // held at once; beyond it requests are refused
+    Millis crossRegionDelay = 24;     // there and back
+    std::size_t maxRequests = 20000;  // held at once; beyond it requests are refused
     Mechanisms mechanisms;
 };
 
@@ -54,9 +54,9 @@
     // Appends what to do to `out`, in order. Times never go back.
     void handle(Millis now, const Event& event, std::vector<Action>& out);
 
-    std::size_t live() const;         // requests held
-    std::size_t attemptsOut() const;  // attempts whose end is owed
-    std::size_t hostsKept() const;    // places of the host table in use or spare
+    std::size_t requestCount() const;      // requests held
+    std::size_t attemptsInFlight() const;  // attempts whose end is owed
+    std::size_t hostSlotCount() const;     // places of the host table in use or spare
 
 private:
     class Impl;
--- a/src/dispatch/host_health.cpp
+++ b/src/dispatch/host_health.cpp
@@ -38,7 +38,7 @@
     slot.cut = slot.down = false;
 }
 
-void HostHealth::warming(const WarmupSeen& seen, Millis now) {
+void HostHealth::warming(const WarmupReported& seen, Millis now) {
     const int index = hosts_.find(seen.instanceId);
     if (index < 0 || seen.left <= 0) return;
     HostSlot& slot = hosts_.at(index);
@@ -48,7 +48,7 @@
 void HostHealth::probe(HostSlot& slot, Millis now) {
     slot.probing = true;
     slot.probeAt = now + kProbeOwed;
-    actions_.act(Probe{slot.host.instanceId, slot.host.address, slot.host.service});
+    actions_.act(CheckHealth{slot.host.instanceId, slot.host.address, slot.host.service});
 }
 
 void HostHealth::probeSilent(HostSlot& slot, Millis now) {
@@ -65,12 +65,12 @@
     }
 }
 
-void HostHealth::probeEnded(const ProbeEnded& ended, Millis now) {
+void HostHealth::probeEnded(const HealthCheckEnded& ended, Millis now) {
     const int index = hosts_.find(ended.instanceId);
     if (index < 0) return;
     HostSlot& slot = hosts_.at(index);
     slot.probing = false;
-    if (ended.warmupLeft > 0) warming(WarmupSeen{ended.instanceId, ended.warmupLeft}, now);
+    if (ended.warmupLeft > 0) warming(WarmupReported{ended.instanceId, ended.warmupLeft}, now);
     if (ended.healthy) return reached(slot, now);
     if (ended.answered && !slot.cut) return;  // it lives, and is full or leaving
     cutOff(slot, !ended.answered, now);
--- a/src/dispatch/host_health.hpp
+++ b/src/dispatch/host_health.hpp
@@ -21,8 +21,8 @@
     // `down`: it could not be reached at all, and may start anew.
     void cutOff(HostSlot& slot, bool down, Millis now);
     void reached(HostSlot& slot, Millis now);
-    void warming(const WarmupSeen& seen, Millis now);
-    void probeEnded(const ProbeEnded& ended, Millis now);
+    void warming(const WarmupReported& seen, Millis now);
+    void probeEnded(const HealthCheckEnded& ended, Millis now);
     // Asks after a host that is silent, unless that is under way.
     void probeSilent(HostSlot& slot, Millis now);
     // Asks after all that are cut off, as far as that is due.
--- a/src/dispatch/host_table.cpp
+++ b/src/dispatch/host_table.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void HostTable::update(const Hosts& list, Millis now) {
+void HostTable::update(const HostList& list, Millis now) {
     for (HostSlot& slot : slots_) slot.listed = false;
     for (const Host& host : list.hosts) listHost(host, now);
     byService_.clear();
@@ -36,7 +36,7 @@
     if ((fresh && listedOnce_) || returned) slot.coldSince = now;
 }
 
-void HostTable::evacuate(const Evacuated& zones, Millis now) {
+void HostTable::evacuate(const EvacuatedZones& zones, Millis now) {
     const std::set<std::string> next(zones.zones.begin(), zones.zones.end());
     for (HostSlot& slot : slots_) {
         const bool takenBack = evacuated_.contains(slot.host.zone) && !next.contains(slot.host.zone);
--- a/src/dispatch/host_table.hpp
+++ b/src/dispatch/host_table.hpp
@@ -56,9 +56,9 @@
 class HostTable {
 public:
     // Replaces the list. Hosts that come after the first list count as cold from now.
-    void update(const Hosts& list, Millis now);
+    void update(const HostList& list, Millis now);
     // Replaces the evacuated zones. Hosts of a zone that is taken back count as cold from now.
-    void evacuate(const Evacuated& zones, Millis now);
+    void evacuate(const EvacuatedZones& zones, Millis now);
 
     HostSlot& at(int index) { return slots_[static_cast<std::size_t>(index)]; }
     const HostSlot& at(int index) const { return slots_[static_cast<std::size_t>(index)]; }
--- a/src/dispatch/messages.hpp
+++ b/src/dispatch/messages.hpp
@@ -35,12 +35,12 @@
     std::string route;
     std::vector<WeightedService> services;  // the route's traffic split; one is drawn for each request
     RequestType type = RequestType::nonIdempotent;
-    Millis timeout = 0;     // of the route
-    Millis aim = 0;         // to the answer, or to a stream's first event
-    Millis gapAim = 0;      // longest pause between a stream's events that keeps it in time
-    Millis deadline = 0;    // what is left from now: the smaller one of the client's and the route's
-    int priorityClass = 0;  // 0 is the most urgent
-    int maxAttempts = 1;    // most hosts that this try may be sent to
+    Millis timeout = 0;        // of the route
+    Millis latencyTarget = 0;  // to the answer, or to a stream's first event
+    Millis gapTarget = 0;      // longest pause between a stream's events that keeps it in time
+    Millis deadline = 0;       // what is left from now: the smaller one of the client's and the route's
+    int priorityClass = 0;     // 0 is the most urgent
+    int maxAttempts = 1;       // most hosts that this try may be sent to
     bool resumable = false;
     std::vector<PromptPart> prompt;
     std::uint32_t promptTokens = 0;  // in all; 0: the sum of the parts
@@ -50,12 +50,12 @@
     std::optional<std::vector<std::string>> allowedRegions;
 };
 
-// An attempt's answer has begun and checks so far (id, framing). `notExecuted`: X-Not-Executed or status 421.
+// An attempt's answer has begun and checks so far (id, framing). `rejected`: X-Not-Executed or status 421.
 struct AttemptHead {
     RequestId id = 0;
     int attempt = 0;
     int status = 0;
-    bool notExecuted = false;
+    bool rejected = false;
     bool sealed = true;                      // a 2xx without X-Server-Seal is no success
     std::optional<std::uint64_t> bodyBytes;  // Content-Length, where there is one
 };
@@ -67,15 +67,15 @@
 };
 
 enum class Outcome {
-    served,             // the whole answer came, whatever its status but for notExecuted
+    served,             // the whole answer came, whatever its status but for rejected
     hostError,          // the host answered with a failure of its own (5xx); it ran
-    notExecuted,        // X-Not-Executed or 421: never ran
+    rejected,           // X-Not-Executed or 421: never ran
     notConnected,       // no connection, or nothing of the request was written: never ran
     noCapacity,         // the driver had no connection to give within its limits: never ran
     resetBeforeAnswer,  // sent, then reset or closed before any head: may have run
-    broken,             // the answer began and ended early
+    incomplete,         // the answer began and ended early
     malformed,          // bytes that are no answer
-    foreign,            // an answer with another attempt's id
+    attemptIdMismatch,  // an answer with another attempt's id
     timedOut,           // `within` passed; may have run
     cancelled           // by Cancel; may have run
 };
@@ -108,7 +108,7 @@
 };
 
 // The whole list, each time. A list that could not be read is not told.
-struct Hosts {
+struct HostList {
     std::vector<Host> hosts;
 };
 
@@ -122,12 +122,12 @@
 };
 
 // All services of the configuration in force.
-struct Services {
+struct ServiceList {
     std::vector<Service> services;
 };
 
 // All zones that are evacuated.
-struct Evacuated {
+struct EvacuatedZones {
     std::vector<std::string> zones;
 };
 
@@ -140,13 +140,13 @@
 };
 
 // A host said that it is cold (X-Warmup-Remaining, or a health answer).
-struct WarmupSeen {
+struct WarmupReported {
     std::string instanceId;
     Millis left = 0;
 };
 
-// The end of a Probe: a GET of the service's health path. Healthy only with 200 and this instance's X-Instance-Id.
-struct ProbeEnded {
+// The end of a CheckHealth: a GET of the service's health path. Healthy only with 200 and this instance's X-Instance-Id.
+struct HealthCheckEnded {
     std::string instanceId;
     bool healthy = false;
     Millis warmupLeft = 0;
@@ -174,24 +174,24 @@
 // What other gateways have waiting. `whole`: hosts that are not named have nothing of this source waiting.
 struct PeerLoad {
     std::uint64_t source = 0;
-    bool whole = false;
+    bool full = false;
     std::vector<HostLoad> hosts;
-    Millis lasts = 2500;            // without a newer word the source counts for nothing after so long
+    Millis validFor = 2500;         // without a newer word the source counts for nothing after so long
     std::vector<HostSpeed> speeds;  // measured since its last word
 };
 
 // The process ends: every request gets its final action now, and no host is asked any more.
-struct Closing {};
+struct ShutDown {};
 
 struct Tick {};
 
-using Event =
-    std::variant<RequestArrived, AttemptHead, AttemptFirstByte, AttemptEnded, ClientDisconnected, Hosts,
-                 Services, Evacuated, Fleet, WarmupSeen, ProbeEnded, PeerLoad, Closing, Tick>;
+using Event = std::variant<RequestArrived, AttemptHead, AttemptFirstByte, AttemptEnded, ClientDisconnected,
+                           HostList, ServiceList, EvacuatedZones, Fleet, WarmupReported, HealthCheckEnded,
+                           PeerLoad, ShutDown, Tick>;
 
 // ---- actions
 
-// Sends the request to a host, with X-Target-Instance. What comes of it is kept (head, and body up to kHeldBytes)
+// Sends the request to a host, with X-Target-Instance. What comes of it is kept (head, and body up to kMaxBufferedBytes)
 // until Relay, Cancel or the end.
 struct Send {
     RequestId id = 0;
@@ -222,7 +222,7 @@
 };
 
 // Final: it has not run and never will. `retryAfter` 0: no advice.
-struct Refuse {
+struct Reject {
     RequestId id = 0;
     int status = 503;
     Millis retryAfter = 0;
@@ -235,12 +235,12 @@
 };
 
 // Final: the relayed answer can't go on and is ended so that it looks broken.
-struct BreakOff {
+struct AbortResponse {
     RequestId id = 0;
 };
 
-// Asks a host's health; one ProbeEnded is owed within a second.
-struct Probe {
+// Asks a host's health; one HealthCheckEnded is owed within a second.
+struct CheckHealth {
     std::string instanceId;
     std::string address;
     std::string service;
@@ -262,9 +262,10 @@
     std::string text;
 };
 
-using Action = std::variant<Send, Cancel, Relay, Refuse, Fail, BreakOff, Probe, SetTimer, ReportLoad, Log>;
+using Action =
+    std::variant<Send, Cancel, Relay, Reject, Fail, AbortResponse, CheckHealth, SetTimer, ReportLoad, Log>;
 
 // An answer of a repeatable request that is no stream is relayed once it is whole, if its length is at most this.
-inline constexpr std::uint64_t kHeldBytes = 65536;
+inline constexpr std::uint64_t kMaxBufferedBytes = 65536;
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/predictor.hpp
+++ b/src/dispatch/predictor.hpp
@@ -16,11 +16,13 @@
 struct RouteRecord {
     RouteId id = 0;
     coordinator::policy::Mean time{coordinator::policy::kWindowS};
-    Millis aim = 0;
+    Millis latencyTarget = 0;
     Millis usedAt = 0;
 
-    static constexpr Millis kLeastAim = 10;
-    double gainTargetS() const { return coordinator::policy::kGainShare * std::max(aim, kLeastAim) * 1e-3; }
+    static constexpr Millis kLeastTarget = 10;
+    double gainTargetS() const {
+        return coordinator::policy::kGainShare * std::max(latencyTarget, kLeastTarget) * 1e-3;
+    }
     double timeS(Millis now) const { return time.value(toNanos(now), gainTargetS()); }
 };
 
--- a/src/dispatch/request.hpp
+++ b/src/dispatch/request.hpp
@@ -31,7 +31,7 @@
     SharedPrefix shared;
     double promptTokens = 0;
     double bytes = 0;  // both ways, as guessed at arrival
-    Millis arrivedAt = 0, aimAt = 0, deadlineAt = 0;
+    Millis arrivedAt = 0, latencyTargetAt = 0, deadlineAt = 0;
 
     std::vector<Attempt> attempts;
     int width = 1;
--- a/src/dispatch/selection.cpp
+++ b/src/dispatch/selection.cpp
@@ -34,7 +34,7 @@
 
 double Selection::crossingScore(double price, Millis delay, double bytes, const Request& request) const {
     return policy::kDropAbove * price * bytes * kPerMillion +
-           delay / (policy::kGainShare * std::max(1.0, request.asked.aim));
+           delay / (policy::kGainShare * std::max(1.0, request.asked.latencyTarget));
 }
 
 double Selection::crossingScore(const Request& request, const Host& host) const {
--- a/src/dispatch/service_table.cpp
+++ b/src/dispatch/service_table.cpp
@@ -42,7 +42,7 @@
     state.load.gateways = std::max(1, fleet_.liveGateways);
 }
 
-void ServiceTable::configure(const Services& list, Millis now) {
+void ServiceTable::configure(const ServiceList& list, Millis now) {
     for (auto& [name, state] : services_) state.configured = false;
     for (const Service& each : list.services) {
         ServiceState& state = at(each.name, now);
--- a/src/dispatch/service_table.hpp
+++ b/src/dispatch/service_table.hpp
@@ -22,7 +22,7 @@
     // The same for a request that is being served.
     ServiceState& use(const std::string& name, Millis now);
 
-    void configure(const Services& list, Millis now);
+    void configure(const ServiceList& list, Millis now);
     void share(const Fleet& fleet, Millis now);
     // Time passes: the usual number of attempts that wait at a host of each service.
     void smoothWaiting(const HostTable& hosts, Millis passed);
--- a/src/dispatch/shared_load.cpp
+++ b/src/dispatch/shared_load.cpp
@@ -7,8 +7,8 @@
 void SharedLoad::told(const PeerLoad& load, Millis now) {
     if (!sources_.contains(load.source) && sources_.size() >= kMostSources) return;
     Source& source = sources_[load.source];
-    source.lastsUntil = now + load.lasts;
-    if (load.whole) {
+    source.lastsUntil = now + load.validFor;
+    if (load.full) {
         std::vector<std::uint32_t> ended;
         for (const auto& [host, figures] : source.hosts)
             if (std::ranges::find(load.hosts, host, &HostLoad::host) == load.hosts.end())
--- a/src/gateway/client_request.cpp
+++ b/src/gateway/client_request.cpp
@@ -93,8 +93,8 @@
     event.timeout = route.timeoutMs;
     event.deadline = request.deadline - waited;
     if (route.timeoutMs > 0) event.deadline = std::min(event.deadline, route.timeoutMs - waited);
-    event.aim = route.targetLatencyMs > 0 ? route.targetLatencyMs : event.deadline;
-    event.gapAim = route.gapAimMs;
+    event.latencyTarget = route.targetLatencyMs > 0 ? route.targetLatencyMs : event.deadline;
+    event.gapTarget = route.gapAimMs;
     event.priorityClass = route.priorityClass;
     event.maxAttempts = std::max(route.maxAttempts, 1);
     event.resumable = route.resumable;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -276,7 +276,7 @@
 }
 
 void Gateway::tellServices() {
-    dispatch::Services services;
+    dispatch::ServiceList services;
     for (const auto& [name, entry] : table_.current()->services()) {
         dispatch::Service service;
         service.name = name;
@@ -289,14 +289,14 @@
         services.services.push_back(std::move(service));
     }
     exchange_.tell(std::move(services));
-    dispatch::Evacuated evacuated;
+    dispatch::EvacuatedZones evacuated;
     for (const std::string& zone : table_.current()->evacuatedZones()) evacuated.zones.push_back(zone);
     exchange_.tell(std::move(evacuated));
 }
 
 void Gateway::tellHosts() {
     const Millis age = clock_.now() - hosts_.list()->readAt;
-    dispatch::Hosts event;
+    dispatch::HostList event;
     for (const host_discovery::Host& host : hosts_.list()->hosts) {
         dispatch::Host one;
         one.instanceId = host.instanceId;
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -50,11 +50,11 @@
         case FailureKind::resetBeforeAnswer:
             return failure.sent ? Outcome::resetBeforeAnswer : Outcome::notConnected;
         case FailureKind::brokenAnswer:
-            return Outcome::broken;
+            return Outcome::incomplete;
         case FailureKind::malformedAnswer:
             return Outcome::malformed;
         case FailureKind::foreignAnswer:
-            return Outcome::foreign;
+            return Outcome::attemptIdMismatch;
         case FailureKind::timedOut:
             return failure.sent ? Outcome::timedOut : Outcome::notConnected;
         case FailureKind::cancelled:
@@ -64,7 +64,7 @@
 }
 
 Outcome outcomeOf(const upstream::AnswerHead& head) {
-    if (notExecuted(head)) return Outcome::notExecuted;
+    if (notExecuted(head)) return Outcome::rejected;
     const bool failed = head.status >= 500 || promisesNotRun(head.status);
     return failed ? Outcome::hostError : Outcome::served;
 }
@@ -270,8 +270,8 @@
     forget(id);
 }
 
-void RequestExchange::act(const dispatch::Refuse& refuse) {
-    answer(refuse.id, refuse.status, "not taken and not run; try again later", refuse.retryAfter);
+void RequestExchange::act(const dispatch::Reject& reject) {
+    answer(reject.id, reject.status, "not taken and not run; try again later", reject.retryAfter);
 }
 
 void RequestExchange::act(const dispatch::Fail& fail) {
@@ -279,15 +279,15 @@
     answer(fail.id, fail.status, late ? "out of time" : "the host failed; the request may have run", 0);
 }
 
-void RequestExchange::act(const dispatch::BreakOff& breakOff) {
-    answer(breakOff.id, 502, "the host broke off", 0);
+void RequestExchange::act(const dispatch::AbortResponse& abort) {
+    answer(abort.id, 502, "the host broke off", 0);
 }
 
-void RequestExchange::act(const dispatch::Probe& probe) {
-    const auto address = upstream::HostAddress::parse(probe.address);
-    const auto service = routes_->service(probe.service);
-    auto ended = std::make_shared<dispatch::ProbeEnded>();
-    ended->instanceId = probe.instanceId;
+void RequestExchange::act(const dispatch::CheckHealth& check) {
+    const auto address = upstream::HostAddress::parse(check.address);
+    const auto service = routes_->service(check.service);
+    auto ended = std::make_shared<dispatch::HealthCheckEnded>();
+    ended->instanceId = check.instanceId;
     if (!address || !service) {
         events_.push_back(*ended);
         return;
@@ -295,7 +295,7 @@
     upstream::Request request;
     request.method = "GET";
     request.target = service->service.healthCheckPath;
-    request.headers = {{"Host", probe.address}};
+    request.headers = {{"Host", check.address}};
     request.requireAttemptId = false;
     upstream::Handlers handlers;
     handlers.onHead = [ended](const upstream::AnswerHead& head) {
@@ -309,7 +309,7 @@
         ended->healthy = false;
         tell(*ended);
     };
-    upstream_.send(address.value(), connectionShare(probe.service), std::move(request), kProbeTimeout,
+    upstream_.send(address.value(), connectionShare(check.service), std::move(request), kProbeTimeout,
                    std::move(handlers));
 }
 
@@ -338,7 +338,7 @@
     event.id = id;
     event.attempt = number;
     event.status = head.status;
-    event.notExecuted = notExecuted(head);
+    event.rejected = notExecuted(head);
     event.sealed = upstream::findHeader(head.headers, "X-Server-Seal") != nullptr;
     event.bodyBytes = head.noBody ? std::optional<std::uint64_t>(0) : head.contentLength;
     tell(std::move(event));
@@ -387,7 +387,7 @@
     Attempt& attempt = request->attempts.at(number);
     const bool cutEvent = attempt.eventStream && attempt.splitter.pending() > 0;
     attempt.whole = !cutEvent;
-    attemptEnded(id, number, cutEvent ? Outcome::broken : outcomeOf(attempt.head));
+    attemptEnded(id, number, cutEvent ? Outcome::incomplete : outcomeOf(attempt.head));
     process();
 }
 
@@ -419,6 +419,6 @@
     request.client->endStream();
 }
 
-void RequestExchange::endAll() { tell(dispatch::Closing{}); }
+void RequestExchange::endAll() { tell(dispatch::ShutDown{}); }
 
 }  // namespace beechpoint::gateway
--- a/src/gateway/request_exchange.hpp
+++ b/src/gateway/request_exchange.hpp
@@ -47,7 +47,7 @@
     void take(const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& client);
 
     std::size_t live() const { return requests_.size(); }
-    std::size_t attemptsOut() const { return dispatcher_.attemptsOut(); }
+    std::size_t attemptsOut() const { return dispatcher_.attemptsInFlight(); }
     std::uint64_t requestsTaken() const { return lastId_; }
     const upstream::UpstreamCounts& upstreamCounts() const { return upstream_.counts(); }
     std::size_t upstreamConnections() const { return upstream_.connections(); }
@@ -80,10 +80,10 @@
     void act(const dispatch::Send& send);
     void act(const dispatch::Cancel& cancel);
     void act(const dispatch::Relay& relay);
-    void act(const dispatch::Refuse& refuse);
+    void act(const dispatch::Reject& reject);
     void act(const dispatch::Fail& fail);
-    void act(const dispatch::BreakOff& breakOff);
-    void act(const dispatch::Probe& probe);
+    void act(const dispatch::AbortResponse& abort);
+    void act(const dispatch::CheckHealth& check);
     void act(const dispatch::SetTimer& timer);
     void act(const dispatch::ReportLoad& load) { loadTold_(load); }
     void act(const dispatch::Log& line);
--- a/tests/dispatch/admission_test.cpp
+++ b/tests/dispatch/admission_test.cpp
@@ -47,7 +47,7 @@
     for (int i = 0; i < 12 && !refused; ++i) {
         RequestArrived arrived = h.request(RequestType::nonIdempotent);
         arrived.priorityClass = 2;
-        const std::vector<Refuse> refusals = only<Refuse>(h.tell(arrived));
+        const std::vector<Reject> refusals = only<Reject>(h.tell(arrived));
         if (refusals.empty()) continue;
         refused = true;
         EXPECT_GE(i, 1);  // not while half of the places were free
@@ -60,12 +60,12 @@
 
 TEST(Admission, TooManyHeldAreRefused) {
     Settings settings = testSettings();
-    settings.mostRequests = 3;
+    settings.maxRequests = 3;
     Harness h(settings);
     h.start({hostNamed("a")}, {serviceNamed("svc")});
-    for (int i = 0; i < 3; ++i) EXPECT_TRUE(only<Refuse>(h.tell(h.request())).empty());
-    EXPECT_EQ(only<Refuse>(h.tell(h.request())).size(), 1u);
-    EXPECT_EQ(h.dispatcher.live(), 3u);
+    for (int i = 0; i < 3; ++i) EXPECT_TRUE(only<Reject>(h.tell(h.request())).empty());
+    EXPECT_EQ(only<Reject>(h.tell(h.request())).size(), 1u);
+    EXPECT_EQ(h.dispatcher.requestCount(), 3u);
 }
 
 }  // namespace
--- a/tests/dispatch/harness.hpp
+++ b/tests/dispatch/harness.hpp
@@ -70,9 +70,9 @@
         return actions;
     }
     void start(const std::vector<Host>& hosts, const std::vector<Service>& services, int gateways = 1) {
-        tell(Services{services});
+        tell(ServiceList{services});
         tell(Fleet{gateways, true, 0});
-        tell(Hosts{hosts});
+        tell(HostList{hosts});
         pass(2000);  // past the time in which an earlier process's sends still count
     }
     RequestArrived request(RequestType type = RequestType::idempotent) {
@@ -82,17 +82,17 @@
         arrived.services = {{"svc", 1}};
         arrived.type = type;
         arrived.timeout = 2000;
-        arrived.aim = 300;
+        arrived.latencyTarget = 300;
         arrived.deadline = 2000;
         arrived.maxAttempts = 3;
         return arrived;
     }
-    std::vector<Action> head(RequestId id, int attempt, int status = 200, bool notExecuted = false) {
+    std::vector<Action> head(RequestId id, int attempt, int status = 200, bool rejected = false) {
         AttemptHead head;
         head.id = id;
         head.attempt = attempt;
         head.status = status;
-        head.notExecuted = notExecuted;
+        head.rejected = rejected;
         head.bodyBytes = 100;
         return tell(head);
     }
--- a/tests/dispatch/hosts_test.cpp
+++ b/tests/dispatch/hosts_test.cpp
@@ -25,7 +25,7 @@
     h.start({draining, hostNamed("b"), hostNamed("c")}, {serviceNamed("svc")});
     EXPECT_EQ(sendMany(h, 60).size(), 3u);
     draining.state = HostState::draining;
-    h.tell(Hosts{{draining, hostNamed("b")}});
+    h.tell(HostList{{draining, hostNamed("b")}});
     const std::map<std::string, int> sent = sendMany(h, 60);
     EXPECT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent.count("b"), 1u);
@@ -34,9 +34,9 @@
 TEST(HostsTest, EvacuatedZonesGetNothingAndComeBackCold) {
     Harness h;
     h.start({hostNamed("a"), hostNamed("b", "svc", "north", "north-2")}, {serviceNamed("svc", 3, 2)});
-    h.tell(Evacuated{{"north-2"}});
+    h.tell(EvacuatedZones{{"north-2"}});
     EXPECT_EQ(sendMany(h, 40).count("b"), 0u);
-    h.tell(Evacuated{});
+    h.tell(EvacuatedZones{});
     EXPECT_LE(sendMany(h, 100).at("b"), 4);  // half a second, at 2 x 1.5 + 5 a second for two gateways
     h.pass(3000);
     EXPECT_GE(sendMany(h, 100)["b"], 20);
@@ -57,13 +57,13 @@
     RequestArrived nowhere = h.request();
     nowhere.allowedRegions = std::vector<std::string>{};
     EXPECT_TRUE(only<Send>(h.tell(nowhere)).empty());
-    EXPECT_EQ(only<Refuse>(h.pass(100)).size(), 1u);
+    EXPECT_EQ(only<Reject>(h.pass(100)).size(), 1u);
 }
 
 TEST(HostsTest, HostsThatComeLaterAreColdForTheWarmUp) {
     Harness h;
     h.start({hostNamed("a")}, {serviceNamed("svc", 3, 2)}, 1);
-    h.tell(Hosts{{hostNamed("a"), hostNamed("b")}});
+    h.tell(HostList{{hostNamed("a"), hostNamed("b")}});
     EXPECT_LE(sendMany(h, 200)["b"], 4);
     h.pass(3000);
     EXPECT_GE(sendMany(h, 200)["b"], 50);
@@ -73,7 +73,7 @@
     Harness h;
     h.start({hostNamed("a"), hostNamed("b")}, {serviceNamed("svc", 3, 2)});
     EXPECT_GE(sendMany(h, 100)["b"], 20);
-    h.tell(WarmupSeen{"b", 2000});
+    h.tell(WarmupReported{"b", 2000});
     EXPECT_LE(sendMany(h, 100)["b"], 4);
 }
 
@@ -81,7 +81,7 @@
     Harness h;
     h.start({hostNamed("a")}, {serviceNamed("svc", 3, 2)});
     h.tell(Fleet{0, false, -1});
-    h.tell(Hosts{{hostNamed("a"), hostNamed("b")}});
+    h.tell(HostList{{hostNamed("a"), hostNamed("b")}});
     EXPECT_EQ(sendMany(h, 100).count("b"), 0u);
 }
 
@@ -90,7 +90,7 @@
     h.start({hostNamed("a"), hostNamed("b")}, {serviceNamed("svc")});
     const RequestArrived arrived = h.request(RequestType::nonIdempotent);
     const std::string full = only<Send>(h.tell(arrived))[0].instanceId;
-    h.ended(arrived.id, 0, Outcome::notExecuted);
+    h.ended(arrived.id, 0, Outcome::rejected);
     const RequestArrived next = h.request(RequestType::nonIdempotent);
     EXPECT_NE(only<Send>(h.tell(next))[0].instanceId, full);
 }
@@ -100,15 +100,15 @@
     h.start({hostNamed("a"), hostNamed("b")}, {serviceNamed("svc", 3, 2)});
     const RequestArrived arrived = h.request(RequestType::nonIdempotent);
     const std::string cut = only<Send>(h.tell(arrived))[0].instanceId;
-    const std::vector<Probe> probes = only<Probe>(h.ended(arrived.id, 0, Outcome::notConnected));
+    const std::vector<CheckHealth> probes = only<CheckHealth>(h.ended(arrived.id, 0, Outcome::notConnected));
     ASSERT_EQ(probes.size(), 1u);
     EXPECT_EQ(probes[0].instanceId, cut);
     h.serve(arrived.id, 1);
     EXPECT_EQ(sendMany(h, 50).count(cut), 0u);
-    h.tell(ProbeEnded{cut, false, 0, false});
-    const std::vector<Probe> again = only<Probe>(h.pass(600));
+    h.tell(HealthCheckEnded{cut, false, 0, false});
+    const std::vector<CheckHealth> again = only<CheckHealth>(h.pass(600));
     ASSERT_EQ(again.size(), 1u);
-    h.tell(ProbeEnded{cut, true, 0, true});
+    h.tell(HealthCheckEnded{cut, true, 0, true});
     const int soon = sendMany(h, 100)[cut];
     EXPECT_LE(soon, 4);  // it may have started anew: cold
     h.pass(3000);
@@ -120,10 +120,10 @@
     h.start({hostNamed("a"), hostNamed("b")}, {serviceNamed("svc")});
     const RequestArrived arrived = h.request(RequestType::nonIdempotent);
     const std::string silent = only<Send>(h.tell(arrived))[0].instanceId;
-    const std::vector<Probe> probes = only<Probe>(h.pass(600));
+    const std::vector<CheckHealth> probes = only<CheckHealth>(h.pass(600));
     ASSERT_EQ(probes.size(), 1u);
     EXPECT_EQ(probes[0].instanceId, silent);
-    h.tell(ProbeEnded{silent, false, 0, false});
+    h.tell(HealthCheckEnded{silent, false, 0, false});
     EXPECT_EQ(sendMany(h, 50).count(silent), 0u);
 }
 
@@ -159,7 +159,7 @@
         h.serve(arrived.id, 0);
     }
     EXPECT_GT(sent["a"], 200);
-    h.tell(Hosts{{hostNamed("b", "svc", "south", "south-1")}});
+    h.tell(HostList{{hostNamed("b", "svc", "south", "south-1")}});
     EXPECT_EQ(only<Send>(h.tell(h.request())).size(), 1u);
 }
 
@@ -167,13 +167,13 @@
     Harness h;
     h.start({}, {serviceNamed("svc")});
     for (int i = 0; i < 300; ++i) {
-        h.tell(Hosts{{hostNamed("i-" + std::to_string(i))}});
+        h.tell(HostList{{hostNamed("i-" + std::to_string(i))}});
         sendMany(h, 2);
         h.pass(1000);
     }
-    EXPECT_EQ(h.dispatcher.live(), 0u);
-    EXPECT_EQ(h.dispatcher.attemptsOut(), 0u);
-    EXPECT_LE(h.dispatcher.hostsKept(), 60u);
+    EXPECT_EQ(h.dispatcher.requestCount(), 0u);
+    EXPECT_EQ(h.dispatcher.attemptsInFlight(), 0u);
+    EXPECT_LE(h.dispatcher.hostSlotCount(), 60u);
 }
 
 }  // namespace
--- a/tests/dispatch/prefix_affinity_test.cpp
+++ b/tests/dispatch/prefix_affinity_test.cpp
@@ -57,7 +57,7 @@
     }
     static RequestArrived stream(Harness& h, int document, std::uint32_t sharedTokens) {
         RequestArrived arrived = h.request(RequestType::streaming);
-        arrived.aim = 800;
+        arrived.latencyTarget = 800;
         arrived.deadline = 5000;
         arrived.prompt = promptOf(document, sharedTokens);
         arrived.outTokens = 50;
@@ -112,7 +112,7 @@
     const std::string home = placeOf(one, stream(one, 3, 6000));
     std::vector<Host> left = hosts();
     std::erase_if(left, [&](const Host& host) { return host.instanceId == home; });
-    for (Harness* h : {&one, &two}) h->tell(Hosts{left});
+    for (Harness* h : {&one, &two}) h->tell(HostList{left});
     const std::string second = placeOf(one, stream(one, 3, 6000));
     EXPECT_NE(second, home);
     EXPECT_EQ(second, placeOf(two, stream(two, 3, 6000)));
--- a/tests/dispatch/random_test.cpp
+++ b/tests/dispatch/random_test.cpp
@@ -54,9 +54,9 @@
                 {std::make_unique<Dispatcher>(settings, seed * 100 + static_cast<std::uint64_t>(i), now), 0});
         for (int i = 0; i < 8; ++i) addHost();
         for (std::size_t g = 0; g < gateways.size(); ++g) {
-            tell(g, Services{{serviceNamed("svc", kWarmupS, kWarmupPerS, seed % 2 == 0)}});
+            tell(g, ServiceList{{serviceNamed("svc", kWarmupS, kWarmupPerS, seed % 2 == 0)}});
             tell(g, Fleet{count, true, static_cast<int>(g)});
-            tell(g, Hosts{hosts});
+            tell(g, HostList{hosts});
         }
     }
 
@@ -112,9 +112,9 @@
         plan(gateway, send, host->instanceId);
     }
     void plan(std::size_t gateway, const Send& send, const std::string& instance) {
-        const Outcome outcomes[] = {Outcome::served,       Outcome::hostError,  Outcome::notExecuted,
+        const Outcome outcomes[] = {Outcome::served,       Outcome::hostError,  Outcome::rejected,
                                     Outcome::notConnected, Outcome::noCapacity, Outcome::resetBeforeAnswer,
-                                    Outcome::broken,       Outcome::malformed,  Outcome::foreign,
+                                    Outcome::incomplete,   Outcome::malformed,  Outcome::attemptIdMismatch,
                                     Outcome::timedOut};
         const bool sound = random() < (std::hash<std::string>{}(instance) % 3 == 0 ? 0.5 : 0.95);
         const Outcome outcome = sound ? Outcome::served : outcomes[1 + random.below(9)];
@@ -122,9 +122,9 @@
         if (outcome != Outcome::notConnected && outcome != Outcome::noCapacity)
             arrived[send.id].push_back(now + took / 2);
         const bool headed = outcome == Outcome::served || outcome == Outcome::hostError ||
-                            outcome == Outcome::notExecuted || outcome == Outcome::broken;
+                            outcome == Outcome::rejected || outcome == Outcome::incomplete;
         if (headed) pending.push({now + took * 0.8, gateway, send.id, send.attempt, 0, outcome});
-        if (outcome == Outcome::served || outcome == Outcome::broken)
+        if (outcome == Outcome::served || outcome == Outcome::incomplete)
             pending.push({now + took * 0.9, gateway, send.id, send.attempt, 1, outcome});
         pending.push({now + took, gateway, send.id, send.attempt, 2, outcome});
     }
@@ -138,7 +138,7 @@
         life.relayed = relay.attempt;
         life.open = true;
     }
-    void did(std::size_t, const Refuse& refuse) {
+    void did(std::size_t, const Reject& refuse) {
         Life& life = lifeOf(refuse.id);
         EXPECT_FALSE(life.open);
         EXPECT_EQ(life.possiblyRun + static_cast<int>(life.out.size()), 0) << "refused, yet may have run";
@@ -150,12 +150,12 @@
         EXPECT_FALSE(life.open);
         life.over = true;
     }
-    void did(std::size_t, const BreakOff& off) {
+    void did(std::size_t, const AbortResponse& off) {
         Life& life = lifeOf(off.id);
         EXPECT_TRUE(life.open);
         life.over = true;
     }
-    void did(std::size_t gateway, const Probe& probe) {
+    void did(std::size_t gateway, const CheckHealth& probe) {
         probes.push({now + 10, {gateway, probe.instanceId}});
     }
     void did(std::size_t gateway, const SetTimer& timer) { gateways[gateway].timerAt = timer.at; }
@@ -174,7 +174,7 @@
         asked.services = {{"svc", 1}};
         asked.type = static_cast<RequestType>(random.below(3));
         asked.resumable = asked.type == RequestType::streaming && random() < 0.5;
-        asked.aim = 300;
+        asked.latencyTarget = 300;
         asked.deadline = asked.timeout = 1500;
         asked.priorityClass = static_cast<int>(random.below(3));
         asked.maxAttempts = 1 + static_cast<int>(random.below(3));
@@ -210,16 +210,16 @@
         if (next.step == 0) {
             AttemptHead head;
             head.id = next.id, head.attempt = next.attempt;
-            head.status = next.outcome == Outcome::hostError     ? 500
-                          : next.outcome == Outcome::notExecuted ? 503
-                                                                 : 200;
-            head.notExecuted = next.outcome == Outcome::notExecuted;
+            head.status = next.outcome == Outcome::hostError  ? 500
+                          : next.outcome == Outcome::rejected ? 503
+                                                              : 200;
+            head.rejected = next.outcome == Outcome::rejected;
             head.bodyBytes = 100;
             return tell(next.gateway, head);
         }
         if (next.step == 1) return tell(next.gateway, AttemptFirstByte{next.id, next.attempt});
         life.out.erase(next.attempt);
-        const bool never = next.outcome == Outcome::notExecuted || next.outcome == Outcome::notConnected ||
+        const bool never = next.outcome == Outcome::rejected || next.outcome == Outcome::notConnected ||
                            next.outcome == Outcome::noCapacity;
         if (!never) ++life.possiblyRun;
         const bool whole = next.outcome == Outcome::served || next.outcome == Outcome::hostError;
@@ -241,9 +241,9 @@
         } else {
             evacuated.clear();
             if (what < 0.8) evacuated.insert(host.zone);
-            toAll(Evacuated{{evacuated.begin(), evacuated.end()}});
+            toAll(EvacuatedZones{{evacuated.begin(), evacuated.end()}});
         }
-        toAll(Hosts{hosts});
+        toAll(HostList{hosts});
         for (Host& each : hosts) each.warmupLeft = 0;
     }
     void run(Millis length) {
@@ -265,7 +265,7 @@
             while (!probes.empty() && probes.front().first <= now) {
                 const auto [gateway, instance] = probes.front().second;
                 probes.pop();
-                tell(gateway, ProbeEnded{instance, random() < 0.7, 0, true});
+                tell(gateway, HealthCheckEnded{instance, random() < 0.7, 0, true});
             }
             for (std::size_t g = 0; g < gateways.size(); ++g) {
                 if (gateways[g].timerAt == 0 || gateways[g].timerAt > now) continue;
@@ -279,8 +279,8 @@
     void checkEnds() {
         for (const auto& [id, life] : lives) EXPECT_TRUE(life.over) << "request " << id << " has no end";
         for (const Gateway& gateway : gateways) {
-            EXPECT_EQ(gateway.dispatcher->live(), 0u);
-            EXPECT_EQ(gateway.dispatcher->attemptsOut(), 0u);
+            EXPECT_EQ(gateway.dispatcher->requestCount(), 0u);
+            EXPECT_EQ(gateway.dispatcher->attemptsInFlight(), 0u);
         }
     }
     static double within(const std::vector<Millis>& times, Millis from, Millis to) {
--- a/tests/dispatch/requests_test.cpp
+++ b/tests/dispatch/requests_test.cpp
@@ -32,8 +32,8 @@
     EXPECT_EQ(sends[0].address, sends[0].instanceId + ":80");
     EXPECT_TRUE(only<Relay>(h.head(arrived.id, 0)).empty());  // short and repeatable: kept until it is whole
     EXPECT_EQ(only<Relay>(h.ended(arrived.id, 0, Outcome::served)).size(), 1u);
-    EXPECT_EQ(h.dispatcher.live(), 0u);
-    EXPECT_EQ(h.dispatcher.attemptsOut(), 0u);
+    EXPECT_EQ(h.dispatcher.requestCount(), 0u);
+    EXPECT_EQ(h.dispatcher.attemptsInFlight(), 0u);
 }
 
 TEST_F(RequestsTest, AnAnswerThatCannotBeRepeatedIsRelayedAtItsHead) {
@@ -41,7 +41,7 @@
     h.tell(arrived);
     EXPECT_EQ(only<Relay>(h.head(arrived.id, 0, 500)).size(), 1u);  // unchanged, whatever the status
     EXPECT_TRUE(only<Fail>(h.ended(arrived.id, 0, Outcome::hostError)).empty());
-    EXPECT_EQ(h.dispatcher.live(), 0u);
+    EXPECT_EQ(h.dispatcher.requestCount(), 0u);
 }
 
 TEST_F(RequestsTest, AHostsUnprovenPromiseIsNotPassedOn) {
@@ -76,15 +76,15 @@
 }
 
 TEST_F(RequestsTest, AnUnrepeatableRequestThatMayHaveRunFails) {
-    for (const Outcome outcome : {Outcome::resetBeforeAnswer, Outcome::malformed, Outcome::foreign,
-                                  Outcome::timedOut, Outcome::broken, Outcome::hostError}) {
+    for (const Outcome outcome : {Outcome::resetBeforeAnswer, Outcome::malformed, Outcome::attemptIdMismatch,
+                                  Outcome::timedOut, Outcome::incomplete, Outcome::hostError}) {
         const RequestArrived arrived = h.request(RequestType::nonIdempotent);
         ASSERT_EQ(only<Send>(h.tell(arrived)).size(), 1u);
         const std::vector<Action> end = h.ended(arrived.id, 0, outcome);
         EXPECT_TRUE(only<Send>(end).empty());
-        EXPECT_TRUE(only<Refuse>(end).empty());
+        EXPECT_TRUE(only<Reject>(end).empty());
         EXPECT_EQ(only<Fail>(end).size(), 1u);
-        for (const std::string host : {"a", "b", "c"}) h.tell(ProbeEnded{host, true, 0, true});
+        for (const std::string host : {"a", "b", "c"}) h.tell(HealthCheckEnded{host, true, 0, true});
     }
 }
 
@@ -92,7 +92,7 @@
     const RequestArrived arrived = h.request(RequestType::nonIdempotent);
     h.tell(arrived);
     h.head(arrived.id, 0, 503, true);
-    const std::vector<Send> next = only<Send>(h.ended(arrived.id, 0, Outcome::notExecuted));
+    const std::vector<Send> next = only<Send>(h.ended(arrived.id, 0, Outcome::rejected));
     ASSERT_EQ(next.size(), 1u);
     EXPECT_EQ(only<Send>(h.ended(arrived.id, 1, Outcome::notConnected)).size(), 1u);
 }
@@ -102,7 +102,7 @@
     arrived.maxAttempts = 1;
     h.tell(arrived);
     EXPECT_EQ(only<Send>(h.ended(arrived.id, 0, Outcome::notConnected)).size(), 1u);
-    EXPECT_EQ(only<Refuse>(h.ended(arrived.id, 1, Outcome::notExecuted)).size(), 1u);
+    EXPECT_EQ(only<Reject>(h.ended(arrived.id, 1, Outcome::rejected)).size(), 1u);
 }
 
 TEST_F(RequestsTest, MaxAttemptsBoundsTheHosts) {
@@ -112,7 +112,7 @@
     EXPECT_EQ(only<Send>(h.ended(arrived.id, 0, Outcome::hostError)).size(), 1u);
     const std::vector<Action> end = h.ended(arrived.id, 1, Outcome::hostError);
     EXPECT_TRUE(only<Send>(end).empty());
-    EXPECT_TRUE(only<Refuse>(end).empty());  // it has run, twice
+    EXPECT_TRUE(only<Reject>(end).empty());  // it has run, twice
     EXPECT_EQ(only<Fail>(end).size(), 1u);
 }
 
@@ -120,7 +120,7 @@
     RequestArrived arrived = h.request(RequestType::nonIdempotent);
     arrived.maxAttempts = 1;
     h.tell(arrived);
-    const std::vector<Refuse> refusals = only<Refuse>(h.ended(arrived.id, 0, Outcome::notExecuted));
+    const std::vector<Reject> refusals = only<Reject>(h.ended(arrived.id, 0, Outcome::rejected));
     ASSERT_EQ(refusals.size(), 1u);
     EXPECT_EQ(refusals[0].status, 503);
     EXPECT_GT(refusals[0].retryAfter, 0);
@@ -137,9 +137,9 @@
     EXPECT_EQ(only<Relay>(won)[0].attempt, 1);
     ASSERT_EQ(only<Cancel>(won).size(), 1u);
     EXPECT_EQ(only<Cancel>(won)[0].attempt, 0);
-    EXPECT_EQ(h.dispatcher.attemptsOut(), 1u);
+    EXPECT_EQ(h.dispatcher.attemptsInFlight(), 1u);
     h.ended(arrived.id, 0, Outcome::cancelled);
-    EXPECT_EQ(h.dispatcher.attemptsOut(), 0u);
+    EXPECT_EQ(h.dispatcher.attemptsInFlight(), 0u);
 }
 
 TEST_F(RequestsTest, AnUnrepeatableOneIsNeverCopied) {
@@ -161,7 +161,7 @@
     const RequestArrived arrived = h.request();
     h.tell(arrived);
     EXPECT_EQ(only<Cancel>(h.tell(ClientDisconnected{arrived.id})).size(), 1u);
-    EXPECT_EQ(h.dispatcher.live(), 0u);
+    EXPECT_EQ(h.dispatcher.requestCount(), 0u);
     EXPECT_TRUE(only<Relay>(h.serve(arrived.id, 0)).empty());
 }
 
@@ -171,7 +171,7 @@
     EXPECT_TRUE(only<Relay>(h.head(arrived.id, 0)).empty());
     EXPECT_EQ(only<Relay>(h.tell(AttemptFirstByte{arrived.id, 0})).size(), 1u);
     EXPECT_TRUE(only<Relay>(h.ended(arrived.id, 0, Outcome::served)).empty());
-    EXPECT_EQ(h.dispatcher.live(), 0u);
+    EXPECT_EQ(h.dispatcher.requestCount(), 0u);
 }
 
 TEST_F(RequestsTest, ABrokenStreamThatCannotBeResumedIsBrokenOff) {
@@ -179,9 +179,9 @@
     h.tell(arrived);
     h.head(arrived.id, 0);
     h.tell(AttemptFirstByte{arrived.id, 0});
-    const std::vector<Action> end = h.ended(arrived.id, 0, Outcome::broken, "4");
+    const std::vector<Action> end = h.ended(arrived.id, 0, Outcome::incomplete, "4");
     EXPECT_TRUE(only<Send>(end).empty());
-    EXPECT_EQ(only<BreakOff>(end).size(), 1u);
+    EXPECT_EQ(only<AbortResponse>(end).size(), 1u);
 }
 
 TEST_F(RequestsTest, ABrokenResumableStreamGoesOnBehindItsLastEvent) {
@@ -189,7 +189,7 @@
     const std::string first = only<Send>(h.tell(arrived))[0].instanceId;
     h.head(arrived.id, 0);
     h.tell(AttemptFirstByte{arrived.id, 0});
-    const std::vector<Send> next = only<Send>(h.ended(arrived.id, 0, Outcome::broken, "4"));
+    const std::vector<Send> next = only<Send>(h.ended(arrived.id, 0, Outcome::incomplete, "4"));
     ASSERT_EQ(next.size(), 1u);
     EXPECT_TRUE(next[0].resume);
     EXPECT_EQ(next[0].lastEventId, "4");
@@ -197,12 +197,12 @@
     h.head(arrived.id, 1);
     EXPECT_EQ(only<Relay>(h.tell(AttemptFirstByte{arrived.id, 1})).size(), 1u);
     // Broken again without a further event: the position stays.
-    const std::vector<Send> third = only<Send>(h.ended(arrived.id, 1, Outcome::broken));
+    const std::vector<Send> third = only<Send>(h.ended(arrived.id, 1, Outcome::incomplete));
     ASSERT_EQ(third.size(), 1u);
     EXPECT_EQ(third[0].lastEventId, "4");
     h.head(arrived.id, 2, 500);
     const std::vector<Action> end = h.ended(arrived.id, 2, Outcome::hostError);
-    EXPECT_EQ(only<BreakOff>(end).size(), 1u);  // max_attempts
+    EXPECT_EQ(only<AbortResponse>(end).size(), 1u);  // max_attempts
     EXPECT_TRUE(only<Fail>(end).empty());
 }
 
@@ -210,28 +210,28 @@
     const RequestArrived arrived = stream(true);
     h.tell(arrived);
     h.head(arrived.id, 0);
-    const std::vector<Send> next = only<Send>(h.ended(arrived.id, 0, Outcome::broken));
+    const std::vector<Send> next = only<Send>(h.ended(arrived.id, 0, Outcome::incomplete));
     ASSERT_EQ(next.size(), 1u);
     EXPECT_FALSE(next[0].resume);
 }
 
 TEST_F(RequestsTest, WithoutAHostItIsRefusedWithinAQuarterOfItsAim) {
-    h.tell(Hosts{});
+    h.tell(HostList{});
     const RequestArrived arrived = h.request(RequestType::nonIdempotent);
     EXPECT_TRUE(only<Send>(h.tell(arrived)).empty());
     const std::vector<Action> end = h.pass(75);
-    EXPECT_EQ(only<Refuse>(end).size(), 1u);
+    EXPECT_EQ(only<Reject>(end).size(), 1u);
 }
 
 TEST_F(RequestsTest, WhatWaitsIsSentWhenAHostComes) {
-    h.tell(Hosts{});
+    h.tell(HostList{});
     const RequestArrived arrived = h.request(RequestType::nonIdempotent);
     h.tell(arrived);
-    EXPECT_EQ(only<Send>(h.tell(Hosts{{hostNamed("a")}})).size(), 1u);
+    EXPECT_EQ(only<Send>(h.tell(HostList{{hostNamed("a")}})).size(), 1u);
 }
 
 TEST_F(RequestsTest, TheSplitIsDrawnByWeight) {
-    h.tell(Hosts{{hostNamed("a", "left"), hostNamed("b", "right")}});
+    h.tell(HostList{{hostNamed("a", "left"), hostNamed("b", "right")}});
     int left = 0;
     for (int i = 0; i < 400; ++i) {
         RequestArrived arrived = h.request();
@@ -260,7 +260,7 @@
     h.tell(arrived);
     EXPECT_TRUE(only<Send>(h.tell(arrived)).empty());  // told twice
     h.head(arrived.id, 7);
-    EXPECT_EQ(h.dispatcher.live(), 1u);
+    EXPECT_EQ(h.dispatcher.requestCount(), 1u);
 }
 
 // The process ends: who may have run is not promised otherwise, and no host is asked any more.
@@ -271,18 +271,18 @@
     h.tell(begun);
     h.head(begun.id, 0);
     h.tell(AttemptFirstByte{begun.id, 0});
-    h.tell(Hosts{});
+    h.tell(HostList{});
     RequestArrived waiting = h.request(RequestType::nonIdempotent);
     h.tell(waiting);
-    const std::vector<Action> end = h.tell(Closing{});
+    const std::vector<Action> end = h.tell(ShutDown{});
     ASSERT_EQ(only<Fail>(end).size(), 1u);
     EXPECT_EQ(only<Fail>(end)[0].id, out.id);
-    ASSERT_EQ(only<BreakOff>(end).size(), 1u);
-    EXPECT_EQ(only<BreakOff>(end)[0].id, begun.id);
-    ASSERT_EQ(only<Refuse>(end).size(), 1u);
-    EXPECT_EQ(only<Refuse>(end)[0].id, waiting.id);
+    ASSERT_EQ(only<AbortResponse>(end).size(), 1u);
+    EXPECT_EQ(only<AbortResponse>(end)[0].id, begun.id);
+    ASSERT_EQ(only<Reject>(end).size(), 1u);
+    EXPECT_EQ(only<Reject>(end)[0].id, waiting.id);
     EXPECT_EQ(only<Cancel>(end).size(), 2u);
-    EXPECT_EQ(h.dispatcher.live(), 0u);
+    EXPECT_EQ(h.dispatcher.requestCount(), 0u);
     EXPECT_TRUE(only<Send>(h.pass(5000)).empty());
 }
 
--- a/tests/dispatch/shared_load_test.cpp
+++ b/tests/dispatch/shared_load_test.cpp
@@ -13,7 +13,7 @@
 protected:
     SharedLoadTest() { list({"a", "b"}); }
     void list(const std::vector<std::string>& names) {
-        Hosts hosts;
+        HostList hosts;
         for (const std::string& name : names) {
             Host host;
             host.instanceId = name;
@@ -23,8 +23,8 @@
         hosts_.update(hosts, now_);
         shared_.hostsChanged();
     }
-    void told(std::uint64_t source, bool whole, const std::vector<HostLoad>& loads, Millis lasts = 1000) {
-        shared_.told(PeerLoad{source, whole, loads, lasts, {}}, now_);
+    void told(std::uint64_t source, bool whole, const std::vector<HostLoad>& loads, Millis validFor = 1000) {
+        shared_.told(PeerLoad{source, whole, loads, validFor, {}}, now_);
     }
     static HostLoad load(const std::string& host, int waiting, double workS) {
         return {hostKey(host), waiting, workS};
--- a/tests/gateway/client_request_test.cpp
+++ b/tests/gateway/client_request_test.cpp
@@ -61,7 +61,7 @@
     const auto event = arrival(7, request, entry, 100);
     EXPECT_EQ(event.id, 7u);
     EXPECT_EQ(event.deadline, 2900);
-    EXPECT_EQ(event.aim, 600);
+    EXPECT_EQ(event.latencyTarget, 600);
     ASSERT_EQ(event.services.size(), 2u);
     EXPECT_DOUBLE_EQ(event.services[0].weight, 0.25);
     EXPECT_DOUBLE_EQ(event.services[1].weight, 0.75);
