--- a/src/dispatch/action_list.hpp
+++ b/src/dispatch/action_list.hpp
@@ -25,8 +25,8 @@
         out_->emplace_back(std::move(action));
     }
     // A line of the log; of each kind at most one in kLogEvery.
-    void say(const char* kind, std::string text) {
-        const auto [entry, first] = saidAt_.try_emplace(kind, now_);
+    void log(const char* kind, std::string text) {
+        const auto [entry, first] = loggedAt_.try_emplace(kind, now_);
         if (!first && now_ - entry->second < kLogEvery) return;
         entry->second = now_;
         act(Log{kind, std::move(text)});
@@ -37,7 +37,7 @@
 
     Millis now_ = 0;
     std::vector<Action>* out_ = nullptr;
-    std::map<std::string, Millis> saidAt_;
+    std::map<std::string, Millis> loggedAt_;
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/attempt_log.cpp
+++ b/src/dispatch/attempt_log.cpp
@@ -4,25 +4,25 @@
 
 void AttemptLog::sent(const Request& request, int number, int host, double tokens, Millis now) {
     HostSlot& slot = hosts_.at(host);
-    Sent sent;
+    SentAttempt sent;
     sent.host = host;
     sent.service = request.service;
-    sent.route = request.asked.route;
+    sent.route = request.arrival.route;
     sent.sentAt = now;
     ServiceLoad& load = services_.at(request.service, now).load;
     sent.tokens = tokens;
-    sent.workS = load.engine ? Predictor::readingS(slot, load, tokens, now) : 0;
+    sent.workS = load.engine ? Predictor::prefillS(slot, load, tokens, now) : 0;
     sent.ahead = slot.waiting + slot.othersWaiting;
     sent.aheadS = Predictor::backlog(slot, load, now);
     Predictor::sent(slot, routes_.use(sent.route, now).id, sent);
     slot.sends.sent(now);
-    sent_.emplace(Key{request.asked.id, number}, std::move(sent));
+    sent_.emplace(Key{request.arrival.id, number}, std::move(sent));
 }
 
 bool AttemptLog::firstByte(const AttemptFirstByte& first, const Request* request, Millis now) {
     const auto out = sent_.find({first.id, first.attempt});
     if (out == sent_.end()) return false;
-    Sent& sent = out->second;
+    SentAttempt& sent = out->second;
     const bool proper = !request || !request->attempt(first.attempt).unusable;
     const bool streaming = request && request->streaming();
     HostSlot& slot = hosts_.at(sent.host);
@@ -31,22 +31,22 @@
         Predictor::learnTime(slot, route, services_.at(sent.service, now).load, sent,
                              (now - sent.sentAt) / 1000, false, now);
     if (streaming) Predictor::waitingEnded(slot, route.id, sent, now);
-    health_.reached(slot, now);
+    health_.markReachable(slot, now);
     return true;
 }
 
 bool AttemptLog::ended(const AttemptEnded& ended, const Request* request, Millis now) {
     const auto out = sent_.find({ended.id, ended.attempt});
     if (out == sent_.end()) return false;
-    Sent sent = std::move(out->second);
+    SentAttempt sent = std::move(out->second);
     sent_.erase(out);
     if (ended.warmupLeft > 0)
-        health_.warming(WarmupReported{hosts_.at(sent.host).host.instanceId, ended.warmupLeft}, now);
+        health_.markWarmingUp(WarmupReported{hosts_.at(sent.host).host.instanceId, ended.warmupLeft}, now);
     learn(sent, ended.outcome, request && request->attempt(ended.attempt).unusable, now);
     return true;
 }
 
-void AttemptLog::learn(Sent& sent, Outcome outcome, bool unusable, Millis now) {
+void AttemptLog::learn(SentAttempt& sent, Outcome outcome, bool unusable, Millis now) {
     HostSlot& slot = hosts_.at(sent.host);
     RouteRecord& route = routes_.use(sent.route, now);
     ServiceLoad& load = services_.at(sent.service, now).load;
@@ -56,21 +56,21 @@
     if (sent.waiting && (served || calledOff))
         Predictor::learnTime(slot, route, load, sent, took, calledOff, now);
     Predictor::waitingEnded(slot, route.id, sent, now);
-    --slot.out;
-    if (served) health_.reached(slot, now);
+    --slot.inFlight;
+    if (served) health_.markReachable(slot, now);
     switch (outcome) {
         case Outcome::cancelled:
             if (unusable) Predictor::learnEnd(slot, route.id, false, now);
             break;
         case Outcome::rejected:
         case Outcome::noCapacity:
-            health_.full(slot, route, now);
+            health_.markFull(slot, route, now);
             break;
         case Outcome::notConnected:
-            health_.cutOff(slot, true, now);
+            health_.markPartitioned(slot, true, now);
             break;
         case Outcome::resetBeforeAnswer:
-            health_.cutOff(slot, false, now);
+            health_.markPartitioned(slot, false, now);
             [[fallthrough]];
         default:
             Predictor::learnEnd(slot, route.id, served, now);
--- a/src/dispatch/attempt_log.hpp
+++ b/src/dispatch/attempt_log.hpp
@@ -32,13 +32,13 @@
 private:
     using Key = std::pair<RequestId, int>;
 
-    void learn(Sent& sent, Outcome outcome, bool unusable, Millis now);
+    void learn(SentAttempt& sent, Outcome outcome, bool unusable, Millis now);
 
     HostTable& hosts_;
     RouteTable& routes_;
     ServiceTable& services_;
     HostHealth& health_;
-    std::map<Key, Sent> sent_;
+    std::map<Key, SentAttempt> sent_;
 };
 
 }  // namespace beechpoint::dispatch
--- /dev/null
+++ b/src/dispatch/dispatch_state.hpp
@@ -0,0 +1,54 @@
+/// What the dispatcher's parts share: settings, time, randomness, actions and what is known of hosts, routes and services.
+#pragma once
+
+#include <cstdint>
+#include <vector>
+
+#include "coordinator/score.hpp"
+#include "core/clock.hpp"
+#include "core/splitmix.hpp"
+#include "dispatch/action_list.hpp"
+#include "dispatch/attempt_log.hpp"
+#include "dispatch/dispatcher.hpp"
+#include "dispatch/host_health.hpp"
+#include "dispatch/host_table.hpp"
+#include "dispatch/reported_load.hpp"
+#include "dispatch/request.hpp"
+#include "dispatch/route_table.hpp"
+#include "dispatch/selection.hpp"
+#include "dispatch/service_table.hpp"
+
+namespace beechpoint::dispatch {
+
+/// Owned by the Dispatcher, which outlives all parts that refer to it. The members refer to one another, hence no copies.
+/// Not thread-safe, like the Dispatcher.
+struct DispatchState {
+    DispatchState(Settings settings, std::uint64_t seed, Millis startedAt);
+    DispatchState(const DispatchState&) = delete;
+    DispatchState& operator=(const DispatchState&) = delete;
+
+    Settings settings;
+    SplitMix random;
+    Millis now;  ///< of the event that is being handled; never goes back
+    ActionList actions;
+    HostTable hosts;
+    RouteTable routes;
+    ServiceTable services;
+    Selection selection;
+    HostHealth health;
+    AttemptLog attempts;
+    ReportedLoad reportedLoad;
+
+    [[nodiscard]] bool on(Mechanism mechanism) const { return settings.mechanisms.on(mechanism); }
+    /// The service that was drawn for the request. Marks it as used now.
+    ServiceState& serviceOf(const Request& request);
+    /// The record of the request's route, with the request's latency target. Marks it as used now.
+    RouteRecord& routeOf(const Request& request);
+    /// The hosts that the request may be sent to now, best score first.
+    [[nodiscard]] std::vector<coordinator::policy::Scored> ranked(const Request& request);
+    /// Whether the route's answers come well within its latency target. Where all hosts are slow alike, hedged attempts
+    /// would only feed the overload.
+    [[nodiscard]] bool isCalm(const Request& request);
+};
+
+}  // namespace beechpoint::dispatch
--- a/src/dispatch/hedge_budget.hpp
+++ b/src/dispatch/hedge_budget.hpp
@@ -6,22 +6,22 @@
 
 namespace beechpoint::dispatch {
 
-class CopyBudget {
+class HedgeBudget {
 public:
-    explicit CopyBudget(Millis window)
-        : repeatable_(window, SlidingCount::Edge::lower), copies_(window, SlidingCount::Edge::upper) {}
+    explicit HedgeBudget(Millis window)
+        : idempotent_(window, SlidingCount::Edge::lower), hedged_(window, SlidingCount::Edge::upper) {}
 
-    void repeatableArrived(Millis now) { repeatable_.add(now); }
+    void idempotentArrived(Millis now) { idempotent_.add(now); }
     bool allows(Millis now) {
-        return static_cast<double>(copies_.count(now)) + 1 <=
-               kCopyShare * static_cast<double>(repeatable_.count(now));
+        return static_cast<double>(hedged_.count(now)) + 1 <=
+               kHedgedPart * static_cast<double>(idempotent_.count(now));
     }
-    void spend(Millis now) { copies_.add(now); }
+    void spend(Millis now) { hedged_.add(now); }
 
 private:
-    static constexpr double kCopyShare = 0.1;
+    static constexpr double kHedgedPart = 0.1;
 
-    SlidingCount repeatable_, copies_;
+    SlidingCount idempotent_, hedged_;
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/host_health.cpp
+++ b/src/dispatch/host_health.cpp
@@ -8,74 +8,75 @@
 
 namespace {
 
-constexpr Millis kProbeFirstGap = 500;  // between looks at a host that is cut off; doubled up to
-constexpr Millis kProbeLongestGap = 2000;
-constexpr Millis kProbeOwed = 3000;  // a probe whose end does not come is given up
-constexpr Millis kFullLeast = 20;    // a host that says it is full gets nothing for so long at least
-constexpr Millis kFullMost = 500;
+constexpr Millis kFirstCheckInterval = 500;  // between looks at a host that is cut off; doubled up to
+constexpr Millis kLongestCheckInterval = 2000;
+constexpr Millis kCheckTimeout = 3000;     // a probe whose end does not come is given up
+constexpr Millis kShortestFullPause = 20;  // a host that says it is full gets nothing for so long at least
+constexpr Millis kLongestFullPause = 500;
 
 }  // namespace
 
-void HostHealth::full(HostSlot& slot, const RouteRecord& route, Millis now) {
+void HostHealth::markFull(HostSlot& slot, const RouteRecord& route, Millis now) {
     const Millis mean = 1000 * route.timeS(now);
-    slot.fullUntil = now + std::clamp(mean, kFullLeast, kFullMost);
+    slot.fullUntil = now + std::clamp(mean, kShortestFullPause, kLongestFullPause);
 }
 
-void HostHealth::cutOff(HostSlot& slot, bool down, Millis now) {
-    if (!slot.cut) {
-        slot.probeAt = now;
-        slot.probeGap = kProbeFirstGap;
-        actions_.say("host cut off", fmt::format("{} at {}", slot.host.instanceId, slot.host.address));
+void HostHealth::markPartitioned(HostSlot& slot, bool down, Millis now) {
+    if (!slot.partitioned) {
+        slot.healthCheckAt = now;
+        slot.healthCheckInterval = kFirstCheckInterval;
+        actions_.log("host partitioned", fmt::format("{} at {}", slot.host.instanceId, slot.host.address));
     }
-    slot.cut = true;
-    slot.down = slot.down || down;
+    slot.partitioned = true;
+    slot.unreachable = slot.unreachable || down;
 }
 
 // One that could not be reached at all may have started anew and is taken for cold.
-void HostHealth::reached(HostSlot& slot, Millis now) {
-    if (slot.down) slot.coldSince = now;
-    if (slot.cut) actions_.say("host back", slot.host.instanceId);
-    slot.cut = slot.down = false;
+void HostHealth::markReachable(HostSlot& slot, Millis now) {
+    if (slot.unreachable) slot.warmingUpSince = now;
+    if (slot.partitioned) actions_.log("host reachable", slot.host.instanceId);
+    slot.partitioned = slot.unreachable = false;
 }
 
-void HostHealth::warming(const WarmupReported& seen, Millis now) {
+void HostHealth::markWarmingUp(const WarmupReported& seen, Millis now) {
     const int index = hosts_.find(seen.instanceId);
     if (index < 0 || seen.left <= 0) return;
     HostSlot& slot = hosts_.at(index);
-    slot.coldUntil = std::max(slot.coldUntil, now + seen.left);
+    slot.warmingUpUntil = std::max(slot.warmingUpUntil, now + seen.left);
 }
 
-void HostHealth::probe(HostSlot& slot, Millis now) {
-    slot.probing = true;
-    slot.probeAt = now + kProbeOwed;
+void HostHealth::requestHealthCheck(HostSlot& slot, Millis now) {
+    slot.healthCheckPending = true;
+    slot.healthCheckAt = now + kCheckTimeout;
     actions_.act(CheckHealth{slot.host.instanceId, slot.host.address, slot.host.service});
 }
 
-void HostHealth::probeSilent(HostSlot& slot, Millis now) {
-    if (slot.listed && !slot.cut && (!slot.probing || now >= slot.probeAt)) probe(slot, now);
+void HostHealth::checkUnresponsive(HostSlot& slot, Millis now) {
+    if (slot.listed && !slot.partitioned && (!slot.healthCheckPending || now >= slot.healthCheckAt))
+        requestHealthCheck(slot, now);
 }
 
-void HostHealth::probeCutHosts(Millis now) {
-    nextProbeAt_ = std::numeric_limits<double>::infinity();
+void HostHealth::checkPartitioned(Millis now) {
+    nextCheckAt_ = std::numeric_limits<double>::infinity();
     for (int i = 0; i < static_cast<int>(hosts_.size()); ++i) {
         HostSlot& slot = hosts_.at(i);
-        if (!slot.cut || !slot.listed) continue;
-        if (now >= slot.probeAt) probe(slot, now);
-        nextProbeAt_ = std::min(nextProbeAt_, slot.probeAt);
+        if (!slot.partitioned || !slot.listed) continue;
+        if (now >= slot.healthCheckAt) requestHealthCheck(slot, now);
+        nextCheckAt_ = std::min(nextCheckAt_, slot.healthCheckAt);
     }
 }
 
-void HostHealth::probeEnded(const HealthCheckEnded& ended, Millis now) {
+void HostHealth::healthCheckEnded(const HealthCheckEnded& ended, Millis now) {
     const int index = hosts_.find(ended.instanceId);
     if (index < 0) return;
     HostSlot& slot = hosts_.at(index);
-    slot.probing = false;
-    if (ended.warmupLeft > 0) warming(WarmupReported{ended.instanceId, ended.warmupLeft}, now);
-    if (ended.healthy) return reached(slot, now);
-    if (ended.answered && !slot.cut) return;  // it lives, and is full or leaving
-    cutOff(slot, !ended.answered, now);
-    slot.probeAt = now + slot.probeGap;
-    slot.probeGap = std::min(2 * slot.probeGap, kProbeLongestGap);
+    slot.healthCheckPending = false;
+    if (ended.warmupLeft > 0) markWarmingUp(WarmupReported{ended.instanceId, ended.warmupLeft}, now);
+    if (ended.healthy) return markReachable(slot, now);
+    if (ended.answered && !slot.partitioned) return;  // it lives, and is full or leaving
+    markPartitioned(slot, !ended.answered, now);
+    slot.healthCheckAt = now + slot.healthCheckInterval;
+    slot.healthCheckInterval = std::min(2 * slot.healthCheckInterval, kLongestCheckInterval);
 }
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/host_health.hpp
+++ b/src/dispatch/host_health.hpp
@@ -17,25 +17,25 @@
     HostHealth(HostTable& hosts, ActionList& actions) : hosts_(hosts), actions_(actions) {}
 
     // It says that it is full: it gets nothing for about one mean time. Overload is no fault.
-    void full(HostSlot& slot, const RouteRecord& route, Millis now);
+    void markFull(HostSlot& slot, const RouteRecord& route, Millis now);
     // `down`: it could not be reached at all, and may start anew.
-    void cutOff(HostSlot& slot, bool down, Millis now);
-    void reached(HostSlot& slot, Millis now);
-    void warming(const WarmupReported& seen, Millis now);
-    void probeEnded(const HealthCheckEnded& ended, Millis now);
+    void markPartitioned(HostSlot& slot, bool down, Millis now);
+    void markReachable(HostSlot& slot, Millis now);
+    void markWarmingUp(const WarmupReported& seen, Millis now);
+    void healthCheckEnded(const HealthCheckEnded& ended, Millis now);
     // Asks after a host that is silent, unless that is under way.
-    void probeSilent(HostSlot& slot, Millis now);
+    void checkUnresponsive(HostSlot& slot, Millis now);
     // Asks after all that are cut off, as far as that is due.
-    void probeCutHosts(Millis now);
+    void checkPartitioned(Millis now);
     // When the next of these is due.
-    Millis nextProbeAt() const { return nextProbeAt_; }
+    Millis nextCheckAt() const { return nextCheckAt_; }
 
 private:
-    void probe(HostSlot& slot, Millis now);
+    void requestHealthCheck(HostSlot& slot, Millis now);
 
     HostTable& hosts_;
     ActionList& actions_;
-    Millis nextProbeAt_ = std::numeric_limits<double>::infinity();
+    Millis nextCheckAt_ = std::numeric_limits<double>::infinity();
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/host_table.cpp
+++ b/src/dispatch/host_table.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Millis kRemembered = 30000;  // a host that is not listed: a torn list is no new life
+constexpr Millis kUnlistedMemory = 30000;  // a host that is not listed: a torn list is no new life
 
 }  // namespace
 
@@ -18,29 +18,29 @@
         HostSlot& slot = at(i);
         if (slot.listed)
             byService_[slot.host.service].push_back(i);
-        else if (slot.goneAt == 0)
-            slot.goneAt = now;
+        else if (slot.unlistedAt == 0)
+            slot.unlistedAt = now;
     }
-    listedOnce_ = true;
+    listReceived_ = true;
 }
 
 void HostTable::listHost(const Host& host, Millis now) {
     const auto known = index_.find(host.instanceId);
-    const bool fresh = known == index_.end();
-    HostSlot& slot = at(fresh ? place(host.instanceId) : known->second);
-    const bool returned = !fresh && slot.goneAt > 0;
+    const bool added = known == index_.end();
+    HostSlot& slot = at(added ? allocateSlot(host.instanceId) : known->second);
+    const bool returned = !added && slot.unlistedAt > 0;
     slot.host = host;
     slot.listed = true;
-    slot.goneAt = 0;
-    if (host.warmupLeft > 0) slot.coldUntil = std::max(slot.coldUntil, now + host.warmupLeft);
-    if ((fresh && listedOnce_) || returned) slot.coldSince = now;
+    slot.unlistedAt = 0;
+    if (host.warmupLeft > 0) slot.warmingUpUntil = std::max(slot.warmingUpUntil, now + host.warmupLeft);
+    if ((added && listReceived_) || returned) slot.warmingUpSince = now;
 }
 
 void HostTable::evacuate(const EvacuatedZones& zones, Millis now) {
     const std::set<std::string> next(zones.zones.begin(), zones.zones.end());
     for (HostSlot& slot : slots_) {
-        const bool takenBack = evacuated_.contains(slot.host.zone) && !next.contains(slot.host.zone);
-        if (slot.listed && takenBack) slot.coldSince = now;
+        const bool returned = evacuated_.contains(slot.host.zone) && !next.contains(slot.host.zone);
+        if (slot.listed && returned) slot.warmingUpSince = now;
     }
     evacuated_ = next;
 }
@@ -61,7 +61,7 @@
     return found == byService_.end() ? none : found->second;
 }
 
-int HostTable::place(const std::string& instance) {
+int HostTable::allocateSlot(const std::string& instance) {
     int index = static_cast<int>(slots_.size());
     if (spare_.empty()) {
         slots_.emplace_back();
@@ -80,8 +80,8 @@
             const coordinator::policy::Record& record = entry.second;
             return record.out.empty() && std::max(record.f.at, record.lastServed) < toNanos(oldest);
         });
-        const bool gone = !slot.listed && slot.goneAt > 0 && now > slot.goneAt + kRemembered;
-        if (!gone || slot.out > 0 || slot.host.instanceId.empty()) continue;
+        const bool gone = !slot.listed && slot.unlistedAt > 0 && now > slot.unlistedAt + kUnlistedMemory;
+        if (!gone || slot.inFlight > 0 || slot.host.instanceId.empty()) continue;
         index_.erase(slot.host.instanceId);
         keys_.erase(hostKey(slot.host.instanceId));
         slot = HostSlot{};
--- a/src/dispatch/host_table.hpp
+++ b/src/dispatch/host_table.hpp
@@ -28,7 +28,7 @@
     double newSlowness = 0;  // measured here and not told yet; 0: none
     coordinator::policy::Mean failures{coordinator::policy::kFailMemoryS};  // all routes
 
-    int out = 0;            // attempts whose end is owed
+    int inFlight = 0;       // attempts whose end is owed
     int waiting = 0;        // of these, without a first event
     double waitingS = 0;    // seconds that the host is expected to read for them
     int othersWaiting = 0;  // the same of the other gateways, as they tell
@@ -36,20 +36,20 @@
     Millis progressAt = 0;     // when something last ceased to wait there, or began to after nothing did
     bool loadChanged = false;  // since it was last told to the other gateways
 
-    Millis fullUntil = 0;  // it said so
-    bool cut = false;      // a connection broke or could not be made, and no probe has passed since
-    bool down = false;     // could not be reached at all: cold once it can
-    bool probing = false;
-    Millis probeAt = 0;  // the next one, while cut
-    Millis probeGap = 0;
+    Millis fullUntil = 0;      // it said so
+    bool partitioned = false;  // a connection broke or could not be made, and no probe has passed since
+    bool unreachable = false;  // could not be reached at all: cold once it can
+    bool healthCheckPending = false;
+    Millis healthCheckAt = 0;  // the next one, while cut
+    Millis healthCheckInterval = 0;
 
-    Millis coldUntil = 0;  // as told
-    Millis coldSince = 0;  // counts as cold for the service's warm-up from here; 0: doesn't
-    ColdLog sends;
-    Millis goneAt = 0;  // since when it is not listed
+    Millis warmingUpUntil = 0;  // as told
+    Millis warmingUpSince = 0;  // counts as cold for the service's warm-up from here; 0: doesn't
+    SlowStartLog sends;
+    Millis unlistedAt = 0;  // since when it is not listed
 
-    bool cold(Millis now, Millis warmup) const {
-        return now < coldUntil || (coldSince > 0 && now < coldSince + warmup);
+    bool warmingUp(Millis now, Millis warmup) const {
+        return now < warmingUpUntil || (warmingUpSince > 0 && now < warmingUpSince + warmup);
     }
 };
 
@@ -76,7 +76,7 @@
     void prune(Millis now, Millis oldest);
 
 private:
-    int place(const std::string& instance);
+    int allocateSlot(const std::string& instance);
     void listHost(const Host& host, Millis now);
 
     std::vector<HostSlot> slots_;
@@ -85,7 +85,7 @@
     std::unordered_map<std::uint32_t, int> keys_;
     std::unordered_map<std::string, std::vector<int>> byService_;
     std::set<std::string> evacuated_;
-    bool listedOnce_ = false;
+    bool listReceived_ = false;
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/messages.hpp
+++ b/src/dispatch/messages.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "core/clock.hpp"
+#include "dispatch/reject_reason.hpp"
 
 namespace beechpoint::dispatch {
 
@@ -180,7 +181,7 @@
     std::vector<HostSpeed> speeds;  // measured since its last word
 };
 
-// The process ends: every request gets its final action now, and no host is asked any more.
+// The process ends: every request gets its final action now, and no host is arrival any more.
 struct ShutDown {};
 
 struct Tick {};
@@ -226,6 +227,7 @@
     RequestId id = 0;
     int status = 503;
     Millis retryAfter = 0;
+    RejectReason reason = RejectReason::noHostAvailable;
 };
 
 // Final, without a promise: 502 or 504.
@@ -246,7 +248,7 @@
     std::string service;
 };
 
-// A Tick is wanted at this time; replaces the one asked for before.
+// A Tick is wanted at this time; replaces the one arrival for before.
 struct SetTimer {
     Millis at = 0;
 };
--- a/src/dispatch/predictor.cpp
+++ b/src/dispatch/predictor.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-constexpr double kAheadWeight = 0.35;    // growth of t for each attempt ahead, where no prompts are read
-constexpr double kPriorFailures = 2;     // weight of the host's failures over all routes
-constexpr double kLeastNormalS = 0.002;  // what is left of a time when its reading is taken off, at least
-constexpr double kLeastLeft =
+constexpr double kAheadWeight = 0.35;      // growth of t for each attempt ahead, where no prompts are read
+constexpr double kPriorFailureWeight = 2;  // weight of the host's failures over all routes
+constexpr double kMinNormalS = 0.002;      // what is left of a time when its reading is taken off, at least
+constexpr double kMinRemainingPart =
     0.3;  // share of what waits that is taken to be left, however long it has waited
-constexpr double kPriorSpeeds = 6;   // weight of the average host's speed
-constexpr double kLeastRead = 1500;  // tokens: fewer tell little of the speed
+constexpr double kPriorSpeedWeight = 6;     // weight of the average host's speed
+constexpr double kMinPrefillTokens = 1500;  // tokens: fewer tell little of the speed
 constexpr double kFastestHost = 0.4, kSlowestHost = 3;
-constexpr double kColdSlowness = 1.5;  // of a host that is cold and unheard
+constexpr double kWarmingUpSlowness = 1.5;  // of a host that is cold and unheard
 
 // Without word from the others they are taken to have as much waiting as this gateway has usually.
 double aheadWeight(const ServiceLoad& load) {
-    if (load.shared) return kAheadWeight;
+    if (load.othersReported) return kAheadWeight;
     const double others = (load.gateways - 1) * load.usualWaiting / (load.usualWaiting + 1);
     return kAheadWeight * (1 + others);
 }
@@ -27,47 +27,47 @@
 
 double Predictor::backlog(const HostSlot& slot, const ServiceLoad& load, Millis now) {
     const double work = std::max(0.0, slot.waitingS + slot.othersS);
-    if (!load.shared) return work;
-    return std::max(kLeastLeft * work, work - (now - slot.progressAt) / 1000);
+    if (!load.othersReported) return work;
+    return std::max(kMinRemainingPart * work, work - (now - slot.progressAt) / 1000);
 }
 
-double Predictor::readingS(const HostSlot& slot, const ServiceLoad& load, double tokens, Millis now) {
-    const double slowness = load.hostSpeed ? slot.slowness.value(toNanos(now), 1, kPriorSpeeds) : 1;
+double Predictor::prefillS(const HostSlot& slot, const ServiceLoad& load, double tokens, Millis now) {
+    const double slowness = load.hostSpeed ? slot.slowness.value(toNanos(now), 1, kPriorSpeedWeight) : 1;
     return slowness * load.rate.seconds(tokens);
 }
 
 double Predictor::timeS(const HostSlot& slot, const RouteRecord& route, const ServiceLoad& load,
                         double tokens, Millis now) {
     const coordinator::policy::Nanos at = toNanos(now);
-    const double slowness = now < slot.coldUntil ? kColdSlowness : 1;
+    const double slowness = now < slot.warmingUpUntil ? kWarmingUpSlowness : 1;
     const double ratio = load.hostSpeed ? slot.ratio.value(at, slowness) : slowness;
     const double prior = route.timeS(now) * ratio;
     const auto record = slot.records.find(route.id);
     const bool heard = record != slot.records.end();
     const double normal = heard ? record->second.t.value(at, prior) : prior;
     const int ahead = slot.waiting + slot.othersWaiting;
-    const double t = load.engine ? normal + backlog(slot, load, now) + readingS(slot, load, tokens, now)
+    const double t = load.engine ? normal + backlog(slot, load, now) + prefillS(slot, load, tokens, now)
                                  : normal * (1 + aheadWeight(load) * ahead);
     return std::max(t, heard ? record->second.silence(at) : 0);
 }
 
 double Predictor::failureShare(const HostSlot& slot, RouteId route, Millis now) {
     const coordinator::policy::Nanos at = toNanos(now);
-    const double prior = slot.failures.value(at, 0, kPriorFailures);
+    const double prior = slot.failures.value(at, 0, kPriorFailureWeight);
     const auto record = slot.records.find(route);
-    return record == slot.records.end() ? prior : record->second.f.value(at, prior, kPriorFailures);
+    return record == slot.records.end() ? prior : record->second.f.value(at, prior, kPriorFailureWeight);
 }
 
-void Predictor::sent(HostSlot& slot, RouteId route, const Sent& attempt) {
+void Predictor::sent(HostSlot& slot, RouteId route, const SentAttempt& attempt) {
     if (slot.waiting + slot.othersWaiting == 0) slot.progressAt = attempt.sentAt;
     slot.loadChanged = true;
-    ++slot.out;
+    ++slot.inFlight;
     ++slot.waiting;
     slot.waitingS += attempt.workS;
     slot.records[route].out.insert(toNanos(attempt.sentAt));
 }
 
-void Predictor::waitingEnded(HostSlot& slot, RouteId route, Sent& attempt, Millis now) {
+void Predictor::waitingEnded(HostSlot& slot, RouteId route, SentAttempt& attempt, Millis now) {
     if (!attempt.waiting) return;
     attempt.waiting = false;
     slot.loadChanged = true;
@@ -78,11 +78,11 @@
     if (const auto one = out.find(toNanos(attempt.sentAt)); one != out.end()) out.erase(one);
 }
 
-void Predictor::learnTime(HostSlot& slot, RouteRecord& route, ServiceLoad& load, const Sent& attempt,
+void Predictor::learnTime(HostSlot& slot, RouteRecord& route, ServiceLoad& load, const SentAttempt& attempt,
                           double tookS, bool atLeast, Millis now) {
     const coordinator::policy::Nanos at = toNanos(now);
     const double reading = attempt.aheadS + attempt.workS;
-    const double normal = load.engine ? std::max(kLeastNormalS, tookS - reading)
+    const double normal = load.engine ? std::max(kMinNormalS, tookS - reading)
                                       : tookS / (1 + aheadWeight(load) * attempt.ahead);
     const double usual = route.timeS(now);
     if (atLeast && normal <= usual) return;
@@ -95,7 +95,7 @@
     record.keepTime(tookS);
     if (!load.engine || attempt.ahead > 0) return;
     load.rate.add(attempt.tokens, tookS);
-    if (attempt.tokens < kLeastRead) return;
+    if (attempt.tokens < kMinPrefillTokens) return;
     const double slowness =
         std::clamp((tookS - usual) / load.rate.seconds(attempt.tokens), kFastestHost, kSlowestHost);
     slot.slowness.add(at, slowness);
--- a/src/dispatch/predictor.hpp
+++ b/src/dispatch/predictor.hpp
@@ -29,15 +29,15 @@
 // What is common to the hosts of a service.
 struct ServiceLoad {
     bool engine = false;
-    ReadingRate rate;
+    PrefillRate rate;
     double usualWaiting = 0;  // own attempts per host without a first event, over the last seconds
     int gateways = 1;
-    bool shared = false;    // the other gateways tell what they have waiting
-    bool hostSpeed = true;  // hosts differ in speed
+    bool othersReported = false;  // the other gateways tell what they have waiting
+    bool hostSpeed = true;        // hosts differ in speed
 };
 
 // An attempt as it was sent.
-struct Sent {
+struct SentAttempt {
     int host = 0;
     std::string service;
     std::string route;
@@ -57,15 +57,15 @@
     // Seconds that the host still reads for what waits there, of all gateways as far as known.
     static double backlog(const HostSlot& slot, const ServiceLoad& load, Millis now);
     // Seconds that the host reads so many prompt tokens.
-    static double readingS(const HostSlot& slot, const ServiceLoad& load, double tokens, Millis now);
+    static double prefillS(const HostSlot& slot, const ServiceLoad& load, double tokens, Millis now);
     static double failureShare(const HostSlot& slot, RouteId route, Millis now);
 
     // An attempt went out: it is waiting there.
-    static void sent(HostSlot& slot, RouteId route, const Sent& attempt);
+    static void sent(HostSlot& slot, RouteId route, const SentAttempt& attempt);
     // It waits no longer: its first event came, or it ended.
-    static void waitingEnded(HostSlot& slot, RouteId route, Sent& attempt, Millis now);
+    static void waitingEnded(HostSlot& slot, RouteId route, SentAttempt& attempt, Millis now);
     // It took `tookS` to its first event (or whole answer), or surely more (`atLeast`).
-    static void learnTime(HostSlot& slot, RouteRecord& route, ServiceLoad& load, const Sent& attempt,
+    static void learnTime(HostSlot& slot, RouteRecord& route, ServiceLoad& load, const SentAttempt& attempt,
                           double tookS, bool atLeast, Millis now);
     static void learnEnd(HostSlot& slot, RouteId route, bool served, Millis now);
 };
--- a/src/dispatch/prefill_rate.cpp
+++ b/src/dispatch/prefill_rate.cpp
@@ -11,13 +11,13 @@
 constexpr double kLeast = 30;       // weights of so many say something
 constexpr double kSpread = 500;     // tokens, standard deviation: less tells no slope
 constexpr double kFirstSize = 512;  // tokens; smaller prompts are all alike
-constexpr double kMostWeight = 60;  // of a correction: later ones count at least 1 in so many
-constexpr double kLeastFactor = 0.3, kMostFactor = 4;
+constexpr double kMaxWeight = 60;   // of a correction: later ones count at least 1 in so many
+constexpr double kMinFactor = 0.3, kMaxFactor = 4;
 constexpr double kSlowest = 5000, kFastest = 400000;  // tokens a second
 
 }  // namespace
 
-void ReadingRate::add(double tokens, double seconds) {
+void PrefillRate::add(double tokens, double seconds) {
     weight_ = weight_ * kKeep + 1;
     tokens_ = tokens_ * kKeep + tokens;
     time_ = time_ * kKeep + seconds;
@@ -31,24 +31,24 @@
     correct(tokens, seconds);
 }
 
-std::size_t ReadingRate::sizeOf(double tokens) {
+std::size_t PrefillRate::sizeOf(double tokens) {
     if (tokens < kFirstSize) return 0;
     const auto doublings = static_cast<std::size_t>(std::log2(tokens / kFirstSize));
     return std::min(kSizes - 1, 1 + doublings);
 }
 
-double ReadingRate::seconds(double tokens) const {
+double PrefillRate::seconds(double tokens) const {
     return tokens / rate_ * corrections_[sizeOf(tokens)].factor;
 }
 
 // The line's value for no tokens is what a request takes without reading.
-void ReadingRate::correct(double tokens, double seconds) {
+void PrefillRate::correct(double tokens, double seconds) {
     const std::size_t size = sizeOf(tokens);
     if (size == 0) return;
     const double without = std::max(0.0, (time_ - tokens_ / rate_) / weight_);
-    const double off = std::clamp((seconds - without) * rate_ / tokens, kLeastFactor, kMostFactor);
+    const double off = std::clamp((seconds - without) * rate_ / tokens, kMinFactor, kMaxFactor);
     Correction& correction = corrections_[size];
-    correction.weight = std::min(kMostWeight, correction.weight + 1);
+    correction.weight = std::min(kMaxWeight, correction.weight + 1);
     correction.factor += (off - correction.factor) / correction.weight;
 }
 
--- a/src/dispatch/prefill_rate.hpp
+++ b/src/dispatch/prefill_rate.hpp
@@ -8,7 +8,7 @@
 
 namespace beechpoint::dispatch {
 
-class ReadingRate {
+class PrefillRate {
 public:
     void add(double tokens, double seconds);
     double tokensPerSecond() const { return rate_; }
--- a/src/dispatch/shared_load.cpp
+++ b/src/dispatch/reported_load.cpp
@@ -1,13 +1,13 @@
-#include "dispatch/shared_load.hpp"
+#include "dispatch/reported_load.hpp"
 
 #include <algorithm>
 
 namespace beechpoint::dispatch {
 
-void SharedLoad::told(const PeerLoad& load, Millis now) {
-    if (!sources_.contains(load.source) && sources_.size() >= kMostSources) return;
+void ReportedLoad::update(const PeerLoad& load, Millis now) {
+    if (!sources_.contains(load.source) && sources_.size() >= kMaxSources) return;
     Source& source = sources_[load.source];
-    source.lastsUntil = now + load.validFor;
+    source.validUntil = now + load.validFor;
     if (load.full) {
         std::vector<std::uint32_t> ended;
         for (const auto& [host, figures] : source.hosts)
@@ -21,20 +21,20 @@
             hosts_.at(index).slowness.add(toNanos(now), speed.slowness);
 }
 
-void SharedLoad::replace(Source& source, const HostLoad& load, Millis now) {
+void ReportedLoad::replace(Source& source, const HostLoad& load, Millis now) {
     const auto known = source.hosts.find(load.host);
     const Figures before = known == source.hosts.end() ? Figures{} : known->second;
     if (load.waiting == 0) {
         if (known != source.hosts.end()) source.hosts.erase(known);
     } else {
-        if (known == source.hosts.end() && source.hosts.size() >= kMostHosts) return;
+        if (known == source.hosts.end() && source.hosts.size() >= kMaxHosts) return;
         source.hosts[load.host] = Figures{load.waiting, load.workS};
     }
     const double workS = load.waiting == 0 ? 0 : load.workS;
     add(load.host, load.waiting - before.waiting, workS - before.workS, now);
 }
 
-void SharedLoad::add(std::uint32_t host, int waiting, double workS, Millis now) {
+void ReportedLoad::add(std::uint32_t host, int waiting, double workS, Millis now) {
     Figures& total = totals_[host];
     const int index = hosts_.findKey(host);
     if (index >= 0 && (total.waiting + hosts_.at(index).waiting == 0 || waiting < 0))
@@ -45,23 +45,23 @@
     if (total.waiting == 0) totals_.erase(host);
 }
 
-void SharedLoad::write(std::uint32_t host, const Figures& total) {
+void ReportedLoad::write(std::uint32_t host, const Figures& total) {
     const int index = hosts_.findKey(host);
     if (index < 0) return;
     hosts_.at(index).othersWaiting = total.waiting;
     hosts_.at(index).othersS = std::max(0.0, total.workS);
 }
 
-void SharedLoad::hostsChanged() {
+void ReportedLoad::hostsChanged() {
     for (const auto& [host, total] : totals_) write(host, total);
 }
 
-void SharedLoad::expire(Millis now) {
-    std::vector<std::uint64_t> silent;
+void ReportedLoad::expire(Millis now) {
+    std::vector<std::uint64_t> expired;
     for (const auto& [name, source] : sources_)
-        if (now > source.lastsUntil) silent.push_back(name);
-    for (const std::uint64_t name : silent) {
-        told(PeerLoad{name, true, {}, 0, {}}, now);
+        if (now > source.validUntil) expired.push_back(name);
+    for (const std::uint64_t name : expired) {
+        update(PeerLoad{name, true, {}, 0, {}}, now);
         sources_.erase(name);
     }
 }
--- a/src/dispatch/shared_load.hpp
+++ b/src/dispatch/reported_load.hpp
@@ -17,20 +17,20 @@
 
 namespace beechpoint::dispatch {
 
-class SharedLoad {
+class ReportedLoad {
 public:
-    static constexpr std::size_t kMostSources = 1024;
-    static constexpr std::size_t kMostHosts = 4096;  // of one source
+    static constexpr std::size_t kMaxSources = 1024;
+    static constexpr std::size_t kMaxHosts = 4096;  // of one source
 
-    explicit SharedLoad(HostTable& hosts) : hosts_(hosts) {}
+    explicit ReportedLoad(HostTable& hosts) : hosts_(hosts) {}
 
-    void told(const PeerLoad& load, Millis now);
+    void update(const PeerLoad& load, Millis now);
     // The table of hosts has changed: writes the totals into their slots again.
     void hostsChanged();
     // Forgets sources that are silent.
     void expire(Millis now);
     // Whether any source is heard.
-    bool heard() const { return !sources_.empty(); }
+    bool active() const { return !sources_.empty(); }
 
 private:
     struct Figures {
@@ -38,7 +38,7 @@
         double workS = 0;
     };
     struct Source {
-        Millis lastsUntil = 0;
+        Millis validUntil = 0;
         std::unordered_map<std::uint32_t, Figures> hosts;
     };
 
--- a/src/dispatch/request.hpp
+++ b/src/dispatch/request.hpp
@@ -1,7 +1,8 @@
-// A request that the dispatcher holds, and its attempts.
+/// A request that the dispatcher works on, and its attempts. Plain data with questions about it; the decisions are made
+/// by AttemptSender, InitialSend, Failover, OverdueAttempts and RequestCompletion.
 #pragma once
 
-#include <algorithm>
+#include <cstddef>
 #include <string>
 #include <vector>
 
@@ -12,61 +13,58 @@
 namespace beechpoint::dispatch {
 
 struct Attempt {
-    int host = 0;  // in the host table, valid while out
-    std::string instance;
+    int host = 0;          ///< index in the host table, valid while in flight
+    std::string instance;  ///< id of the host's instance
     Millis sentAt = 0;
-    double expectedS = 0;  // to the first event, as predicted at the sending
-    int status = 0;        // of the head; 0: none yet
-    bool out = true;
+    double expectedS = 0;  ///< seconds to the first event, as predicted when it was sent
+    int status = 0;        ///< of the head; 0: none yet
+    bool inFlight = true;  ///< its AttemptEnded has not come
     bool cancelled = false;
     bool mayHaveRun = true;
     bool mayHaveArrived = true;
     bool firstByte = false;
-    bool unusable = false;  // its head is no proper answer
+    bool unusable = false;  ///< its head is no proper answer
 };
 
 struct Request {
-    RequestArrived asked;
-    std::string service;  // the one that was drawn
+    RequestArrived arrival;
+    std::string service;  ///< the one that was drawn; empty: none
     SharedPrefix shared;
     double promptTokens = 0;
-    double bytes = 0;  // both ways, as guessed at arrival
-    Millis arrivedAt = 0, latencyTargetAt = 0, deadlineAt = 0;
+    double bytes = 0;  ///< both ways, as guessed at arrival
+    Millis arrivedAt = 0;
+    Millis latencyTargetAt = 0;
+    Millis deadlineAt = 0;
 
-    std::vector<Attempt> attempts;
-    int width = 1;
-    bool copiesAlone = false;
-    bool waiting = false;  // for a host that may take it
-    Millis giveUpAt = 0;   // while waiting
-    bool open = false;     // the client has a head
-    int relayed = -1;      // the attempt whose answer goes to the client
-    std::string lastEventId;
+    std::vector<Attempt> attempts;        ///< by their number
+    int width = 1;                        ///< hosts that it was sent to at once
+    bool failsOverIndependently = false;  ///< with a width above 1: each attempt fails over by itself
+    bool pending = false;                 ///< waits for a host that may take it
+    Millis pendingUntil = 0;              ///< while pending: it is given up then
+    bool open = false;                    ///< the client has a head
+    int relayed = -1;                     ///< number of the attempt whose answer goes to the client; -1: none
+    std::string lastEventId;              ///< of a relayed stream: the last event that the client has
 
-    Attempt& attempt(int number) { return attempts[static_cast<std::size_t>(number)]; }
-    const Attempt& attempt(int number) const { return attempts[static_cast<std::size_t>(number)]; }
-    bool streaming() const { return asked.type == RequestType::streaming; }
-    bool resumable() const { return streaming() && asked.resumable; }
-    bool idempotent() const { return asked.type == RequestType::idempotent || resumable(); }
-    int outCount() const {
-        return static_cast<int>(
-            std::count_if(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; }));
-    }
-    // Hosts that it was sent to, as far as is known.
-    int hostsUsed() const {
-        return static_cast<int>(std::count_if(attempts.begin(), attempts.end(),
-                                              [](const Attempt& a) { return a.mayHaveArrived; }));
-    }
-    bool mayHaveRun() const {
-        return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.mayHaveRun; });
-    }
-    bool triedAt(const std::string& instance) const {
-        return std::any_of(attempts.begin(), attempts.end(),
-                           [&](const Attempt& a) { return a.instance == instance; });
-    }
-    bool outAt(const std::string& instance) const {
-        return std::any_of(attempts.begin(), attempts.end(),
-                           [&](const Attempt& a) { return a.out && a.instance == instance; });
+    [[nodiscard]] Attempt& attempt(int number) { return attempts[static_cast<std::size_t>(number)]; }
+    [[nodiscard]] const Attempt& attempt(int number) const {
+        return attempts[static_cast<std::size_t>(number)];
     }
+    [[nodiscard]] bool streaming() const { return arrival.type == RequestType::streaming; }
+    [[nodiscard]] bool resumable() const { return streaming() && arrival.resumable; }
+    /// May run twice (RFC 9110, 9.2.2).
+    [[nodiscard]] bool idempotent() const { return arrival.type == RequestType::idempotent || resumable(); }
+    /// Whether a second attempt may be in flight beside the first.
+    [[nodiscard]] bool hedgingAllowed() const { return idempotent() && !open; }
+    [[nodiscard]] int inFlightCount() const;
+    /// Attempts that reached a host, as far as is known.
+    [[nodiscard]] int hostsUsed() const;
+    /// Whether any attempt may have run at its host.
+    [[nodiscard]] bool mayHaveRun() const;
+    [[nodiscard]] bool triedAt(const std::string& instance) const;
+    [[nodiscard]] bool inFlightAt(const std::string& instance) const;
 };
 
+/// No host may take the request now: it becomes pending, for at most maxPendingTime(). Nothing where it is already.
+void awaitHost(Request& request, Millis now);
+
 }  // namespace beechpoint::dispatch
--- /dev/null
+++ b/src/dispatch/request_completion.cpp
@@ -0,0 +1,65 @@
+#include "dispatch/request_completion.hpp"
+
+#include "dispatch/admission.hpp"
+
+namespace beechpoint::dispatch {
+
+namespace {
+
+constexpr int kNoAttempt = -1;
+constexpr int kServiceUnavailable = 503;
+constexpr int kBadGateway = 502;
+constexpr int kGatewayTimeout = 504;
+
+}  // namespace
+
+void RequestCompletion::relay(Request& request, int number) {
+    if (request.relayed == number) return;
+    request.relayed = number;
+    request.open = true;
+    state_.actions.act(Relay{request.arrival.id, number});
+    cancelOthers(request, number);
+}
+
+void RequestCompletion::end(Request& request) {
+    cancelOthers(request, kNoAttempt);
+    requests_.erase(request.arrival.id);
+}
+
+void RequestCompletion::giveUp(Request& request, RejectReason reason) {
+    const RequestId id = request.arrival.id;
+    if (request.open) {
+        state_.actions.act(AbortResponse{id});
+    } else if (!request.mayHaveRun()) {
+        // A Reject promises that nothing has run, also where running twice would do no harm.
+        const Millis advice = retryAfter(0, request.deadlineAt - state_.now);
+        state_.actions.act(Reject{id, kServiceUnavailable, advice, reason});
+    } else {
+        state_.actions.act(Fail{id, kBadGateway});
+    }
+    end(request);
+}
+
+void RequestCompletion::giveUpUnlessInFlight(Request& request, RejectReason reason) {
+    if (request.inFlightCount() == 0) giveUp(request, reason);
+}
+
+void RequestCompletion::timeOut(Request& request) {
+    const RequestId id = request.arrival.id;
+    if (request.open)
+        state_.actions.act(AbortResponse{id});
+    else
+        state_.actions.act(Fail{id, kGatewayTimeout});
+    end(request);
+}
+
+void RequestCompletion::cancelOthers(Request& request, int except) {
+    for (int i = 0; i < static_cast<int>(request.attempts.size()); ++i) {
+        Attempt& attempt = request.attempt(i);
+        if (i == except || !attempt.inFlight || attempt.cancelled) continue;
+        attempt.cancelled = true;
+        state_.actions.act(Cancel{request.arrival.id, i});
+    }
+}
+
+}  // namespace beechpoint::dispatch
--- a/src/dispatch/retry_budget.cpp
+++ b/src/dispatch/retry_budget.cpp
@@ -15,16 +15,16 @@
 RetryBudget::RetryBudget(const RetryBounds& bounds)
     : bounds_(bounds),
       requests_(bounds.window, SlidingCount::Edge::lower),
-      further_(bounds.window * kWindowPart, SlidingCount::Edge::upper) {}
+      retries_(bounds.window * kWindowPart, SlidingCount::Edge::upper) {}
 
-void RetryBudget::fleet(int gateways, bool known) {
-    slackShare_ = known ? kSlackPart * bounds_.slack / std::max(1, gateways) : 0;
+void RetryBudget::setFleet(int gateways, bool known) {
+    slackPart_ = known ? kSlackPart * bounds_.slack / std::max(1, gateways) : 0;
 }
 
 bool RetryBudget::allows(Millis now) {
     const double requests = static_cast<double>(requests_.count(now));
-    const double further = static_cast<double>(further_.count(now));
-    return further + 1 <= kRatioPart * bounds_.ratio * requests + slackShare_;
+    const double retries = static_cast<double>(retries_.count(now));
+    return retries + 1 <= kRatioPart * bounds_.ratio * requests + slackPart_;
 }
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/retry_budget.hpp
+++ b/src/dispatch/retry_budget.hpp
@@ -25,16 +25,16 @@
 public:
     explicit RetryBudget(const RetryBounds& bounds);
 
-    void fleet(int gateways, bool known);
+    void setFleet(int gateways, bool known);
     void requested(Millis now) { requests_.add(now); }  // a client's request for the service
     bool allows(Millis now);
-    void spend(Millis now) { further_.add(now); }
+    void spend(Millis now) { retries_.add(now); }
 
 private:
     RetryBounds bounds_;
-    double slackShare_ = 0;
+    double slackPart_ = 0;
     SlidingCount requests_;
-    SlidingCount further_;
+    SlidingCount retries_;
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/route_table.cpp
+++ b/src/dispatch/route_table.cpp
@@ -3,7 +3,7 @@
 namespace beechpoint::dispatch {
 
 RouteRecord& RouteTable::use(const std::string& name, Millis now) {
-    if (routes_.size() >= kMostRoutes && !routes_.contains(name)) evictOne();
+    if (routes_.size() >= kMaxRoutes && !routes_.contains(name)) evictOne();
     RouteRecord& record = routes_[name];
     if (record.id == 0) record.id = ++last_;
     record.usedAt = now;
--- a/src/dispatch/route_table.hpp
+++ b/src/dispatch/route_table.hpp
@@ -17,7 +17,7 @@
     void prune(Millis oldest);
 
 private:
-    static constexpr std::size_t kMostRoutes = 4096;
+    static constexpr std::size_t kMaxRoutes = 4096;
 
     void evictOne();
 
--- a/src/dispatch/selection.cpp
+++ b/src/dispatch/selection.cpp
@@ -16,7 +16,7 @@
 constexpr double kPerThousand = 1e-3, kPerMillion = 1e-6;
 
 bool regionAllowed(const Request& request, const std::string& region) {
-    const auto& regions = request.asked.allowedRegions;
+    const auto& regions = request.arrival.allowedRegions;
     if (!regions) return true;
     return !region.empty() && std::find(regions->begin(), regions->end(), region) != regions->end();
 }
@@ -34,7 +34,7 @@
 
 double Selection::crossingScore(double price, Millis delay, double bytes, const Request& request) const {
     return policy::kDropAbove * price * bytes * kPerMillion +
-           delay / (policy::kGainShare * std::max(1.0, request.asked.latencyTarget));
+           delay / (policy::kGainShare * std::max(1.0, request.arrival.latencyTarget));
 }
 
 double Selection::crossingScore(const Request& request, const Host& host) const {
@@ -46,7 +46,7 @@
                                        : crossingScore(settings_.prices.crossZone, 0, request.bytes, request);
 }
 
-double Selection::readingScore(const Request& request, double miss) const {
+double Selection::prefillScore(const Request& request, double miss) const {
     return policy::kDropAbove * settings_.prices.sharedRead * miss * request.shared.tokens * kPerThousand;
 }
 
@@ -56,14 +56,14 @@
     const double bytes = kBytesPerToken * request.shared.tokens;
     const double crossing =
         crossingScore(settings_.prices.crossRegion, settings_.crossRegionDelay, bytes, request);
-    if (crossing <= readingScore(request, 1)) return false;
+    if (crossing <= prefillScore(request, 1)) return false;
     const auto own = std::count_if(hosts.begin(), hosts.end(),
                                    [&](int i) { return hosts_.at(i).host.region == settings_.region; });
     return static_cast<std::size_t>(own) >= kRegionalHosts;
 }
 
-std::vector<Selection::Option> Selection::placed(const Request& request,
-                                                 const std::vector<int>& hosts) const {
+std::vector<Selection::Option> Selection::withAffinity(const Request& request,
+                                                       const std::vector<int>& hosts) const {
     const bool ownRegion = regional(request, hosts);
     std::vector<Option> result;
     std::vector<std::size_t> places;  // in result, of those that may be the prefix's home
@@ -92,7 +92,7 @@
 std::vector<Selection::Option> Selection::options(const Request& request, const ServiceState& service) const {
     const std::vector<int> hosts = allowed(request);
     const bool homes = settings_.mechanisms.on(Mechanism::prefixHomes);
-    if (homes && service.load.engine && request.shared.tokens > 0) return placed(request, hosts);
+    if (homes && service.load.engine && request.shared.tokens > 0) return withAffinity(request, hosts);
     std::vector<Option> result;
     for (const int i : hosts) result.push_back({i, 0});
     return result;
@@ -101,8 +101,8 @@
 bool Selection::takesNow(HostSlot& slot, const Request& request, const ServiceState& service,
                          Millis now) const {
     const bool full = now < slot.fullUntil && settings_.mechanisms.on(Mechanism::fullPause);
-    if (full || request.outAt(slot.host.instanceId)) return false;
-    if (!service.coldBounded() || !slot.cold(now, service.warmup())) return true;
+    if (full || request.inFlightAt(slot.host.instanceId)) return false;
+    if (!service.warmupBounded() || !slot.warmingUp(now, service.warmup())) return true;
     return slot.sends.allows(now, service.slowStartShare);
 }
 
@@ -112,20 +112,20 @@
     const double own = request.promptTokens - request.shared.tokens;
     for (const Option& option : options(request, service)) {
         HostSlot& slot = hosts_.at(option.host);
-        if (slot.down || !takesNow(slot, request, service, now)) continue;
+        if (slot.unreachable || !takesNow(slot, request, service, now)) continue;
         policy::Scored scored{option.host, 0, 0, 0};
         const double tokens = own + option.miss * request.shared.tokens;
         scored.t = Predictor::timeS(slot, route, service.load, tokens, now);
         scored.f = Predictor::failureShare(slot, route.id, now);
         scored.s = scored.t / route.gainTargetS() + policy::kDropAbove * scored.f;
-        scored.s += readingScore(request, option.miss) + crossingScore(request, slot.host);
+        scored.s += prefillScore(request, option.miss) + crossingScore(request, slot.host);
         all.push_back(scored);
-        if (!slot.cut) sound.push_back(scored);
+        if (!slot.partitioned) sound.push_back(scored);
     }
     return policy::ranking(sound.empty() ? all : sound);
 }
 
-double Selection::tokensToRead(const Request& request, const ServiceState& service, int host) const {
+double Selection::tokensToPrefill(const Request& request, const ServiceState& service, int host) const {
     const double own = request.promptTokens - request.shared.tokens;
     for (const Option& option : options(request, service))
         if (option.host == host) return own + option.miss * request.shared.tokens;
--- a/src/dispatch/selection.hpp
+++ b/src/dispatch/selection.hpp
@@ -28,7 +28,7 @@
     std::vector<coordinator::policy::Scored> ranked(const Request& request, const RouteRecord& route,
                                                     ServiceState& service, Millis now) const;
     // Prompt tokens that the host is expected to have to read.
-    double tokensToRead(const Request& request, const ServiceState& service, int host) const;
+    double tokensToPrefill(const Request& request, const ServiceState& service, int host) const;
 
 private:
     struct Option {
@@ -36,11 +36,11 @@
         double miss = 0;  // share of the shared prefix that is not expected there
     };
     std::vector<Option> options(const Request& request, const ServiceState& service) const;
-    std::vector<Option> placed(const Request& request, const std::vector<int>& hosts) const;
+    std::vector<Option> withAffinity(const Request& request, const std::vector<int>& hosts) const;
     bool regional(const Request& request, const std::vector<int>& hosts) const;
     double crossingScore(const Request& request, const Host& host) const;
     double crossingScore(double price, Millis delay, double bytes, const Request& request) const;
-    double readingScore(const Request& request, double miss) const;
+    double prefillScore(const Request& request, double miss) const;
     bool takesNow(HostSlot& slot, const Request& request, const ServiceState& service, Millis now) const;
 
     const Settings& settings_;
--- a/src/dispatch/service_state.hpp
+++ b/src/dispatch/service_state.hpp
@@ -16,11 +16,11 @@
     RetryBudget budget;
     SlowStartShare slowStartShare;
     ServiceLoad load;
-    bool configured = false;           // in the configuration in force
-    bool slowStartShareBlind = false;  // made while an earlier process may still count
+    bool configured = false;            // in the configuration in force
+    bool slowStartShareUnsure = false;  // made while an earlier process may still count
     Millis usedAt = 0;
 
-    bool coldBounded() const { return service.warmupPerS > 0; }
+    bool warmupBounded() const { return service.warmupPerS > 0; }
     Millis warmup() const { return service.warmupS * 1000; }
 };
 
--- a/src/dispatch/service_table.cpp
+++ b/src/dispatch/service_table.cpp
@@ -27,7 +27,7 @@
 
 ServiceState& ServiceTable::use(const std::string& name, Millis now) {
     ServiceState& state = at(name, now);
-    if (state.slowStartShareBlind && !blind(now)) applyFleet(state, now);
+    if (state.slowStartShareUnsure && !earlierProcessMayCount(now)) applyFleet(state, now);
     state.usedAt = now;
     return state;
 }
@@ -35,10 +35,10 @@
 // While blind, an earlier process of this gateway may have sent as well.
 void ServiceTable::applyFleet(ServiceState& state, Millis now) {
     const double bound = state.service.warmupPerS * settings_.warmupOvershoot + settings_.warmupSlack;
-    state.slowStartShareBlind = blind(now);
+    state.slowStartShareUnsure = earlierProcessMayCount(now);
     state.slowStartShare =
-        SlowStartShare(bound, fleet_.liveGateways, fleet_.known && !state.slowStartShareBlind, fleet_.rank);
-    state.budget.fleet(fleet_.liveGateways, fleet_.known);
+        SlowStartShare(bound, fleet_.liveGateways, fleet_.known && !state.slowStartShareUnsure, fleet_.rank);
+    state.budget.setFleet(fleet_.liveGateways, fleet_.known);
     state.load.gateways = std::max(1, fleet_.liveGateways);
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-void ServiceTable::share(const Fleet& fleet, Millis now) {
+void ServiceTable::setFleet(const Fleet& fleet, Millis now) {
     fleet_ = fleet;
     for (auto& [name, state] : services_) applyFleet(state, now);
 }
@@ -70,8 +70,8 @@
     }
 }
 
-void ServiceTable::loadIsShared(bool shared) {
-    for (auto& [name, state] : services_) state.load.shared = shared;
+void ServiceTable::setLoadReported(bool reported) {
+    for (auto& [name, state] : services_) state.load.othersReported = reported;
 }
 
 void ServiceTable::prune(Millis oldest) {
--- a/src/dispatch/service_table.hpp
+++ b/src/dispatch/service_table.hpp
@@ -23,16 +23,16 @@
     ServiceState& use(const std::string& name, Millis now);
 
     void configure(const ServiceList& list, Millis now);
-    void share(const Fleet& fleet, Millis now);
+    void setFleet(const Fleet& fleet, Millis now);
     // Time passes: the usual number of attempts that wait at a host of each service.
     void smoothWaiting(const HostTable& hosts, Millis passed);
     // Forgets those that no configuration has and that were not used since `oldest`.
     // Whether the other gateways tell what they have waiting.
-    void loadIsShared(bool shared);
+    void setLoadReported(bool reported);
     void prune(Millis oldest);
 
 private:
-    bool blind(Millis now) const { return now < startedAt_ + SlowStartShare::kSpan; }
+    bool earlierProcessMayCount(Millis now) const { return now < startedAt_ + SlowStartShare::kSpan; }
     void applyFleet(ServiceState& state, Millis now);
 
     const Settings& settings_;
--- a/src/dispatch/slow_start_budget.hpp
+++ b/src/dispatch/slow_start_budget.hpp
@@ -29,7 +29,7 @@
 };
 
 // Sends to one host. Counted also while it is warm, since it may turn out cold any moment.
-class ColdLog {
+class SlowStartLog {
 public:
     void sent(Millis now);
     bool allows(Millis now, const SlowStartShare& share);
@@ -39,7 +39,7 @@
 private:
     void drop(Millis now);
 
-    static constexpr std::size_t kMost = 256;  // no share is larger; older ones don't matter
+    static constexpr std::size_t kMaxSends = 256;  // no share is larger; older ones don't matter
     std::deque<Millis> sends_;
 };
 
--- a/src/dispatch/timer_queue.hpp
+++ b/src/dispatch/timer_queue.hpp
@@ -12,7 +12,7 @@
 
 namespace beechpoint::dispatch {
 
-class DueList {
+class TimerQueue {
 public:
     // Replaces the request's earlier time.
     void set(RequestId id, Millis at) {
--- a/tests/dispatch/admission_test.cpp
+++ b/tests/dispatch/admission_test.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 TEST(Admission, NothingIsRefusedWhilePlacesAreFree) {
-    EXPECT_FALSE(admit({60000, 0.5, 300, 2000, 9}).refused);
+    EXPECT_TRUE(admit({60000, 0.5, 300, 2000, 9}).admitted);
 }
 
 TEST(Admission, TheLessUrgentIsRefusedFirst) {
     const Millis wait = 700;
-    EXPECT_FALSE(admit({wait, 0.9, 300, 2000, 0}).refused);
-    EXPECT_TRUE(admit({wait, 0.9, 300, 2000, 2}).refused);
-    EXPECT_TRUE(admit({1300, 0.9, 300, 2000, 0}).refused);
+    EXPECT_TRUE(admit({wait, 0.9, 300, 2000, 0}).admitted);
+    EXPECT_FALSE(admit({wait, 0.9, 300, 2000, 2}).admitted);
+    EXPECT_FALSE(admit({1300, 0.9, 300, 2000, 0}).admitted);
 }
 
 TEST(Admission, ComingBackIsSoonAndWithinAThirdOfTheTimeLeft) {
@@ -26,8 +26,8 @@
 }
 
 TEST(Admission, PatienceEndsWithinAQuarterOfTheAim) {
-    EXPECT_LT(patience(400, 5000), 100);
-    EXPECT_LT(patience(400, 50), 50);
+    EXPECT_LT(maxPendingTime(400, 5000), 100);
+    EXPECT_LT(maxPendingTime(400, 50), 50);
 }
 
 TEST(Admission, AFullServiceRefusesAtOnce) {
--- a/tests/dispatch/budget_test.cpp
+++ b/tests/dispatch/budget_test.cpp
@@ -31,15 +31,15 @@
 TEST(RetryBudget, WithoutAFleetThereIsNoSlack) {
     RetryBudget budget({0.2, 10000, 100});
     EXPECT_FALSE(budget.allows(1));
-    budget.fleet(4, true);
+    budget.setFleet(4, true);
     EXPECT_TRUE(budget.allows(1));
-    budget.fleet(4, false);
+    budget.setFleet(4, false);
     EXPECT_FALSE(budget.allows(1));
 }
 
 TEST(RetryBudget, GrowsWithOwnRequestsAndForgetsSends) {
     RetryBudget budget({0.2, 10000, 0});
-    budget.fleet(1, true);
+    budget.setFleet(1, true);
     for (int i = 0; i < 100; ++i) budget.requested(i);
     int sent = 0;
     while (budget.allows(100)) budget.spend(100), ++sent;
@@ -56,7 +56,7 @@
         const int real = known + known / 2;
         const RetryBounds bounds{0.05 + 0.3 * random(), 10000, 60 * random()};
         std::vector<RetryBudget> budgets(static_cast<std::size_t>(real), RetryBudget(bounds));
-        for (RetryBudget& budget : budgets) budget.fleet(known, true);
+        for (RetryBudget& budget : budgets) budget.setFleet(known, true);
         std::vector<Millis> requests, further;
         double load = 0.05;
         for (Millis now = 0; now < 40000; now += 5) {
--- a/tests/dispatch/prefix_affinity_test.cpp
+++ b/tests/dispatch/prefix_affinity_test.cpp
@@ -44,7 +44,7 @@
     for (const auto& [home, prefixes] : homes) EXPECT_NEAR(prefixes, 200, 60) << home;
 }
 
-class PlacementTest : public testing::Test {
+class PrefixAffinityTest : public testing::Test {
 protected:
     static std::vector<Host> hosts() {
         std::vector<Host> list;
@@ -63,7 +63,7 @@
         arrived.outTokens = 50;
         return arrived;
     }
-    static std::string placeOf(Harness& h, const RequestArrived& arrived) {
+    static std::string hostOf(Harness& h, const RequestArrived& arrived) {
         const std::vector<Send> sends = only<Send>(h.tell(arrived));
         EXPECT_EQ(sends.size(), 1u);
         h.pass(50);
@@ -72,28 +72,28 @@
     }
 };
 
-TEST_F(PlacementTest, GatewaysWithOtherSeedsAgreeOnLongPrefixes) {
+TEST_F(PrefixAffinityTest, GatewaysWithOtherSeedsAgreeOnLongPrefixes) {
     Harness one(testSettings(), 1), two(testSettings(), 99);
     for (Harness* h : {&one, &two}) h->start(hosts(), {serviceNamed("svc", 0, 0, true)}, 2);
     std::set<std::string> used;
     for (int document = 0; document < 40; ++document) {
-        const std::string place = placeOf(one, stream(one, document, 6000));
-        EXPECT_EQ(place, placeOf(two, stream(two, document, 6000)));
-        EXPECT_EQ(place, placeOf(one, stream(one, document, 6000)));
-        used.insert(place);
+        const std::string host = hostOf(one, stream(one, document, 6000));
+        EXPECT_EQ(host, hostOf(two, stream(two, document, 6000)));
+        EXPECT_EQ(host, hostOf(one, stream(one, document, 6000)));
+        used.insert(host);
     }
     EXPECT_GE(used.size(), 6u);
 }
 
-TEST_F(PlacementTest, ShortPrefixesAreSpread) {
+TEST_F(PrefixAffinityTest, ShortPrefixesAreSpread) {
     Harness h;
     h.start(hosts(), {serviceNamed("svc", 0, 0, true)});
     std::set<std::string> used;
-    for (int i = 0; i < 60; ++i) used.insert(placeOf(h, stream(h, 1, 60)));
+    for (int i = 0; i < 60; ++i) used.insert(hostOf(h, stream(h, 1, 60)));
     EXPECT_GE(used.size(), 4u);
 }
 
-TEST_F(PlacementTest, AnOverloadedHomeSpills) {
+TEST_F(PrefixAffinityTest, AnOverloadedHomeSpills) {
     Harness h;
     h.start(hosts(), {serviceNamed("svc", 0, 0, true)});
     std::map<std::string, int> used;
@@ -106,16 +106,16 @@
     for (const auto& [host, requests] : used) EXPECT_LT(requests, 30) << host;
 }
 
-TEST_F(PlacementTest, ALostHomeGoesToTheSameSecondEverywhere) {
+TEST_F(PrefixAffinityTest, ALostHomeGoesToTheSameSecondEverywhere) {
     Harness one(testSettings(), 1), two(testSettings(), 99);
     for (Harness* h : {&one, &two}) h->start(hosts(), {serviceNamed("svc", 0, 0, true)}, 2);
-    const std::string home = placeOf(one, stream(one, 3, 6000));
+    const std::string home = hostOf(one, stream(one, 3, 6000));
     std::vector<Host> left = hosts();
     std::erase_if(left, [&](const Host& host) { return host.instanceId == home; });
     for (Harness* h : {&one, &two}) h->tell(HostList{left});
-    const std::string second = placeOf(one, stream(one, 3, 6000));
+    const std::string second = hostOf(one, stream(one, 3, 6000));
     EXPECT_NE(second, home);
-    EXPECT_EQ(second, placeOf(two, stream(two, 3, 6000)));
+    EXPECT_EQ(second, hostOf(two, stream(two, 3, 6000)));
 }
 
 }  // namespace
--- a/tests/dispatch/random_test.cpp
+++ b/tests/dispatch/random_test.cpp
@@ -107,7 +107,8 @@
         EXPECT_EQ(send.attempt, life.sent);
         ++life.sent;
         life.out.insert(send.attempt);
-        const bool cold = coldUntil.contains(send.instanceId) && now < coldUntil.at(send.instanceId);
+        const bool cold =
+            warmingUpUntil.contains(send.instanceId) && now < warmingUpUntil.at(send.instanceId);
         if (cold) coldSends[send.instanceId].push_back(now);
         plan(gateway, send, host->instanceId);
     }
@@ -234,10 +235,10 @@
         } else if (what < 0.4) {
             hosts.erase(hosts.begin() + (&host - hosts.data()));
             addHost();
-            coldUntil[hosts.back().instanceId] = now + kWarmupS * 1000;
+            warmingUpUntil[hosts.back().instanceId] = now + kWarmupS * 1000;
         } else if (what < 0.55) {
             host.warmupLeft = 2000;
-            coldUntil[host.instanceId] = now + host.warmupLeft;
+            warmingUpUntil[host.instanceId] = now + host.warmupLeft;
         } else {
             evacuated.clear();
             if (what < 0.8) evacuated.insert(host.zone);
@@ -314,7 +315,7 @@
     std::map<RequestId, std::vector<Millis>> arrived;
     std::set<std::pair<RequestId, int>> cancelled;
     std::vector<Millis> requests;
-    std::map<std::string, Millis> coldUntil;
+    std::map<std::string, Millis> warmingUpUntil;
     std::map<std::string, std::vector<Millis>> coldSends;
     std::priority_queue<Pending> pending;
     std::queue<std::pair<Millis, std::pair<std::size_t, std::string>>> probes;
--- a/tests/dispatch/shared_load_test.cpp
+++ b/tests/dispatch/reported_load_test.cpp
@@ -1,5 +1,5 @@
 // What other gateways have waiting counts in the choice of a host.
-#include "dispatch/shared_load.hpp"
+#include "dispatch/reported_load.hpp"
 
 #include <gtest/gtest.h>
 
@@ -21,10 +21,10 @@
             hosts.hosts.push_back(host);
         }
         hosts_.update(hosts, now_);
-        shared_.hostsChanged();
+        reportedLoad_.hostsChanged();
     }
     void told(std::uint64_t source, bool whole, const std::vector<HostLoad>& loads, Millis validFor = 1000) {
-        shared_.told(PeerLoad{source, whole, loads, validFor, {}}, now_);
+        reportedLoad_.update(PeerLoad{source, whole, loads, validFor, {}}, now_);
     }
     static HostLoad load(const std::string& host, int waiting, double workS) {
         return {hostKey(host), waiting, workS};
@@ -33,7 +33,7 @@
 
     Millis now_ = 1000;
     HostTable hosts_;
-    SharedLoad shared_{hosts_};
+    ReportedLoad reportedLoad_{hosts_};
 };
 
 TEST_F(SharedLoadTest, SumsWhatTheSourcesTell) {
@@ -65,13 +65,13 @@
     told(1, false, {load("a", 1, 0.2)}, 500);
     told(2, false, {load("a", 1, 0.3)}, 5000);
     now_ += 501;
-    shared_.expire(now_);
+    reportedLoad_.expire(now_);
     EXPECT_EQ(slot("a").othersWaiting, 1);
-    EXPECT_TRUE(shared_.heard());
+    EXPECT_TRUE(reportedLoad_.active());
     now_ += 5000;
-    shared_.expire(now_);
+    reportedLoad_.expire(now_);
     EXPECT_EQ(slot("a").othersWaiting, 0);
-    EXPECT_FALSE(shared_.heard());
+    EXPECT_FALSE(reportedLoad_.active());
 }
 
 TEST_F(SharedLoadTest, CountsForAHostThatIsListedLater) {
@@ -83,11 +83,11 @@
 }
 
 TEST_F(SharedLoadTest, SourcesAndHostsAreBounded) {
-    for (std::uint64_t source = 1; source <= SharedLoad::kMostSources + 10; ++source)
+    for (std::uint64_t source = 1; source <= ReportedLoad::kMaxSources + 10; ++source)
         told(source, false, {load("a", 1, 0.1)});
-    EXPECT_EQ(slot("a").othersWaiting, static_cast<int>(SharedLoad::kMostSources));
+    EXPECT_EQ(slot("a").othersWaiting, static_cast<int>(ReportedLoad::kMaxSources));
     std::vector<HostLoad> many;
-    for (std::uint32_t host = 0; host < SharedLoad::kMostHosts; ++host) many.push_back({host, 1, 0.1});
+    for (std::uint32_t host = 0; host < ReportedLoad::kMaxHosts; ++host) many.push_back({host, 1, 0.1});
     told(1, true, many);
     told(1, false, {load("b", 1, 0.1)});
     EXPECT_EQ(slot("b").othersWaiting, 0);
@@ -95,7 +95,7 @@
 
 TEST_F(SharedLoadTest, TheBacklogShrinksAsItIsReadButNotToNothing) {
     ServiceLoad load;
-    load.engine = load.shared = true;
+    load.engine = load.othersReported = true;
     told(1, false, {this->load("a", 1, 1.0)});
     EXPECT_DOUBLE_EQ(Predictor::backlog(slot("a"), load, now_), 1.0);
     EXPECT_NEAR(Predictor::backlog(slot("a"), load, now_ + 400), 0.6, 1e-9);
@@ -107,13 +107,13 @@
 TEST_F(SharedLoadTest, MeasuredSpeedsOfOthersCount) {
     ServiceLoad load;
     load.engine = true;
-    const double average = Predictor::readingS(slot("a"), load, 10'000, now_);
+    const double average = Predictor::prefillS(slot("a"), load, 10'000, now_);
     for (int count = 0; count < 30; ++count)
-        shared_.told(PeerLoad{1, false, {}, 1000, {{hostKey("a"), 1.5}}}, now_);
-    EXPECT_GT(Predictor::readingS(slot("a"), load, 10'000, now_), 1.35 * average);
-    EXPECT_DOUBLE_EQ(Predictor::readingS(slot("b"), load, 10'000, now_), average);
+        reportedLoad_.update(PeerLoad{1, false, {}, 1000, {{hostKey("a"), 1.5}}}, now_);
+    EXPECT_GT(Predictor::prefillS(slot("a"), load, 10'000, now_), 1.35 * average);
+    EXPECT_DOUBLE_EQ(Predictor::prefillS(slot("b"), load, 10'000, now_), average);
     load.hostSpeed = false;
-    EXPECT_DOUBLE_EQ(Predictor::readingS(slot("a"), load, 10'000, now_), average);
+    EXPECT_DOUBLE_EQ(Predictor::prefillS(slot("a"), load, 10'000, now_), average);
 }
 
 // ---- In the dispatcher
@@ -177,8 +177,8 @@
     EXPECT_LT(sendToFirst(PeerLoad{7, true, {}, 1e6, slow}), kDispatchers / 8);
 }
 
-TEST(ReadingRate, LearnsThatLongPromptsTakeMoreThanTheirShare) {
-    ReadingRate rate;
+TEST(PrefillRate, LearnsThatLongPromptsTakeMoreThanTheirShare) {
+    PrefillRate rate;
     const auto truly = [](double tokens) { return 0.03 + tokens / 40'000 + tokens * tokens / 4e9; };
     for (int turn = 0; turn < 400; ++turn)
         for (const double tokens : {600.0, 1'500.0, 3'000.0, 6'000.0, 12'000.0, 24'000.0})
--- a/tests/dispatch/cold_allowance_test.cpp
+++ b/tests/dispatch/slow_start_budget_test.cpp
@@ -1,10 +1,11 @@
+#include "dispatch/slow_start_budget.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <vector>
 
 #include "core/splitmix.hpp"
-#include "dispatch/slow_start_budget.hpp"
 
 namespace beechpoint::dispatch {
 namespace {
@@ -26,10 +27,10 @@
     EXPECT_EQ(SlowStartShare(20, 50, true, -1).perSpan(), 0);
 }
 
-TEST(ColdLog, FreesPlacesAsTheSpanPasses) {
+TEST(SlowStartLog, FreesPlacesAsTheSpanPasses) {
     const SlowStartShare share(20, 4, true, 0);
     ASSERT_EQ(share.perSpan(), 3);
-    ColdLog log;
+    SlowStartLog log;
     for (const Millis at : {0.0, 100.0, 200.0}) log.sent(at);
     EXPECT_FALSE(log.allows(300, share));
     EXPECT_EQ(log.freeAt(300, share), SlowStartShare::kSpan);
@@ -37,18 +38,18 @@
 }
 
 // Whatever the gateways want, and with a third more of them than are known, no second sees more than the bound.
-TEST(ColdAllowanceProperty, SumsOverGatewaysUnderTheBound) {
+TEST(SlowStartBudgetProperty, SumsOverGatewaysUnderTheBound) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         SplitMix random(seed);
         const int known = 1 + static_cast<int>(random.below(40));
         const int real = known + known / 2;
         const double bound = 1 + 30 * random();
-        std::vector<ColdLog> logs(static_cast<std::size_t>(real));
+        std::vector<SlowStartLog> logs(static_cast<std::size_t>(real));
         std::vector<Millis> sends;
         for (Millis now = 0; now < 6000; now += 2) {
             for (int gateway = 0; gateway < real; ++gateway) {
                 const SlowStartShare share(bound, known, true, gateway % known);
-                ColdLog& log = logs[static_cast<std::size_t>(gateway)];
+                SlowStartLog& log = logs[static_cast<std::size_t>(gateway)];
                 if (random() > 0.05 || !log.allows(now, share)) continue;
                 log.sent(now);
                 sends.push_back(now + 250 * random());  // written a little later
