--- a/src/dispatch/action_list.hpp
+++ b/src/dispatch/action_list.hpp
@@ -1,4 +1,4 @@
-// The actions of one turn of the dispatcher, in order, and the bound on its log lines.
+/// The actions of one turn of the dispatcher, in order, and the bound on its log lines.
 #pragma once
 
 #include <map>
@@ -11,29 +11,31 @@
 
 namespace beechpoint::dispatch {
 
+/// Appends to the caller's vector between begin() and end(). act() and log() may only be called between these.
 class ActionList {
 public:
-    // What is done until end() goes to `out`.
+    /// Starts the handling of one event: actions go to `out`, which must live until end().
     void begin(Millis now, std::vector<Action>& out) {
         now_ = now;
         out_ = &out;
     }
     void end() { out_ = nullptr; }
 
+    /// Appends an action.
     template <class T>
     void act(T action) {
         out_->emplace_back(std::move(action));
     }
-    // A line of the log; of each kind at most one in kLogEvery.
+    /// Appends a log line, unless one of its kind was logged within kLogInterval.
     void log(const char* kind, std::string text) {
         const auto [entry, first] = loggedAt_.try_emplace(kind, now_);
-        if (!first && now_ - entry->second < kLogEvery) return;
+        if (!first && now_ - entry->second < kLogInterval) return;
         entry->second = now_;
         act(Log{kind, std::move(text)});
     }
 
 private:
-    static constexpr Millis kLogEvery = 1000;
+    static constexpr Millis kLogInterval = 1000;
 
     Millis now_ = 0;
     std::vector<Action>* out_ = nullptr;
--- a/src/dispatch/admission.hpp
+++ b/src/dispatch/admission.hpp
@@ -12,7 +12,7 @@
     /// Until a host begins to work on it. Without the prefill of its own prompt, so that large prompts are rejected no
     /// more often than small ones.
     Millis wait = 0;
-    /// Used part of the capacity of all hosts that it may go to, over all gateways; 1: they say that they are full.
+    /// Used part of the capacity of all hosts that it may go to, over all gateways; 1: they report that they are full.
     double utilization = 0;
     Millis latencyTarget = 0;
     Millis deadline = 0;    ///< time left
--- a/src/dispatch/attempt_log.cpp
+++ b/src/dispatch/attempt_log.cpp
@@ -20,9 +20,9 @@
 }
 
 bool AttemptLog::firstByte(const AttemptFirstByte& first, const Request* request, Millis now) {
-    const auto out = sent_.find({first.id, first.attempt});
-    if (out == sent_.end()) return false;
-    SentAttempt& sent = out->second;
+    const auto found = sent_.find({first.id, first.attempt});
+    if (found == sent_.end()) return false;
+    SentAttempt& sent = found->second;
     const bool proper = !request || !request->attempt(first.attempt).unusable;
     const bool streaming = request && request->streaming();
     HostSlot& slot = hosts_.at(sent.host);
@@ -36,10 +36,10 @@
 }
 
 bool AttemptLog::ended(const AttemptEnded& ended, const Request* request, Millis now) {
-    const auto out = sent_.find({ended.id, ended.attempt});
-    if (out == sent_.end()) return false;
-    SentAttempt sent = std::move(out->second);
-    sent_.erase(out);
+    const auto found = sent_.find({ended.id, ended.attempt});
+    if (found == sent_.end()) return false;
+    SentAttempt sent = std::move(found->second);
+    sent_.erase(found);
     if (ended.warmupLeft > 0)
         health_.markWarmingUp(WarmupReported{hosts_.at(sent.host).host.instanceId, ended.warmupLeft}, now);
     learn(sent, ended.outcome, request && request->attempt(ended.attempt).unusable, now);
@@ -52,9 +52,9 @@
     ServiceLoad& load = services_.at(sent.service, now).load;
     const double took = (now - sent.sentAt) / 1000;
     const bool served = outcome == Outcome::served && !unusable;
-    const bool calledOff = outcome == Outcome::cancelled || outcome == Outcome::timedOut;
-    if (sent.waiting && (served || calledOff))
-        Predictor::learnTime(slot, route, load, sent, took, calledOff, now);
+    const bool givenUp = outcome == Outcome::cancelled || outcome == Outcome::timedOut;
+    if (sent.waiting && (served || givenUp))
+        Predictor::learnTime(slot, route, load, sent, took, givenUp, now);
     Predictor::waitingEnded(slot, route.id, sent, now);
     --slot.inFlight;
     if (served) health_.markReachable(slot, now);
@@ -67,10 +67,10 @@
             health_.markFull(slot, route, now);
             break;
         case Outcome::notConnected:
-            health_.markPartitioned(slot, true, now);
+            health_.markPartitioned(slot, ConnectionFailure::notConnected, now);
             break;
         case Outcome::resetBeforeAnswer:
-            health_.markPartitioned(slot, false, now);
+            health_.markPartitioned(slot, ConnectionFailure::reset, now);
             [[fallthrough]];
         default:
             Predictor::learnEnd(slot, route.id, served, now);
--- a/src/dispatch/attempt_log.hpp
+++ b/src/dispatch/attempt_log.hpp
@@ -1,4 +1,4 @@
-// The attempts whose end is owed, which outlive their requests, and what their ends teach about hosts and routes.
+/// The attempts in flight, which outlive their requests, and what their results teach about hosts and routes.
 #pragma once
 
 #include <map>
@@ -15,22 +15,24 @@
 
 namespace beechpoint::dispatch {
 
+/// Owns the record of each attempt from its Send to its AttemptEnded. Decides nothing about requests: see AttemptResults.
 class AttemptLog {
 public:
     AttemptLog(HostTable& hosts, RouteTable& routes, ServiceTable& services, HostHealth& health)
         : hosts_(hosts), routes_(routes), services_(services), health_(health) {}
 
-    // An attempt of the request goes out to a host that has to read so many tokens for it.
+    /// Attempt `number` of the request is sent to the host (index of the table), which is expected to prefill `tokens`.
     void sent(const Request& request, int number, int host, double tokens, Millis now);
-    // Its first event or byte has come. False: nothing is known of such an attempt. `request`: nullptr where it is over.
-    bool firstByte(const AttemptFirstByte& first, const Request* request, Millis now);
-    // It has ended, and is known no more. `request` and the result as above.
-    bool ended(const AttemptEnded& ended, const Request* request, Millis now);
+    /// Its first event or byte has come. `request`: nullptr where it has ended. False: no such attempt is in flight.
+    [[nodiscard]] bool firstByte(const AttemptFirstByte& first, const Request* request, Millis now);
+    /// It has ended and is forgotten. `request` and the result as above.
+    [[nodiscard]] bool ended(const AttemptEnded& ended, const Request* request, Millis now);
 
-    std::size_t size() const { return sent_.size(); }
+    /// Attempts in flight.
+    [[nodiscard]] std::size_t size() const { return sent_.size(); }
 
 private:
-    using Key = std::pair<RequestId, int>;
+    using Key = std::pair<RequestId, int>;  // request and number of the attempt
 
     void learn(SentAttempt& sent, Outcome outcome, bool unusable, Millis now);
 
--- a/src/dispatch/dispatch_state.hpp
+++ b/src/dispatch/dispatch_state.hpp
@@ -1,4 +1,4 @@
-/// What the dispatcher's parts share: settings, time, randomness, actions and what is known of hosts, routes and services.
+/// What the dispatcher's parts have in common: settings, time, randomness, actions and what is known of hosts, routes and services.
 #pragma once
 
 #include <cstdint>
--- a/src/dispatch/host_health.cpp
+++ b/src/dispatch/host_health.cpp
@@ -8,10 +8,12 @@
 
 namespace {
 
-constexpr Millis kFirstCheckInterval = 500;  // between looks at a host that is cut off; doubled up to
+constexpr Millis kFirstCheckInterval =
+    500;  // between checks of a partitioned host; doubled up to the longest
 constexpr Millis kLongestCheckInterval = 2000;
-constexpr Millis kCheckTimeout = 3000;     // a probe whose end does not come is given up
-constexpr Millis kShortestFullPause = 20;  // a host that says it is full gets nothing for so long at least
+constexpr Millis kCheckTimeout = 3000;  // a check whose end does not come is given up
+constexpr Millis kShortestFullPause =
+    20;  // a host that reports that it is full gets nothing for so long at least
 constexpr Millis kLongestFullPause = 500;
 
 }  // namespace
@@ -21,28 +23,29 @@
     slot.fullUntil = now + std::clamp(mean, kShortestFullPause, kLongestFullPause);
 }
 
-void HostHealth::markPartitioned(HostSlot& slot, bool down, Millis now) {
+void HostHealth::markPartitioned(HostSlot& slot, ConnectionFailure failure, Millis now) {
     if (!slot.partitioned) {
         slot.healthCheckAt = now;
         slot.healthCheckInterval = kFirstCheckInterval;
         actions_.log("host partitioned", fmt::format("{} at {}", slot.host.instanceId, slot.host.address));
     }
     slot.partitioned = true;
-    slot.unreachable = slot.unreachable || down;
+    if (failure == ConnectionFailure::notConnected) slot.unreachable = true;
 }
 
-// One that could not be reached at all may have started anew and is taken for cold.
+// One that could not be reached at all may have been started anew, so it counts as warming up.
 void HostHealth::markReachable(HostSlot& slot, Millis now) {
     if (slot.unreachable) slot.warmingUpSince = now;
     if (slot.partitioned) actions_.log("host reachable", slot.host.instanceId);
-    slot.partitioned = slot.unreachable = false;
+    slot.partitioned = false;
+    slot.unreachable = false;
 }
 
-void HostHealth::markWarmingUp(const WarmupReported& seen, Millis now) {
-    const int index = hosts_.find(seen.instanceId);
-    if (index < 0 || seen.left <= 0) return;
+void HostHealth::markWarmingUp(const WarmupReported& report, Millis now) {
+    const int index = hosts_.find(report.instanceId);
+    if (index < 0 || report.left <= 0) return;
     HostSlot& slot = hosts_.at(index);
-    slot.warmingUpUntil = std::max(slot.warmingUpUntil, now + seen.left);
+    slot.warmingUpUntil = std::max(slot.warmingUpUntil, now + report.left);
 }
 
 void HostHealth::requestHealthCheck(HostSlot& slot, Millis now) {
@@ -52,8 +55,9 @@
 }
 
 void HostHealth::checkUnresponsive(HostSlot& slot, Millis now) {
-    if (slot.listed && !slot.partitioned && (!slot.healthCheckPending || now >= slot.healthCheckAt))
-        requestHealthCheck(slot, now);
+    if (!slot.listed || slot.partitioned) return;
+    const bool underWay = slot.healthCheckPending && now < slot.healthCheckAt;
+    if (!underWay) requestHealthCheck(slot, now);
 }
 
 void HostHealth::checkPartitioned(Millis now) {
@@ -72,9 +76,12 @@
     HostSlot& slot = hosts_.at(index);
     slot.healthCheckPending = false;
     if (ended.warmupLeft > 0) markWarmingUp(WarmupReported{ended.instanceId, ended.warmupLeft}, now);
-    if (ended.healthy) return markReachable(slot, now);
-    if (ended.answered && !slot.partitioned) return;  // it lives, and is full or leaving
-    markPartitioned(slot, !ended.answered, now);
+    if (ended.healthy) {
+        markReachable(slot, now);
+        return;
+    }
+    if (ended.answered && !slot.partitioned) return;  // it runs, and is full or draining
+    markPartitioned(slot, ended.answered ? ConnectionFailure::reset : ConnectionFailure::notConnected, now);
     slot.healthCheckAt = now + slot.healthCheckInterval;
     slot.healthCheckInterval = std::min(2 * slot.healthCheckInterval, kLongestCheckInterval);
 }
--- a/src/dispatch/host_table.cpp
+++ b/src/dispatch/host_table.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-constexpr Millis kUnlistedMemory = 30000;  // a host that is not listed: a torn list is no new life
+constexpr Millis kUnlistedMemory =
+    30000;  // of a host that is not listed: an incomplete list does not make it new
 
 }  // namespace
 
@@ -70,7 +71,8 @@
         spare_.pop_back();
     }
     keys_[hostKey(instance)] = index;
-    return index_[instance] = index;
+    index_[instance] = index;
+    return index;
 }
 
 void HostTable::prune(Millis now, Millis oldest) {
@@ -80,8 +82,8 @@
             const coordinator::policy::Record& record = entry.second;
             return record.out.empty() && std::max(record.f.at, record.lastServed) < toNanos(oldest);
         });
-        const bool gone = !slot.listed && slot.unlistedAt > 0 && now > slot.unlistedAt + kUnlistedMemory;
-        if (!gone || slot.inFlight > 0 || slot.host.instanceId.empty()) continue;
+        const bool expired = !slot.listed && slot.unlistedAt > 0 && now > slot.unlistedAt + kUnlistedMemory;
+        if (!expired || slot.inFlight > 0 || slot.host.instanceId.empty()) continue;
         index_.erase(slot.host.instanceId);
         keys_.erase(hostKey(slot.host.instanceId));
         slot = HostSlot{};
--- a/src/dispatch/initial_send.cpp
+++ b/src/dispatch/initial_send.cpp
@@ -44,7 +44,7 @@
     return std::min(policy::width(choice, route.gainTargetS(), recentOf), request.arrival.maxAttempts);
 }
 
-// Where the others' load is known, what looks better is better: the draw need not spread so widely.
+// Where the others' load is known the scores can be trusted more: the draw need not spread the requests so widely.
 double InitialSend::oddsPower() const {
     return state_.reportedLoad.active() ? kOddsPowerInformed : policy::kOddsPower;
 }
--- a/src/dispatch/load_reporter.hpp
+++ b/src/dispatch/load_reporter.hpp
@@ -1,4 +1,4 @@
-/// Tells the other gateways what this one has waiting at each host.
+/// Reports to the other gateways what this one has waiting at each host.
 #pragma once
 
 #include "dispatch/dispatch_state.hpp"
--- a/src/dispatch/mechanisms.hpp
+++ b/src/dispatch/mechanisms.hpp
@@ -1,4 +1,6 @@
-// The mechanisms of a gateway's decisions, each of which can be turned off by its name, to measure what it is worth.
+/// The mechanisms of a gateway's decisions, each of which can be turned off by its name (`--without NAME`), to measure what
+/// it gains. The enumerators follow these outside names and meanings, which may not change: overdueCopies is hedged
+/// requests, prefixHomes prefix affinity, sharedLoad reported load, silentProbes health checks of unresponsive hosts.
 #pragma once
 
 #include <algorithm>
@@ -23,6 +25,7 @@
 };
 inline constexpr std::size_t kMechanisms = 10;
 
+/// A row of the list that the command line shows.
 struct MechanismName {
     Mechanism mechanism;
     std::string_view name;
@@ -43,17 +46,20 @@
     {Mechanism::widthTest, "width-test", "sends a repeatable request to several hosts at once"},
 }};
 
-// All are on at first.
+/// Which are on; all at first.
 class Mechanisms {
 public:
-    bool on(Mechanism mechanism) const { return !off_.test(static_cast<std::size_t>(mechanism)); }
+    [[nodiscard]] bool on(Mechanism mechanism) const {
+        return !off_.test(static_cast<std::size_t>(mechanism));
+    }
     void turnOff(Mechanism mechanism) { off_.set(static_cast<std::size_t>(mechanism)); }
 
 private:
     std::bitset<kMechanisms> off_;
 };
 
-inline std::optional<Mechanism> mechanismNamed(std::string_view name) {
+/// Nothing: no mechanism has this name.
+[[nodiscard]] inline std::optional<Mechanism> mechanismNamed(std::string_view name) {
     const auto found = std::ranges::find(kMechanismNames, name, &MechanismName::name);
     if (found == kMechanismNames.end()) return std::nullopt;
     return found->mechanism;
--- a/src/dispatch/overdue_attempts.cpp
+++ b/src/dispatch/overdue_attempts.cpp
@@ -69,7 +69,7 @@
 
 Millis OverdueAttempts::nextCheckAt(const Request& request) const {
     const Millis now = state_.now;
-    const bool mayHedge = request.hedgingAllowed() && !sender_.forbidden(request);
+    const bool mayHedge = request.hedgingAllowed() && !sender_.forbidden(request).has_value();
     Millis at = request.deadlineAt;
     for (const Attempt& attempt : request.attempts) {
         if (!attempt.inFlight || attempt.firstByte) continue;
--- a/src/dispatch/overdue_attempts.hpp
+++ b/src/dispatch/overdue_attempts.hpp
@@ -9,7 +9,7 @@
 
 namespace beechpoint::dispatch {
 
-/// Looks at the attempts in flight of one request at a time. Holds no state of its own.
+/// Checks the attempts in flight of one request at a time. Holds no state of its own.
 class OverdueAttempts {
 public:
     OverdueAttempts(DispatchState& state, AttemptSender& sender) : state_(state), sender_(sender) {}
--- a/src/dispatch/predictor.cpp
+++ b/src/dispatch/predictor.cpp
@@ -6,17 +6,18 @@
 
 namespace {
 
-constexpr double kAheadWeight = 0.35;      // growth of t for each attempt ahead, where no prompts are read
+constexpr double kAheadWeight =
+    0.35;  // growth of t for each attempt ahead, of a host that prefills no prompts
 constexpr double kPriorFailureWeight = 2;  // weight of the host's failures over all routes
-constexpr double kMinNormalS = 0.002;      // what is left of a time when its reading is taken off, at least
+constexpr double kMinNormalS = 0.002;      // what is left of a time without its prefill, at least
 constexpr double kMinRemainingPart =
-    0.3;  // share of what waits that is taken to be left, however long it has waited
-constexpr double kPriorSpeedWeight = 6;     // weight of the average host's speed
-constexpr double kMinPrefillTokens = 1500;  // tokens: fewer tell little of the speed
+    0.3;                                 // part of what waits that counts as left, however long it has waited
+constexpr double kPriorSpeedWeight = 6;  // weight of the average host's speed
+constexpr double kMinPrefillTokens = 1500;  // tokens: with fewer the speed can't be measured
 constexpr double kFastestHost = 0.4, kSlowestHost = 3;
-constexpr double kWarmingUpSlowness = 1.5;  // of a host that is cold and unheard
+constexpr double kWarmingUpSlowness = 1.5;  // of a host that is warming up and not measured yet
 
-// Without word from the others they are taken to have as much waiting as this gateway has usually.
+// Without reports of the others they count with as much waiting as this gateway has usually.
 double aheadWeight(const ServiceLoad& load) {
     if (load.othersReported) return kAheadWeight;
     const double others = (load.gateways - 1) * load.usualWaiting / (load.usualWaiting + 1);
@@ -43,15 +44,15 @@
     const double ratio = load.hostSpeed ? slot.ratio.value(at, slowness) : slowness;
     const double prior = route.timeS(now) * ratio;
     const auto record = slot.records.find(route.id);
-    const bool heard = record != slot.records.end();
-    const double normal = heard ? record->second.t.value(at, prior) : prior;
+    const bool measured = record != slot.records.end();
+    const double normal = measured ? record->second.t.value(at, prior) : prior;
     const int ahead = slot.waiting + slot.othersWaiting;
     const double t = load.engine ? normal + backlog(slot, load, now) + prefillS(slot, load, tokens, now)
                                  : normal * (1 + aheadWeight(load) * ahead);
-    return std::max(t, heard ? record->second.silence(at) : 0);
+    return std::max(t, measured ? record->second.silence(at) : 0);
 }
 
-double Predictor::failureShare(const HostSlot& slot, RouteId route, Millis now) {
+double Predictor::failureRate(const HostSlot& slot, RouteId route, Millis now) {
     const coordinator::policy::Nanos at = toNanos(now);
     const double prior = slot.failures.value(at, 0, kPriorFailureWeight);
     const auto record = slot.records.find(route);
@@ -81,8 +82,8 @@
 void Predictor::learnTime(HostSlot& slot, RouteRecord& route, ServiceLoad& load, const SentAttempt& attempt,
                           double tookS, bool atLeast, Millis now) {
     const coordinator::policy::Nanos at = toNanos(now);
-    const double reading = attempt.aheadS + attempt.workS;
-    const double normal = load.engine ? std::max(kMinNormalS, tookS - reading)
+    const double prefill = attempt.aheadS + attempt.workS;
+    const double normal = load.engine ? std::max(kMinNormalS, tookS - prefill)
                                       : tookS / (1 + aheadWeight(load) * attempt.ahead);
     const double usual = route.timeS(now);
     if (atLeast && normal <= usual) return;
--- a/src/dispatch/prefill_rate.cpp
+++ b/src/dispatch/prefill_rate.cpp
@@ -7,22 +7,24 @@
 
 namespace {
 
-constexpr double kKeep = 0.99;      // of the weight of the past, at each addition
-constexpr double kLeast = 30;       // weights of so many say something
-constexpr double kSpread = 500;     // tokens, standard deviation: less tells no slope
+constexpr double kDecay = 0.99;     // of the weight of the past, at each addition
+constexpr double kLeast = 30;       // before so much weight the line is not trusted
+constexpr double kSpread = 500;     // tokens, standard deviation: with less the slope is not determined
 constexpr double kFirstSize = 512;  // tokens; smaller prompts are all alike
 constexpr double kMaxWeight = 60;   // of a correction: later ones count at least 1 in so many
-constexpr double kMinFactor = 0.3, kMaxFactor = 4;
-constexpr double kSlowest = 5000, kFastest = 400000;  // tokens a second
+constexpr double kMinFactor = 0.3;
+constexpr double kMaxFactor = 4;
+constexpr double kSlowest = 5000;  // tokens a second
+constexpr double kFastest = 400000;
 
 }  // namespace
 
 void PrefillRate::add(double tokens, double seconds) {
-    weight_ = weight_ * kKeep + 1;
-    tokens_ = tokens_ * kKeep + tokens;
-    time_ = time_ * kKeep + seconds;
-    tokensSquared_ = tokensSquared_ * kKeep + tokens * tokens;
-    product_ = product_ * kKeep + tokens * seconds;
+    weight_ = weight_ * kDecay + 1;
+    tokens_ = tokens_ * kDecay + tokens;
+    time_ = time_ * kDecay + seconds;
+    tokensSquared_ = tokensSquared_ * kDecay + tokens * tokens;
+    product_ = product_ * kDecay + tokens * seconds;
     if (weight_ < kLeast) return;
     const double variance = tokensSquared_ / weight_ - tokens_ * tokens_ / (weight_ * weight_);
     if (variance < kSpread * kSpread) return;
@@ -41,7 +43,7 @@
     return tokens / rate_ * corrections_[sizeOf(tokens)].factor;
 }
 
-// The line's value for no tokens is what a request takes without reading.
+// The line's value for no tokens is what a request takes without prefill.
 void PrefillRate::correct(double tokens, double seconds) {
     const std::size_t size = sizeOf(tokens);
     if (size == 0) return;
--- a/src/dispatch/prefix_affinity.cpp
+++ b/src/dispatch/prefix_affinity.cpp
@@ -1,6 +1,7 @@
 #include "dispatch/prefix_affinity.hpp"
 
 #include <algorithm>
+#include <array>
 #include <numeric>
 #include <string_view>
 
@@ -20,10 +21,10 @@
 }
 
 // Finaliser of SplitMix64: FNV alone leaves the high bits of similar names alike.
-std::uint64_t finish(std::uint64_t z) {
-    z = (z ^ (z >> 30)) * 0xBF58476D1CE4E5B9ULL;
-    z = (z ^ (z >> 27)) * 0x94D049BB133111EBULL;
-    return z ^ (z >> 31);
+std::uint64_t finish(std::uint64_t hash) {
+    hash = (hash ^ (hash >> 30)) * 0xBF58476D1CE4E5B9ULL;
+    hash = (hash ^ (hash >> 27)) * 0x94D049BB133111EBULL;
+    return hash ^ (hash >> 31);
 }
 
 }  // namespace
@@ -53,14 +54,15 @@
         return a.first != b.first ? a.first > b.first : *instances[a.second] < *instances[b.second];
     });
     std::vector<int> ranks(instances.size());
-    for (std::size_t place = 0; place < order.size(); ++place)
-        ranks[order[place].second] = static_cast<int>(place);
+    for (std::size_t rank = 0; rank < order.size(); ++rank)
+        ranks[order[rank].second] = static_cast<int>(rank);
     return ranks;
 }
 
 double expectedMiss(int rank) {
-    constexpr double kSecond = 0.6, kThird = 0.8;
-    return rank == 0 ? 0 : rank == 1 ? kSecond : rank == 2 ? kThird : 1;
+    constexpr std::array<double, 3> kMisses = {0, 0.6, 0.8};
+    const auto index = static_cast<std::size_t>(rank);
+    return index < kMisses.size() ? kMisses[index] : 1;
 }
 
 bool overloadedHome(int waiting, double meanWaiting) {
--- a/src/dispatch/prefix_affinity.hpp
+++ b/src/dispatch/prefix_affinity.hpp
@@ -1,6 +1,7 @@
-// Which model host is expected to hold the shared parts of a prompt. All gateways agree on it without a word: the
-// hosts are ordered for each prefix by rendezvous hashing of (prefix, instance), so a host that comes or goes moves only
-// the prefixes that it holds.
+/// Which model host is expected to have the shared parts of a prompt in its prefix cache: the prefix's home. All gateways
+/// agree on it without communication: the
+/// hosts are ordered for each prefix by rendezvous hashing of (prefix, instance), so a host that comes or goes moves
+/// only the prefixes that it holds.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +12,26 @@
 
 namespace beechpoint::dispatch {
 
-// The parts of a prompt before its last one, which is the request's own or its session's.
+/// The parts of a prompt before its last one, which is the request's own or its session's.
 struct SharedPrefix {
-    std::uint64_t key = 0;
-    std::uint32_t tokens = 0;  // 0: nothing is shared
+    std::uint64_t key = 0;     ///< hash of the parts' ids
+    std::uint32_t tokens = 0;  ///< 0: nothing is shared
 };
 
-SharedPrefix sharedPrefix(const std::vector<PromptPart>& prompt);
+[[nodiscard]] SharedPrefix sharedPrefix(const std::vector<PromptPart>& prompt);
 
-std::uint64_t rendezvousWeight(std::uint64_t key, const std::string& instance);
+/// Highest random weight: the host with the highest one comes first.
+[[nodiscard]] std::uint64_t rendezvousWeight(std::uint64_t key, const std::string& instance);
 
-// The place of each instance in the prefix's order, in the order given: 0 is its home.
-std::vector<int> rendezvousRanks(std::uint64_t key, const std::vector<const std::string*>& instances);
+/// The rank of each instance in the prefix's order, in the order given: 0 is its home.
+[[nodiscard]] std::vector<int> rendezvousRanks(std::uint64_t key,
+                                               const std::vector<const std::string*>& instances);
 
-// The share of the prefix that a host of this rank is expected to have to read. Spilled requests go to the second and
-// third in order first, so these hold it now and then.
-double expectedMiss(int rank);
+/// The part of the prefix that a host of this rank is expected to have to prefill. Spilled requests go to the second and
+/// third in order first, so these hold it now and then.
+[[nodiscard]] double expectedMiss(int rank);
 
-// Bounded load: whether a home has so much waiting that it takes no more for the sake of what it holds.
-bool overloadedHome(int waiting, double meanWaiting);
+/// Bounded load: whether a home has so much waiting that it takes no more for the sake of its cache.
+[[nodiscard]] bool overloadedHome(int waiting, double meanWaiting);
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/reported_load.hpp
+++ b/src/dispatch/reported_load.hpp
@@ -1,8 +1,8 @@
-// What other gateways have waiting at each host, as they tell it. A gateway alone sees a small part of the requests; a prompt
-// that it sends behind another gateway's waits for the reading of both.
-//
-// Each source (a gateway, or all gateways of another zone together) tells absolute figures, so a message that is lost or comes
-// twice does no lasting harm. A source that has said nothing for as long as its word lasts counts for nothing.
+/// What other gateways report to have waiting at each host (Prequal, 2024). A gateway alone sees a small part of the
+/// requests; a prompt that it sends behind another gateway's waits for the prefill of both.
+///
+/// Each source (a gateway, or all gateways of another zone together) reports absolute figures, so a message that is lost or comes
+/// twice does no lasting harm. A source counts for nothing once its last report is no longer valid.
 #pragma once
 
 #include <cstddef>
@@ -17,20 +17,22 @@
 
 namespace beechpoint::dispatch {
 
+/// Owns the figures by source, and writes their totals into the slots of the host table.
 class ReportedLoad {
 public:
     static constexpr std::size_t kMaxSources = 1024;
-    static constexpr std::size_t kMaxHosts = 4096;  // of one source
+    static constexpr std::size_t kMaxHosts = 4096;  ///< of one source
 
     explicit ReportedLoad(HostTable& hosts) : hosts_(hosts) {}
 
+    /// A report has come. Sources and hosts beyond the bounds are ignored.
     void update(const PeerLoad& load, Millis now);
-    // The table of hosts has changed: writes the totals into their slots again.
+    /// The table of hosts has changed: writes the totals into their slots again.
     void hostsChanged();
-    // Forgets sources that are silent.
+    /// Forgets sources whose last report is no longer valid.
     void expire(Millis now);
-    // Whether any source is heard.
-    bool active() const { return !sources_.empty(); }
+    /// Whether any source has a valid report.
+    [[nodiscard]] bool active() const { return !sources_.empty(); }
 
 private:
     struct Figures {
--- a/src/dispatch/request_checks.cpp
+++ b/src/dispatch/request_checks.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Millis kPendingInterval = 25;  // between looks for a host for a pending request
+constexpr Millis kPendingInterval = 25;  // between checks of a pending request
 
 }  // namespace
 
--- a/src/dispatch/request_checks.hpp
+++ b/src/dispatch/request_checks.hpp
@@ -1,4 +1,4 @@
-/// Time: looks at requests when they are due, and at all that wait for a host when hosts have changed.
+/// Time: checks requests when they are due, and all that wait for a host when hosts have changed.
 #pragma once
 
 #include <vector>
--- a/src/dispatch/retry_budget.cpp
+++ b/src/dispatch/retry_budget.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kRatioPart = 0.5;   // see the header: two windows may stand for one
-constexpr double kSlackPart = 0.6;   // room for gateways that are not known of, or were restarted
+constexpr double kSlackPart = 0.6;   // margin for gateways that are not known of, or were restarted
 constexpr double kWindowPart = 1.1;  // sends are counted for longer: they arrive later than they are sent
 
 }  // namespace
--- a/src/dispatch/route_table.hpp
+++ b/src/dispatch/route_table.hpp
@@ -1,4 +1,4 @@
-// What is known of each route's requests over all hosts. Bounded: the one unused the longest gives way.
+/// What is known of each route's requests over all hosts. Bounded: the least recently used one is evicted.
 #pragma once
 
 #include <cstddef>
@@ -10,10 +10,12 @@
 
 namespace beechpoint::dispatch {
 
+/// Owns the records; references are valid until the next use() or prune().
 class RouteTable {
 public:
+    /// The route's record, made where there is none, and marked as used now.
     RouteRecord& use(const std::string& name, Millis now);
-    // Forgets those that were not used since `oldest`.
+    /// Forgets those that were not used since `oldest`.
     void prune(Millis oldest);
 
 private:
--- a/src/dispatch/selection.cpp
+++ b/src/dispatch/selection.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-constexpr std::size_t kRegionalHosts = 3;  // fewer hosts of a region are no place for all its prefixes
+constexpr std::size_t kRegionalHosts = 3;  // fewer hosts of a region can't hold all its prefixes
 constexpr double kBytesPerToken = 3;       // of a prompt, roughly
-constexpr double kPerThousand = 1e-3, kPerMillion = 1e-6;
+constexpr double kPerThousand = 1e-3;
+constexpr double kPerMillion = 1e-6;
 
 bool regionAllowed(const Request& request, const std::string& region) {
     const auto& regions = request.arrival.allowedRegions;
@@ -42,15 +43,15 @@
     if (host.region != settings_.region)
         return crossingScore(settings_.prices.crossRegion, settings_.crossRegionDelay, request.bytes,
                              request);
-    return host.zone == settings_.zone ? 0
-                                       : crossingScore(settings_.prices.crossZone, 0, request.bytes, request);
+    if (host.zone == settings_.zone) return 0;
+    return crossingScore(settings_.prices.crossZone, 0, request.bytes, request);
 }
 
 double Selection::prefillScore(const Request& request, double miss) const {
     return policy::kDropAbove * settings_.prices.sharedRead * miss * request.shared.tokens * kPerThousand;
 }
 
-// Whether each region keeps its own copies of the prefix: where a crossing costs more than reading the prefix again.
+// Whether each region has its own affinity hosts for the prefix: where a crossing costs more than another prefill.
 // Only what all requests of the prefix have in common counts, so that all gateways of the region come to the same result.
 bool Selection::regional(const Request& request, const std::vector<int>& hosts) const {
     const double bytes = kBytesPerToken * request.shared.tokens;
@@ -66,7 +67,7 @@
                                                        const std::vector<int>& hosts) const {
     const bool ownRegion = regional(request, hosts);
     std::vector<Option> result;
-    std::vector<std::size_t> places;  // in result, of those that may be the prefix's home
+    std::vector<std::size_t> candidates;  // indexes in result, of those that may be the prefix's home
     std::vector<const std::string*> names;
     double waiting = 0;
     for (const int i : hosts) {
@@ -74,13 +75,13 @@
         result.push_back({i, 1});
         waiting += slot.waiting + slot.othersWaiting;
         if (ownRegion && slot.host.region != settings_.region) continue;
-        places.push_back(result.size() - 1);
+        candidates.push_back(result.size() - 1);
         names.push_back(&slot.host.instanceId);
     }
     const double mean = waiting / static_cast<double>(std::max<std::size_t>(1, hosts.size()));
     const std::vector<int> ranks = rendezvousRanks(request.shared.key, names);
-    for (std::size_t n = 0; n < places.size(); ++n) {
-        Option& option = result[places[n]];
+    for (std::size_t n = 0; n < candidates.size(); ++n) {
+        Option& option = result[candidates[n]];
         const HostSlot& slot = hosts_.at(option.host);
         const bool bounded = settings_.mechanisms.on(Mechanism::boundedHomes);
         if (!bounded || !overloadedHome(slot.waiting + slot.othersWaiting, mean))
@@ -106,9 +107,11 @@
     return slot.sends.allows(now, service.slowStartShare);
 }
 
+// The score of the retry design, section 4, like coordinator/ranking.hpp's for a part's replicas: keep the two alike.
 std::vector<policy::Scored> Selection::ranked(const Request& request, const RouteRecord& route,
                                               ServiceState& service, Millis now) const {
-    std::vector<policy::Scored> all, sound;
+    std::vector<policy::Scored> all;
+    std::vector<policy::Scored> connected;
     const double own = request.promptTokens - request.shared.tokens;
     for (const Option& option : options(request, service)) {
         HostSlot& slot = hosts_.at(option.host);
@@ -116,13 +119,13 @@
         policy::Scored scored{option.host, 0, 0, 0};
         const double tokens = own + option.miss * request.shared.tokens;
         scored.t = Predictor::timeS(slot, route, service.load, tokens, now);
-        scored.f = Predictor::failureShare(slot, route.id, now);
+        scored.f = Predictor::failureRate(slot, route.id, now);
         scored.s = scored.t / route.gainTargetS() + policy::kDropAbove * scored.f;
         scored.s += prefillScore(request, option.miss) + crossingScore(request, slot.host);
         all.push_back(scored);
-        if (!slot.partitioned) sound.push_back(scored);
+        if (!slot.partitioned) connected.push_back(scored);
     }
-    return policy::ranking(sound.empty() ? all : sound);
+    return policy::ranking(connected.empty() ? all : connected);
 }
 
 double Selection::tokensToPrefill(const Request& request, const ServiceState& service, int host) const {
--- a/src/dispatch/service_state.hpp
+++ b/src/dispatch/service_state.hpp
@@ -1,4 +1,4 @@
-// A service as the dispatcher keeps it: its settings, its part of the shared budgets, and its hosts' common figures.
+/// A service as the dispatcher knows it: its settings, this gateway's part of the budgets, and its hosts' common figures.
 #pragma once
 
 #include "core/clock.hpp"
@@ -9,6 +9,7 @@
 
 namespace beechpoint::dispatch {
 
+/// Owned by ServiceTable.
 struct ServiceState {
     explicit ServiceState(const RetryBounds& bounds) : budget(bounds) {}
 
@@ -16,12 +17,13 @@
     RetryBudget budget;
     SlowStartShare slowStartShare;
     ServiceLoad load;
-    bool configured = false;            // in the configuration in force
-    bool slowStartShareUnsure = false;  // made while an earlier process may still count
+    bool configured = false;            ///< in the configuration in force
+    bool slowStartShareUnsure = false;  ///< made while sends of an earlier process may still count
     Millis usedAt = 0;
 
-    bool warmupBounded() const { return service.warmupPerS > 0; }
-    Millis warmup() const { return service.warmupS * 1000; }
+    /// Whether hosts that are warming up have a bound of requests.
+    [[nodiscard]] bool warmupBounded() const { return service.warmupPerS > 0; }
+    [[nodiscard]] Millis warmup() const { return service.warmupS * 1000; }
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/service_table.cpp
+++ b/src/dispatch/service_table.cpp
@@ -32,7 +32,7 @@
     return state;
 }
 
-// While blind, an earlier process of this gateway may have sent as well.
+// While that is so, an earlier process of this gateway may have sent as well.
 void ServiceTable::applyFleet(ServiceState& state, Millis now) {
     const double bound = state.service.warmupPerS * settings_.warmupOvershoot + settings_.warmupSlack;
     state.slowStartShareUnsure = earlierProcessMayCount(now);
@@ -60,13 +60,13 @@
 
 void ServiceTable::smoothWaiting(const HostTable& hosts, Millis passed) {
     if (passed <= 0) return;
-    const double keep = std::exp(-passed / kUsualMemoryMs);
+    const double decay = std::exp(-passed / kUsualMemoryMs);
     for (auto& [name, state] : services_) {
         const std::vector<int>& own = hosts.ofService(name);
         double waiting = 0;
         for (const int i : own) waiting += hosts.at(i).waiting;
         const double mean = waiting / static_cast<double>(std::max<std::size_t>(1, own.size()));
-        state.load.usualWaiting = keep * state.load.usualWaiting + (1 - keep) * mean;
+        state.load.usualWaiting = decay * state.load.usualWaiting + (1 - decay) * mean;
     }
 }
 
--- a/src/dispatch/service_table.hpp
+++ b/src/dispatch/service_table.hpp
@@ -1,5 +1,5 @@
-// The services that requests go to, each with its part of the budgets that all gateways share. Bounded: a service that is not
-// in the configuration is forgotten once it is not used.
+/// The services that requests go to, each with this gateway's part of the budgets. Bounded: a service that is not
+/// in the configuration is forgotten once it is not used.
 #pragma once
 
 #include <string>
@@ -14,24 +14,29 @@
 
 struct Settings;
 
+/// Owns the states; references are valid until prune(), which never removes a service that was used lately.
 class ServiceTable {
 public:
     ServiceTable(const Settings& settings, Millis startedAt) : settings_(settings), startedAt_(startedAt) {}
 
+    /// The service's state, made where there is none.
     ServiceState& at(const std::string& name, Millis now);
-    // The same for a request that is being served.
+    /// The same for a request; marks the service as used now.
     ServiceState& use(const std::string& name, Millis now);
 
+    /// Replaces the configuration.
     void configure(const ServiceList& list, Millis now);
+    /// The number of gateways that divide the budgets among themselves has changed.
     void setFleet(const Fleet& fleet, Millis now);
-    // Time passes: the usual number of attempts that wait at a host of each service.
+    /// Time passes: the usual number of attempts that wait at a host of each service.
     void smoothWaiting(const HostTable& hosts, Millis passed);
-    // Forgets those that no configuration has and that were not used since `oldest`.
-    // Whether the other gateways tell what they have waiting.
+    /// Whether the other gateways report what they have waiting.
     void setLoadReported(bool reported);
+    /// Forgets those that are not in the configuration and were not used since `oldest`.
     void prune(Millis oldest);
 
 private:
+    // Whether sends of an earlier process of this gateway may still count.
     bool earlierProcessMayCount(Millis now) const { return now < startedAt_ + SlowStartShare::kSpan; }
     void applyFleet(ServiceState& state, Millis now);
 
--- a/src/dispatch/sliding_count.hpp
+++ b/src/dispatch/sliding_count.hpp
@@ -1,4 +1,4 @@
-// How many events fell into a sliding window, in buckets: memory is bounded whatever the rate.
+/// How many events fell into a sliding window, in buckets: memory is bounded whatever the rate.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,15 @@
 
 namespace beechpoint::dispatch {
 
+/// Times must not go back.
 class SlidingCount {
 public:
-    // Whether a bucket that the window's older edge cuts counts whole (an upper bound) or not at all (a lower one).
+    /// Whether a bucket that lies across the window's older edge counts fully (an upper bound) or not at all (a lower one).
     enum class Edge { upper, lower };
 
     SlidingCount(Millis window, Edge edge) : window_(window), edge_(edge) {}
 
+    /// One event.
     void add(Millis now) {
         drop(now);
         const Millis width = window_ / kBuckets;
@@ -22,7 +24,8 @@
         ++buckets_.back().count;
         ++total_;
     }
-    std::uint64_t count(Millis now) {
+    /// Events in (now - window, now].
+    [[nodiscard]] std::uint64_t count(Millis now) {
         drop(now);
         return total_;
     }
@@ -30,7 +33,8 @@
 private:
     static constexpr int kBuckets = 100;
     struct Bucket {
-        Millis start = 0, width = 0;
+        Millis start = 0;
+        Millis width = 0;
         std::uint64_t count = 0;
         Millis oldest(Edge edge) const { return edge == Edge::upper ? start + width : start; }
     };
--- a/tests/dispatch/admission_test.cpp
+++ b/tests/dispatch/admission_test.cpp
@@ -7,65 +7,63 @@
 namespace beechpoint::dispatch {
 namespace {
 
-TEST(Admission, NothingIsRefusedWhilePlacesAreFree) {
-    EXPECT_TRUE(admit({60000, 0.5, 300, 2000, 9}).admitted);
-}
+TEST(Admission, AdmitsWhenUtilizationIsLow) { EXPECT_TRUE(admit({60000, 0.5, 300, 2000, 9}).admitted); }
 
-TEST(Admission, TheLessUrgentIsRefusedFirst) {
+TEST(Admission, RejectsLessUrgentClassAtShorterWait) {
     const Millis wait = 700;
     EXPECT_TRUE(admit({wait, 0.9, 300, 2000, 0}).admitted);
     EXPECT_FALSE(admit({wait, 0.9, 300, 2000, 2}).admitted);
     EXPECT_FALSE(admit({1300, 0.9, 300, 2000, 0}).admitted);
 }
 
-TEST(Admission, ComingBackIsSoonAndWithinAThirdOfTheTimeLeft) {
+TEST(Admission, RetryAfterIsBoundedAndWithinThirdOfTimeLeft) {
     EXPECT_EQ(retryAfter(0, 60000), 300);
     EXPECT_EQ(retryAfter(5000, 60000), 1000);
     EXPECT_LE(retryAfter(5000, 600), 200);
     EXPECT_EQ(retryAfter(100, -5), 0);
 }
 
-TEST(Admission, PatienceEndsWithinAQuarterOfTheAim) {
+TEST(Admission, MaxPendingTimeIsWithinQuarterOfLatencyTarget) {
     EXPECT_LT(maxPendingTime(400, 5000), 100);
     EXPECT_LT(maxPendingTime(400, 50), 50);
 }
 
-TEST(Admission, AFullServiceRefusesAtOnce) {
-    Harness h;
+TEST(Admission, RejectsAtArrivalWhenServiceIsFull) {
+    Harness harness;
     Host host = hostNamed("a");
     host.capacity = 2;
-    h.start({host}, {serviceNamed("svc")});
-    // Enough slow answers that the host is known to be slow, and then more than it has places for.
+    harness.start({host}, {serviceNamed("svc")});
+    // Enough slow answers that the host is known to be slow, and then more than it has capacity for.
     for (int i = 0; i < 10; ++i) {
-        RequestArrived arrived = h.request();
+        RequestArrived arrived = harness.request();
         arrived.deadline = 30000;
-        h.tell(arrived);
-        h.pass(900);
-        h.serve(arrived.id, 0);
+        harness.handle(arrived);
+        harness.advance(900);
+        harness.serve(arrived.id, 0);
     }
-    bool refused = false;
-    for (int i = 0; i < 12 && !refused; ++i) {
-        RequestArrived arrived = h.request(RequestType::nonIdempotent);
+    bool rejected = false;
+    for (int i = 0; i < 12 && !rejected; ++i) {
+        RequestArrived arrived = harness.request(RequestType::nonIdempotent);
         arrived.priorityClass = 2;
-        const std::vector<Reject> refusals = only<Reject>(h.tell(arrived));
-        if (refusals.empty()) continue;
-        refused = true;
-        EXPECT_GE(i, 1);  // not while half of the places were free
-        EXPECT_EQ(refusals.front().status, 503);
-        EXPECT_GT(refusals.front().retryAfter, 0);
-        EXPECT_LE(refusals.front().retryAfter, 2000 / 3.0);
+        const std::vector<Reject> rejections = only<Reject>(harness.handle(arrived));
+        if (rejections.empty()) continue;
+        rejected = true;
+        EXPECT_GE(i, 1);  // not while half of the capacity were free
+        EXPECT_EQ(rejections.front().status, 503);
+        EXPECT_GT(rejections.front().retryAfter, 0);
+        EXPECT_LE(rejections.front().retryAfter, 2000 / 3.0);
     }
-    EXPECT_TRUE(refused);
+    EXPECT_TRUE(rejected);
 }
 
-TEST(Admission, TooManyHeldAreRefused) {
+TEST(Admission, RejectsWhenRequestLimitIsReached) {
     Settings settings = testSettings();
     settings.maxRequests = 3;
-    Harness h(settings);
-    h.start({hostNamed("a")}, {serviceNamed("svc")});
-    for (int i = 0; i < 3; ++i) EXPECT_TRUE(only<Reject>(h.tell(h.request())).empty());
-    EXPECT_EQ(only<Reject>(h.tell(h.request())).size(), 1u);
-    EXPECT_EQ(h.dispatcher.requestCount(), 3u);
+    Harness harness(settings);
+    harness.start({hostNamed("a")}, {serviceNamed("svc")});
+    for (int i = 0; i < 3; ++i) EXPECT_TRUE(only<Reject>(harness.handle(harness.request())).empty());
+    EXPECT_EQ(only<Reject>(harness.handle(harness.request())).size(), 1u);
+    EXPECT_EQ(harness.dispatcher.requestCount(), 3u);
 }
 
 }  // namespace
--- a/tests/dispatch/budget_test.cpp
+++ b/tests/dispatch/budget_test.cpp
@@ -10,7 +10,7 @@
 namespace beechpoint::dispatch {
 namespace {
 
-TEST(SlidingCount, BoundsTheTrueCountFromBothSides) {
+TEST(SlidingCount, BoundsTrueCountFromBothSidesWithRandomEvents) {
     SplitMix random(3);
     SlidingCount upper(1000, SlidingCount::Edge::upper), lower(1000, SlidingCount::Edge::lower);
     std::vector<Millis> events;
@@ -28,7 +28,7 @@
     }
 }
 
-TEST(RetryBudget, WithoutAFleetThereIsNoSlack) {
+TEST(RetryBudget, HasNoSlackWhenFleetIsUnknown) {
     RetryBudget budget({0.2, 10000, 100});
     EXPECT_FALSE(budget.allows(1));
     budget.setFleet(4, true);
@@ -37,7 +37,7 @@
     EXPECT_FALSE(budget.allows(1));
 }
 
-TEST(RetryBudget, GrowsWithOwnRequestsAndForgetsSends) {
+TEST(RetryBudget, GrowsWithRequestsAndStaysSpentWithinWindow) {
     RetryBudget budget({0.2, 10000, 0});
     budget.setFleet(1, true);
     for (int i = 0; i < 100; ++i) budget.requested(i);
@@ -49,7 +49,7 @@
 
 // For random traffic at random gateways, a third more of them than are known, further sends never exceed the rule's
 // budget in any window, however many are wanted.
-TEST(RetryBudgetProperty, TheRuleHoldsOverAllGateways) {
+TEST(RetryBudgetProperty, SumOverGatewaysStaysUnderBudgetWithRandomTraffic) {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         SplitMix random(seed);
         const int known = 1 + static_cast<int>(random.below(8));
--- a/tests/dispatch/harness.hpp
+++ b/tests/dispatch/harness.hpp
@@ -1,4 +1,4 @@
-// Drives a dispatcher in virtual time and keeps what it does.
+// Drives a dispatcher in virtual time and records its actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -48,7 +48,7 @@
         : now(1000000), dispatcher(std::move(settings), seed, now) {}
 
     // Everything that the dispatcher does at one event.
-    std::vector<Action> tell(const Event& event) {
+    std::vector<Action> handle(const Event& event) {
         std::vector<Action> actions;
         dispatcher.handle(now, event, actions);
         for (const Action& action : actions)
@@ -57,23 +57,23 @@
         return actions;
     }
     // Time passes; ticks come when they were asked for.
-    std::vector<Action> pass(Millis span) {
+    std::vector<Action> advance(Millis span) {
         std::vector<Action> actions;
         const Millis end = now + span;
         while (timerAt > 0 && timerAt <= end) {
             now = std::max(now, timerAt);
             timerAt = 0;
-            const std::vector<Action> more = tell(Tick{});
+            const std::vector<Action> more = handle(Tick{});
             actions.insert(actions.end(), more.begin(), more.end());
         }
         now = end;
         return actions;
     }
     void start(const std::vector<Host>& hosts, const std::vector<Service>& services, int gateways = 1) {
-        tell(ServiceList{services});
-        tell(Fleet{gateways, true, 0});
-        tell(HostList{hosts});
-        pass(2000);  // past the time in which an earlier process's sends still count
+        handle(ServiceList{services});
+        handle(Fleet{gateways, true, 0});
+        handle(HostList{hosts});
+        advance(2000);  // past the time in which sends of an earlier process may count
     }
     RequestArrived request(RequestType type = RequestType::idempotent) {
         RequestArrived arrived;
@@ -94,17 +94,17 @@
         head.status = status;
         head.rejected = rejected;
         head.bodyBytes = 100;
-        return tell(head);
+        return handle(head);
     }
     std::vector<Action> ended(RequestId id, int attempt, Outcome outcome,
                               const std::string& lastEventId = {}) {
-        return tell(AttemptEnded{id, attempt, outcome, lastEventId, 0});
+        return handle(AttemptEnded{id, attempt, outcome, lastEventId, 0});
     }
-    // A whole proper answer.
+    // A complete proper answer.
     std::vector<Action> serve(RequestId id, int attempt) {
         std::vector<Action> actions = head(id, attempt);
         for (const std::vector<Action>& more :
-             {tell(AttemptFirstByte{id, attempt}), ended(id, attempt, Outcome::served)})
+             {handle(AttemptFirstByte{id, attempt}), ended(id, attempt, Outcome::served)})
             actions.insert(actions.end(), more.begin(), more.end());
         return actions;
     }
--- a/tests/dispatch/policy_test.cpp
+++ b/tests/dispatch/policy_test.cpp
@@ -12,7 +12,7 @@
 
 Scored scored(int server, double s) { return {server, s, 0, s}; }
 
-TEST(WeightedDraw, OddsFallAsTheScoreRises) {
+TEST(WeightedDraw, OddsFallWithScore) {
     const std::vector<Scored> hosts = {scored(0, 1), scored(1, 1.2), scored(2, 2)};
     beechpoint::SplitMix random(7);
     std::map<int, int> drawn;
@@ -25,13 +25,13 @@
     EXPECT_NEAR(drawn[2], kDraws * odds2 / sum, 200);
 }
 
-TEST(WeightedDraw, EqualScoresAreDrawnAlike) {
+TEST(WeightedDraw, EqualScoresHaveEqualOdds) {
     const std::vector<Scored> hosts = {scored(4, 3), scored(5, 3)};
     EXPECT_EQ(weightedDraw(hosts, 0.49), 4);
     EXPECT_EQ(weightedDraw(hosts, 0.51), 5);
 }
 
-TEST(Passing, DropsWhatScoresAboveAAndKeepsTheBest) {
+TEST(Passing, DropsScoresAboveLimitButNeverTheBest) {
     EXPECT_EQ(passing({scored(0, 1), scored(1, kDropAbove + 1)}).size(), 1u);
     const std::vector<Scored> none = passing({scored(3, kDropAbove + 1), scored(4, kDropAbove + 2)});
     ASSERT_EQ(none.size(), 1u);
@@ -47,19 +47,19 @@
     }
 };
 
-TEST_F(WidthTest, OneWhereOutcomesAgree) {
+TEST_F(WidthTest, IsOneWhenOutcomesAgree) {
     recent[0] = recent[1] = std::deque<double>(16, 0.1);
     EXPECT_EQ(of({scored(0, 1), scored(1, 1)}, 0.01), 1);
 }
 
-TEST_F(WidthTest, TwoWhereTheSecondCutsTheMeanByTheTarget) {
+TEST_F(WidthTest, IsTwoWhenSecondHostReducesMeanByTarget) {
     for (int i = 0; i < 16; ++i)
         recent[0].push_back(i % 2 ? 0.1 : 0.5), recent[1].push_back(i % 2 ? 0.5 : 0.1);
     EXPECT_EQ(of({scored(0, 1), scored(1, 1)}, 0.2), 2);  // T(1) = 0.3, T(2) = 0.1
     EXPECT_EQ(of({scored(0, 1), scored(1, 1)}, 0.21), 1);
 }
 
-TEST_F(WidthTest, TheLargestThatGainsCounts) {
+TEST_F(WidthTest, IsLargestWidthThatGains) {
     // The second adds nothing, the third does: the largest x counts, not the first failure.
     for (int i = 0; i < 16; ++i) {
         recent[0].push_back(0.5), recent[1].push_back(0.5), recent[2].push_back(0.1);
@@ -67,42 +67,42 @@
     EXPECT_EQ(of({scored(0, 1), scored(1, 1), scored(2, 1)}, 0.2), 3);
 }
 
-TEST_F(WidthTest, FewOutcomesSayNothing) {
+TEST_F(WidthTest, IsOneWhenOutcomesAreFew) {
     recent[0] = std::deque<double>(kLeastPairs - 1, 0.5);
     recent[1] = std::deque<double>(16, 0.1);
     EXPECT_EQ(of({scored(0, 1), scored(1, 1)}, 0.1), 1);
 }
 
-TEST(FailureTree, WithOneHostLeftItIsRetried) {
+TEST(FailureTree, RetriesSameHostWhenOnlyOnePasses) {
     const std::vector<Scored> hosts = {scored(7, 1)};
     EXPECT_EQ(nextTarget(hosts, hosts, 7, [](int) { return true; }), 7);
 }
 
-TEST(FailureTree, AllHostsLeftMeansTheNextInRank) {
+TEST(FailureTree, ChoosesNextInRankWhenAllPass) {
     const std::vector<Scored> hosts = {scored(1, 1), scored(2, 1 + 2 * kDegrade), scored(3, 12)};
     EXPECT_EQ(nextTarget(hosts, hosts, 1, [](int host) { return host == 1; }), 2);
     EXPECT_EQ(nextTarget(hosts, hosts, 2, [](int host) { return host < 3; }), 3);
 }
 
-TEST(FailureTree, SomeLeftAndAFarSecondMeansTheFirstAgain) {
+TEST(FailureTree, RetriesFirstWhenSomeDroppedAndSecondIsFar) {
     const std::vector<Scored> all = {scored(1, 1), scored(2, 1 + kDegrade), scored(3, 30)};
     const std::vector<Scored> left = {all[0], all[1]};
     EXPECT_EQ(nextTarget(all, left, 1, [](int host) { return host == 1; }), 1);
 }
 
-TEST(FailureTree, SomeLeftAndANearSecondMeansTheNext) {
+TEST(FailureTree, ChoosesNextWhenSomeDroppedAndSecondIsNear) {
     const std::vector<Scored> all = {scored(1, 1), scored(2, 0.9 + kDegrade), scored(3, 30)};
     const std::vector<Scored> left = {all[0], all[1]};
     EXPECT_EQ(nextTarget(all, left, 1, [](int host) { return host == 1; }), 2);
 }
 
-TEST(FailureTree, WhereAllWereTriedItIsAnotherThanTheFailedOne) {
+TEST(FailureTree, ChoosesOtherThanFailedWhenAllWereTried) {
     const std::vector<Scored> hosts = {scored(1, 1), scored(2, 2)};
     EXPECT_EQ(nextTarget(hosts, hosts, 1, [](int) { return true; }), 2);
     EXPECT_EQ(nextTarget(hosts, hosts, 2, [](int) { return true; }), 1);
 }
 
-TEST(FailureTree, CopiesFailOverAloneOnlyWhereTheyAreErroneous) {
+TEST(FailureTree, HedgedAttemptsFailOverIndependentlyOnlyWhenErroneous) {
     EXPECT_TRUE(failsOver(0, 1, false));
     EXPECT_FALSE(failsOver(1, 1, false));
     EXPECT_FALSE(failsOver(1, 2, false));
--- a/tests/dispatch/prefix_affinity_test.cpp
+++ b/tests/dispatch/prefix_affinity_test.cpp
@@ -16,7 +16,7 @@
             {"own", 500}};
 }
 
-TEST(SharedPrefix, IsAllButTheLastPart) {
+TEST(SharedPrefix, CoversAllPartsButTheLast) {
     const SharedPrefix shared = sharedPrefix(promptOf(1, 900));
     EXPECT_EQ(shared.tokens, 900u);
     EXPECT_NE(shared.key, sharedPrefix(promptOf(2, 900)).key);
@@ -26,7 +26,7 @@
               sharedPrefix({{"a", 1}, {"bc", 1}, {"x", 1}}).key);
 }
 
-TEST(Rendezvous, SpreadsPrefixesAndMovesOnlyThoseOfALostHost) {
+TEST(Rendezvous, SpreadsPrefixesAndMovesOnlyThoseOfRemovedHost) {
     std::vector<std::string> names;
     for (int i = 0; i < 10; ++i) names.push_back("i-" + std::to_string(i));
     std::vector<const std::string*> all, fewer;
@@ -55,26 +55,26 @@
         }
         return list;
     }
-    static RequestArrived stream(Harness& h, int document, std::uint32_t sharedTokens) {
-        RequestArrived arrived = h.request(RequestType::streaming);
+    static RequestArrived stream(Harness& harness, int document, std::uint32_t sharedTokens) {
+        RequestArrived arrived = harness.request(RequestType::streaming);
         arrived.latencyTarget = 800;
         arrived.deadline = 5000;
         arrived.prompt = promptOf(document, sharedTokens);
         arrived.outTokens = 50;
         return arrived;
     }
-    static std::string hostOf(Harness& h, const RequestArrived& arrived) {
-        const std::vector<Send> sends = only<Send>(h.tell(arrived));
+    static std::string hostOf(Harness& harness, const RequestArrived& arrived) {
+        const std::vector<Send> sends = only<Send>(harness.handle(arrived));
         EXPECT_EQ(sends.size(), 1u);
-        h.pass(50);
-        h.serve(arrived.id, 0);
+        harness.advance(50);
+        harness.serve(arrived.id, 0);
         return sends.empty() ? "" : sends.front().instanceId;
     }
 };
 
-TEST_F(PrefixAffinityTest, GatewaysWithOtherSeedsAgreeOnLongPrefixes) {
+TEST_F(PrefixAffinityTest, GatewaysWithDifferentSeedsChooseSameHostForLongPrefix) {
     Harness one(testSettings(), 1), two(testSettings(), 99);
-    for (Harness* h : {&one, &two}) h->start(hosts(), {serviceNamed("svc", 0, 0, true)}, 2);
+    for (Harness* harness : {&one, &two}) harness->start(hosts(), {serviceNamed("svc", 0, 0, true)}, 2);
     std::set<std::string> used;
     for (int document = 0; document < 40; ++document) {
         const std::string host = hostOf(one, stream(one, document, 6000));
@@ -85,20 +85,20 @@
     EXPECT_GE(used.size(), 6u);
 }
 
-TEST_F(PrefixAffinityTest, ShortPrefixesAreSpread) {
-    Harness h;
-    h.start(hosts(), {serviceNamed("svc", 0, 0, true)});
+TEST_F(PrefixAffinityTest, ShortPrefixIsSpreadOverHosts) {
+    Harness harness;
+    harness.start(hosts(), {serviceNamed("svc", 0, 0, true)});
     std::set<std::string> used;
-    for (int i = 0; i < 60; ++i) used.insert(hostOf(h, stream(h, 1, 60)));
+    for (int i = 0; i < 60; ++i) used.insert(hostOf(harness, stream(harness, 1, 60)));
     EXPECT_GE(used.size(), 4u);
 }
 
-TEST_F(PrefixAffinityTest, AnOverloadedHomeSpills) {
-    Harness h;
-    h.start(hosts(), {serviceNamed("svc", 0, 0, true)});
+TEST_F(PrefixAffinityTest, OverloadedHomeSpillsToOtherHosts) {
+    Harness harness;
+    harness.start(hosts(), {serviceNamed("svc", 0, 0, true)});
     std::map<std::string, int> used;
     for (int i = 0; i < 40; ++i) {
-        const std::vector<Send> sends = only<Send>(h.tell(stream(h, 1, 6000)));
+        const std::vector<Send> sends = only<Send>(harness.handle(stream(harness, 1, 6000)));
         ASSERT_EQ(sends.size(), 1u);
         ++used[sends.front().instanceId];
     }
@@ -106,13 +106,13 @@
     for (const auto& [host, requests] : used) EXPECT_LT(requests, 30) << host;
 }
 
-TEST_F(PrefixAffinityTest, ALostHomeGoesToTheSameSecondEverywhere) {
+TEST_F(PrefixAffinityTest, GatewaysChooseSameSecondHostWhenHomeIsRemoved) {
     Harness one(testSettings(), 1), two(testSettings(), 99);
-    for (Harness* h : {&one, &two}) h->start(hosts(), {serviceNamed("svc", 0, 0, true)}, 2);
+    for (Harness* harness : {&one, &two}) harness->start(hosts(), {serviceNamed("svc", 0, 0, true)}, 2);
     const std::string home = hostOf(one, stream(one, 3, 6000));
     std::vector<Host> left = hosts();
     std::erase_if(left, [&](const Host& host) { return host.instanceId == home; });
-    for (Harness* h : {&one, &two}) h->tell(HostList{left});
+    for (Harness* harness : {&one, &two}) harness->handle(HostList{left});
     const std::string second = hostOf(one, stream(one, 3, 6000));
     EXPECT_NE(second, home);
     EXPECT_EQ(second, hostOf(two, stream(two, 3, 6000)));
--- a/tests/dispatch/random_test.cpp
+++ b/tests/dispatch/random_test.cpp
@@ -1,4 +1,4 @@
-// Properties over random scenarios: several gateways, hosts that come, go, drain, turn cold, fail in every way.
+// Properties over random scenarios: several gateways, hosts that are added, removed, drained, warm up or fail in every way.
 #include <algorithm>
 #include <map>
 #include <memory>
@@ -15,7 +15,7 @@
 constexpr Millis kWindow = 10000;
 
 struct Scenario {
-    struct Life {  // of a request
+    struct Tracked {  // of a request
         RequestArrived asked;
         std::set<int> out;
         int possiblyRun = 0;
@@ -54,9 +54,9 @@
                 {std::make_unique<Dispatcher>(settings, seed * 100 + static_cast<std::uint64_t>(i), now), 0});
         for (int i = 0; i < 8; ++i) addHost();
         for (std::size_t g = 0; g < gateways.size(); ++g) {
-            tell(g, ServiceList{{serviceNamed("svc", kWarmupS, kWarmupPerS, seed % 2 == 0)}});
-            tell(g, Fleet{count, true, static_cast<int>(g)});
-            tell(g, HostList{hosts});
+            handle(g, ServiceList{{serviceNamed("svc", kWarmupS, kWarmupPerS, seed % 2 == 0)}});
+            handle(g, Fleet{count, true, static_cast<int>(g)});
+            handle(g, HostList{hosts});
         }
     }
 
@@ -67,49 +67,50 @@
         hosts.back().capacity = 4;
     }
     void toAll(const Event& event) {
-        for (std::size_t g = 0; g < gateways.size(); ++g) tell(g, event);
+        for (std::size_t g = 0; g < gateways.size(); ++g) handle(g, event);
     }
-    void tell(std::size_t gateway, const Event& event) {
+    void handle(std::size_t gateway, const Event& event) {
         std::vector<Action> actions;
         gateways[gateway].dispatcher->handle(now, event, actions);
-        for (const Action& action : actions) std::visit([&](const auto& one) { did(gateway, one); }, action);
+        for (const Action& action : actions)
+            std::visit([&](const auto& one) { onAction(gateway, one); }, action);
     }
 
-    Life& lifeOf(RequestId id) {
-        Life& life = lives.at(id);
-        EXPECT_FALSE(life.over) << "an action about a request that is over";
-        return life;
+    Tracked& trackedOf(RequestId id) {
+        Tracked& request = tracked.at(id);
+        EXPECT_FALSE(request.over) << "an action about a request that is over";
+        return request;
     }
     const Host* hostOf(const std::string& instance) const {
         for (const Host& host : hosts)
             if (host.instanceId == instance) return &host;
         return nullptr;
     }
-    void did(std::size_t gateway, const Send& send) {
-        Life& life = lifeOf(send.id);
+    void onAction(std::size_t gateway, const Send& send) {
+        Tracked& request = trackedOf(send.id);
         const Host* host = hostOf(send.instanceId);
-        ASSERT_NE(host, nullptr) << "sent to a host that is gone";
+        ASSERT_NE(host, nullptr) << "sent to a removed host";
         EXPECT_EQ(host->state, HostState::serving);
         EXPECT_FALSE(evacuated.contains(host->zone));
-        if (life.asked.allowedRegions) {
-            EXPECT_EQ(std::count(life.asked.allowedRegions->begin(), life.asked.allowedRegions->end(),
+        if (request.asked.allowedRegions) {
+            EXPECT_EQ(std::count(request.asked.allowedRegions->begin(), request.asked.allowedRegions->end(),
                                  host->region),
                       1);
         }
-        const bool idempotent = life.asked.type == RequestType::idempotent || life.asked.resumable;
-        EXPECT_TRUE(idempotent || life.possiblyRun + static_cast<int>(life.out.size()) == 0)
+        const bool idempotent = request.asked.type == RequestType::idempotent || request.asked.resumable;
+        EXPECT_TRUE(idempotent || request.possiblyRun + static_cast<int>(request.out.size()) == 0)
             << "may run twice";
-        EXPECT_EQ(send.resume, life.open);
+        EXPECT_EQ(send.resume, request.open);
         EXPECT_GT(send.within, 0);
-        EXPECT_LE(now + send.within, life.arrivedAt + life.asked.deadline) << "more than is left";
+        EXPECT_LE(now + send.within, request.arrivedAt + request.asked.deadline) << "more than is left";
         const int hostsBefore = arrived.contains(send.id) ? static_cast<int>(arrived.at(send.id).size()) : 0;
-        EXPECT_LT(hostsBefore, life.asked.maxAttempts) << "too many hosts";
-        EXPECT_EQ(send.attempt, life.sent);
-        ++life.sent;
-        life.out.insert(send.attempt);
-        const bool cold =
+        EXPECT_LT(hostsBefore, request.asked.maxAttempts) << "too many hosts";
+        EXPECT_EQ(send.attempt, request.sent);
+        ++request.sent;
+        request.out.insert(send.attempt);
+        const bool warmingUp =
             warmingUpUntil.contains(send.instanceId) && now < warmingUpUntil.at(send.instanceId);
-        if (cold) coldSends[send.instanceId].push_back(now);
+        if (warmingUp) warmupSends[send.instanceId].push_back(now);
         plan(gateway, send, host->instanceId);
     }
     void plan(std::size_t gateway, const Send& send, const std::string& instance) {
@@ -129,43 +130,44 @@
             pending.push({now + took * 0.9, gateway, send.id, send.attempt, 1, outcome});
         pending.push({now + took, gateway, send.id, send.attempt, 2, outcome});
     }
-    void did(std::size_t gateway, const Cancel& cancel) {
+    void onAction(std::size_t gateway, const Cancel& cancel) {
         cancelled.insert({cancel.id, cancel.attempt});
         pending.push({now, gateway, cancel.id, cancel.attempt, 2, Outcome::cancelled});
     }
-    void did(std::size_t, const Relay& relay) {
-        Life& life = lifeOf(relay.id);
-        EXPECT_TRUE(life.relayed < 0 || life.asked.resumable);
-        life.relayed = relay.attempt;
-        life.open = true;
+    void onAction(std::size_t, const Relay& relay) {
+        Tracked& request = trackedOf(relay.id);
+        EXPECT_TRUE(request.relayed < 0 || request.asked.resumable);
+        request.relayed = relay.attempt;
+        request.open = true;
     }
-    void did(std::size_t, const Reject& refuse) {
-        Life& life = lifeOf(refuse.id);
-        EXPECT_FALSE(life.open);
-        EXPECT_EQ(life.possiblyRun + static_cast<int>(life.out.size()), 0) << "refused, yet may have run";
-        EXPECT_LE(refuse.retryAfter, life.asked.deadline / 3);
-        life.over = true;
+    void onAction(std::size_t, const Reject& reject) {
+        Tracked& request = trackedOf(reject.id);
+        EXPECT_FALSE(request.open);
+        EXPECT_EQ(request.possiblyRun + static_cast<int>(request.out.size()), 0)
+            << "rejected, yet may have run";
+        EXPECT_LE(reject.retryAfter, request.asked.deadline / 3);
+        request.over = true;
     }
-    void did(std::size_t, const Fail& fail) {
-        Life& life = lifeOf(fail.id);
-        EXPECT_FALSE(life.open);
-        life.over = true;
+    void onAction(std::size_t, const Fail& fail) {
+        Tracked& request = trackedOf(fail.id);
+        EXPECT_FALSE(request.open);
+        request.over = true;
     }
-    void did(std::size_t, const AbortResponse& off) {
-        Life& life = lifeOf(off.id);
-        EXPECT_TRUE(life.open);
-        life.over = true;
+    void onAction(std::size_t, const AbortResponse& abort) {
+        Tracked& request = trackedOf(abort.id);
+        EXPECT_TRUE(request.open);
+        request.over = true;
     }
-    void did(std::size_t gateway, const CheckHealth& probe) {
-        probes.push({now + 10, {gateway, probe.instanceId}});
+    void onAction(std::size_t gateway, const CheckHealth& check) {
+        healthChecks.push({now + 10, {gateway, check.instanceId}});
     }
-    void did(std::size_t gateway, const SetTimer& timer) { gateways[gateway].timerAt = timer.at; }
-    void did(std::size_t, const Log&) {}
-    // Datagrams get lost now and then.
-    void did(std::size_t gateway, const ReportLoad& load) {
+    void onAction(std::size_t gateway, const SetTimer& timer) { gateways[gateway].timerAt = timer.at; }
+    void onAction(std::size_t, const Log&) {}
+    // Some datagrams get lost.
+    void onAction(std::size_t gateway, const ReportLoad& load) {
         for (std::size_t other = 0; other < gateways.size(); ++other)
             if (other != gateway && random() < 0.9)
-                tell(other, PeerLoad{gateway + 1, false, load.hosts, 2500, load.speeds});
+                handle(other, PeerLoad{gateway + 1, false, load.hosts, 2500, load.speeds});
     }
 
     void arrive() {
@@ -181,31 +183,32 @@
         asked.maxAttempts = 1 + static_cast<int>(random.below(3));
         if (random() < 0.3) asked.allowedRegions = {"north"};
         asked.prompt = {{"p" + std::to_string(random.below(10)), 3000}, {"own", 100}};
-        Life& life = lives[asked.id];
-        life.asked = asked;
-        life.arrivedAt = now;
-        life.gateway = random.below(gateways.size());
+        Tracked& request = tracked[asked.id];
+        request.asked = asked;
+        request.arrivedAt = now;
+        request.gateway = random.below(gateways.size());
         requests.push_back(now);
-        if (random() < 0.1) departures.emplace(now + 300 * random(), asked.id);
-        tell(life.gateway, asked);
+        if (random() < 0.1) disconnects.emplace(now + 300 * random(), asked.id);
+        handle(request.gateway, asked);
     }
-    // Its client leaves: nothing is done about it any more, and what is out is cancelled at once.
-    void depart(RequestId id) {
-        Life& life = lives.at(id);
-        if (life.over) return;
-        life.over = true;
-        tell(life.gateway, ClientDisconnected{id});
-        for (const int attempt : life.out) EXPECT_TRUE(cancelled.contains({id, attempt})) << "works on";
+    // Its client disconnects: it gets no further action, and attempts in flight are cancelled at once.
+    void disconnect(RequestId id) {
+        Tracked& request = tracked.at(id);
+        if (request.over) return;
+        request.over = true;
+        handle(request.gateway, ClientDisconnected{id});
+        for (const int attempt : request.out)
+            EXPECT_TRUE(cancelled.contains({id, attempt})) << "still works on it";
     }
     // No request is without its final answer later than its deadline (a tick is at most 1 ms late here).
     void checkOverdue() {
-        for (; oldest <= lastId && now > lives.at(oldest).arrivedAt + lives.at(oldest).asked.deadline + 2;
+        for (; oldest <= lastId && now > tracked.at(oldest).arrivedAt + tracked.at(oldest).asked.deadline + 2;
              ++oldest)
-            EXPECT_TRUE(lives.at(oldest).over) << "request " << oldest << " is held past its time";
+            EXPECT_TRUE(tracked.at(oldest).over) << "request " << oldest << " has no end past its deadline";
     }
     void finish(const Pending& next) {
-        Life& life = lives.at(next.id);
-        if (!life.out.contains(next.attempt)) return;
+        Tracked& request = tracked.at(next.id);
+        if (!request.out.contains(next.attempt)) return;
         const bool wasCancelled = cancelled.contains({next.id, next.attempt});
         if (wasCancelled != (next.outcome == Outcome::cancelled)) return;
         if (next.step == 0) {
@@ -216,16 +219,16 @@
                                                               : 200;
             head.rejected = next.outcome == Outcome::rejected;
             head.bodyBytes = 100;
-            return tell(next.gateway, head);
+            return handle(next.gateway, head);
         }
-        if (next.step == 1) return tell(next.gateway, AttemptFirstByte{next.id, next.attempt});
-        life.out.erase(next.attempt);
+        if (next.step == 1) return handle(next.gateway, AttemptFirstByte{next.id, next.attempt});
+        request.out.erase(next.attempt);
         const bool never = next.outcome == Outcome::rejected || next.outcome == Outcome::notConnected ||
                            next.outcome == Outcome::noCapacity;
-        if (!never) ++life.possiblyRun;
-        const bool whole = next.outcome == Outcome::served || next.outcome == Outcome::hostError;
-        tell(next.gateway, AttemptEnded{next.id, next.attempt, next.outcome, "", 0});
-        if (whole && life.relayed == next.attempt) life.over = true;
+        if (!never) ++request.possiblyRun;
+        const bool complete = next.outcome == Outcome::served || next.outcome == Outcome::hostError;
+        handle(next.gateway, AttemptEnded{next.id, next.attempt, next.outcome, "", 0});
+        if (complete && request.relayed == next.attempt) request.over = true;
     }
     void change() {
         const double what = random();
@@ -252,10 +255,10 @@
         Millis nextArrival = now, nextChange = now + 3000;
         while (now < end + 5000) {
             if (now < end && now >= nextArrival) arrive(), nextArrival = now + 20 * random();
-            while (!departures.empty() && departures.begin()->first <= now) {
-                const RequestId id = departures.begin()->second;
-                departures.erase(departures.begin());
-                depart(id);
+            while (!disconnects.empty() && disconnects.begin()->first <= now) {
+                const RequestId id = disconnects.begin()->second;
+                disconnects.erase(disconnects.begin());
+                disconnect(id);
             }
             if (now >= nextChange) change(), nextChange = now + 2000 * random();
             while (!pending.empty() && pending.top().at <= now) {
@@ -263,22 +266,23 @@
                 pending.pop();
                 finish(next);
             }
-            while (!probes.empty() && probes.front().first <= now) {
-                const auto [gateway, instance] = probes.front().second;
-                probes.pop();
-                tell(gateway, HealthCheckEnded{instance, random() < 0.7, 0, true});
+            while (!healthChecks.empty() && healthChecks.front().first <= now) {
+                const auto [gateway, instance] = healthChecks.front().second;
+                healthChecks.pop();
+                handle(gateway, HealthCheckEnded{instance, random() < 0.7, 0, true});
             }
             for (std::size_t g = 0; g < gateways.size(); ++g) {
                 if (gateways[g].timerAt == 0 || gateways[g].timerAt > now) continue;
                 gateways[g].timerAt = 0;
-                tell(g, Tick{});
+                handle(g, Tick{});
             }
             checkOverdue();
             now += 1;
         }
     }
     void checkEnds() {
-        for (const auto& [id, life] : lives) EXPECT_TRUE(life.over) << "request " << id << " has no end";
+        for (const auto& [id, request] : tracked)
+            EXPECT_TRUE(request.over) << "request " << id << " has no end";
         for (const Gateway& gateway : gateways) {
             EXPECT_EQ(gateway.dispatcher->requestCount(), 0u);
             EXPECT_EQ(gateway.dispatcher->attemptsInFlight(), 0u);
@@ -299,43 +303,43 @@
             ASSERT_LE(within(further, from, from + kWindow), ratio * most + slack);
         }
     }
-    void checkCold() {
-        for (const auto& [host, sends] : coldSends)
+    void checkSlowStart() {
+        for (const auto& [host, sends] : warmupSends)
             for (const Millis from : sends)
                 ASSERT_LE(within(sends, from, from + 1000), kWarmupPerS * kOvershoot + kWarmupSlack) << host;
     }
 
     SplitMix random;
-    double ratio, slack;  // of the shared budget
+    double ratio, slack;  // of the retry budget
     Millis now = 1000000;
     std::vector<Gateway> gateways;
     std::vector<Host> hosts;
     std::set<std::string> evacuated;
-    std::map<RequestId, Life> lives;
+    std::map<RequestId, Tracked> tracked;
     std::map<RequestId, std::vector<Millis>> arrived;
     std::set<std::pair<RequestId, int>> cancelled;
     std::vector<Millis> requests;
     std::map<std::string, Millis> warmingUpUntil;
-    std::map<std::string, std::vector<Millis>> coldSends;
+    std::map<std::string, std::vector<Millis>> warmupSends;
     std::priority_queue<Pending> pending;
-    std::queue<std::pair<Millis, std::pair<std::size_t, std::string>>> probes;
-    std::set<std::pair<Millis, RequestId>> departures;
+    std::queue<std::pair<Millis, std::pair<std::size_t, std::string>>> healthChecks;
+    std::set<std::pair<Millis, RequestId>> disconnects;
     RequestId lastId = 0, oldest = 1;
     int lastHost = 0;
 };
 
-// In every scenario: no send to a host that is gone, draining, evacuated or outside the allowed regions; at most one
-// send that may have run of a request that can't be repeated; no refusal of one that may have run; one end for each
+// In every scenario: no send to a host that is removed, draining, evacuated or outside the allowed regions; at most one
+// send that may have run of a request that is not idempotent; no rejection of one that may have run; one end for each
 // request, no later than its deadline; no more hosts than its route allows, each handed no more time than is left; nothing
-// more once its client has left; the shared budget and the cold bound hold over all gateways.
-TEST(RandomScenarios, KeepTheRules) {
+// more once its client has disconnected; the retry budget and the slow start's bound hold over all gateways.
+TEST(RandomScenarios, HoldAllInvariants) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
         Scenario scenario(seed);
         scenario.run(20000);
         scenario.checkEnds();
         scenario.checkBudget();
-        scenario.checkCold();
+        scenario.checkSlowStart();
         EXPECT_GT(scenario.arrived.size(), 1000u);
         if (testing::Test::HasFailure()) break;
     }
--- /dev/null
+++ b/tests/dispatch/reject_reason_test.cpp
@@ -0,0 +1,118 @@
+// Each rejection names its reason: the rows of dispatch/reject_reason.hpp.
+#include "dispatch/reject_reason.hpp"
+
+#include <memory>
+
+#include "harness.hpp"
+
+namespace beechpoint::dispatch {
+namespace {
+
+class RejectReasonTest : public testing::Test {
+protected:
+    void start(const Settings& settings = testSettings()) {
+        harness = std::make_unique<Harness>(settings);
+        harness->start({hostNamed("a"), hostNamed("b")}, {serviceNamed("svc")});
+    }
+    // The reason of the only rejection among the actions.
+    static void expectRejected(const std::vector<Action>& actions, RejectReason reason) {
+        const std::vector<Reject> rejections = only<Reject>(actions);
+        ASSERT_EQ(rejections.size(), 1u);
+        EXPECT_EQ(rejections.front().reason, reason);
+        EXPECT_EQ(rejections.front().status, 503);
+    }
+
+    std::unique_ptr<Harness> harness;
+};
+
+TEST_F(RejectReasonTest, IsNoServiceWhenWeightsAddUpToNothing) {
+    start();
+    RequestArrived arrived = harness->request();
+    arrived.services = {{"svc", 0}};
+    expectRejected(harness->handle(arrived), RejectReason::noService);
+}
+
+TEST_F(RejectReasonTest, IsDeadlinePassedWhenNoTimeIsLeftAtArrival) {
+    start();
+    RequestArrived arrived = harness->request();
+    arrived.deadline = 0;
+    expectRejected(harness->handle(arrived), RejectReason::deadlinePassed);
+}
+
+TEST_F(RejectReasonTest, IsRequestLimitWhenMaxRequestsAreInFlight) {
+    Settings settings = testSettings();
+    settings.maxRequests = 1;
+    start(settings);
+    harness->handle(harness->request());
+    expectRejected(harness->handle(harness->request()), RejectReason::requestLimit);
+}
+
+TEST_F(RejectReasonTest, IsAdmissionWhenExpectedWaitIsTooLong) {
+    start();
+    for (int i = 0; i < 10; ++i) {  // slow answers, so that long waits are expected
+        RequestArrived slow = harness->request();
+        slow.deadline = 30000;
+        harness->handle(slow);
+        harness->advance(900);
+        harness->serve(slow.id, 0);
+    }
+    std::vector<Action> actions;
+    for (int i = 0; i < 40 && only<Reject>(actions).empty(); ++i) {
+        RequestArrived arrived = harness->request(RequestType::nonIdempotent);
+        arrived.priorityClass = 2;
+        actions = harness->handle(arrived);
+    }
+    expectRejected(actions, RejectReason::admission);
+}
+
+TEST_F(RejectReasonTest, IsNoHostAvailableWhenPendingForTooLong) {
+    start();
+    harness->handle(HostList{});
+    harness->handle(harness->request());
+    expectRejected(harness->advance(75), RejectReason::noHostAvailable);
+}
+
+TEST_F(RejectReasonTest, IsAttemptLimitWhenAllHostsAllowedRejected) {
+    start();
+    RequestArrived arrived = harness->request(RequestType::nonIdempotent);
+    arrived.maxAttempts = 1;
+    harness->handle(arrived);
+    expectRejected(harness->ended(arrived.id, 0, Outcome::rejected), RejectReason::attemptLimit);
+}
+
+TEST_F(RejectReasonTest, IsConnectLimitWhenNoConnectionCouldBeMade) {
+    start();
+    RequestArrived arrived = harness->request(RequestType::nonIdempotent);
+    arrived.maxAttempts = 1;
+    arrived.latencyTarget = 1000;
+    harness->handle(arrived);
+    std::vector<Action> actions;
+    for (int attempt = 0; attempt < 5; ++attempt) {
+        ASSERT_TRUE(only<Reject>(actions).empty());
+        harness->handle(HealthCheckEnded{"a", true, 0, true});
+        harness->handle(HealthCheckEnded{"b", true, 0, true});
+        actions = harness->ended(arrived.id, attempt, Outcome::noCapacity);
+        if (only<Reject>(actions).empty()) harness->advance(60);
+    }
+    expectRejected(actions, RejectReason::connectLimit);
+}
+
+TEST_F(RejectReasonTest, IsRetryBudgetWhenItIsSpent) {
+    Settings settings = testSettings();
+    settings.retryBudgetRatio = 0;
+    settings.retryBudgetSlack = 0;
+    start(settings);
+    const RequestArrived arrived = harness->request(RequestType::nonIdempotent);
+    harness->handle(arrived);
+    expectRejected(harness->ended(arrived.id, 0, Outcome::rejected), RejectReason::retryBudget);
+}
+
+TEST_F(RejectReasonTest, IsShutDownWhenProcessEnds) {
+    start();
+    harness->handle(HostList{});
+    harness->handle(harness->request(RequestType::nonIdempotent));
+    expectRejected(harness->handle(ShutDown{}), RejectReason::shutDown);
+}
+
+}  // namespace
+}  // namespace beechpoint::dispatch
--- a/tests/dispatch/reported_load_test.cpp
+++ b/tests/dispatch/reported_load_test.cpp
@@ -9,9 +9,9 @@
 namespace beechpoint::dispatch {
 namespace {
 
-class SharedLoadTest : public ::testing::Test {
+class ReportedLoadTest : public ::testing::Test {
 protected:
-    SharedLoadTest() { list({"a", "b"}); }
+    ReportedLoadTest() { list({"a", "b"}); }
     void list(const std::vector<std::string>& names) {
         HostList hosts;
         for (const std::string& name : names) {
@@ -23,8 +23,8 @@
         hosts_.update(hosts, now_);
         reportedLoad_.hostsChanged();
     }
-    void told(std::uint64_t source, bool whole, const std::vector<HostLoad>& loads, Millis validFor = 1000) {
-        reportedLoad_.update(PeerLoad{source, whole, loads, validFor, {}}, now_);
+    void report(std::uint64_t source, bool full, const std::vector<HostLoad>& loads, Millis validFor = 1000) {
+        reportedLoad_.update(PeerLoad{source, full, loads, validFor, {}}, now_);
     }
     static HostLoad load(const std::string& host, int waiting, double workS) {
         return {hostKey(host), waiting, workS};
@@ -36,34 +36,34 @@
     ReportedLoad reportedLoad_{hosts_};
 };
 
-TEST_F(SharedLoadTest, SumsWhatTheSourcesTell) {
-    told(1, false, {load("a", 1, 0.2)});
-    told(2, false, {load("a", 2, 0.5), load("b", 1, 0.1)});
+TEST_F(ReportedLoadTest, SumsReportsOfAllSources) {
+    report(1, false, {load("a", 1, 0.2)});
+    report(2, false, {load("a", 2, 0.5), load("b", 1, 0.1)});
     EXPECT_EQ(slot("a").othersWaiting, 3);
     EXPECT_DOUBLE_EQ(slot("a").othersS, 0.7);
     EXPECT_EQ(slot("b").othersWaiting, 1);
 }
 
-TEST_F(SharedLoadTest, TakesFiguresAsAbsolute) {
-    told(1, false, {load("a", 3, 0.6)});
-    told(1, false, {load("a", 1, 0.2)});
-    told(1, false, {load("a", 1, 0.2)});
+TEST_F(ReportedLoadTest, ReplacesEarlierFiguresOfSource) {
+    report(1, false, {load("a", 3, 0.6)});
+    report(1, false, {load("a", 1, 0.2)});
+    report(1, false, {load("a", 1, 0.2)});
     EXPECT_EQ(slot("a").othersWaiting, 1);
-    told(1, false, {load("a", 0, 0)});
+    report(1, false, {load("a", 0, 0)});
     EXPECT_EQ(slot("a").othersWaiting, 0);
     EXPECT_DOUBLE_EQ(slot("a").othersS, 0);
 }
 
-TEST_F(SharedLoadTest, AWholeWordClearsWhatItDoesNotName) {
-    told(1, false, {load("a", 1, 0.2), load("b", 1, 0.2)});
-    told(1, true, {load("b", 2, 0.4)});
+TEST_F(ReportedLoadTest, FullReportClearsHostsItDoesNotName) {
+    report(1, false, {load("a", 1, 0.2), load("b", 1, 0.2)});
+    report(1, true, {load("b", 2, 0.4)});
     EXPECT_EQ(slot("a").othersWaiting, 0);
     EXPECT_EQ(slot("b").othersWaiting, 2);
 }
 
-TEST_F(SharedLoadTest, ForgetsASourceThatIsSilent) {
-    told(1, false, {load("a", 1, 0.2)}, 500);
-    told(2, false, {load("a", 1, 0.3)}, 5000);
+TEST_F(ReportedLoadTest, ForgetsSourceWhenReportIsNoLongerValid) {
+    report(1, false, {load("a", 1, 0.2)}, 500);
+    report(2, false, {load("a", 1, 0.3)}, 5000);
     now_ += 501;
     reportedLoad_.expire(now_);
     EXPECT_EQ(slot("a").othersWaiting, 1);
@@ -74,29 +74,29 @@
     EXPECT_FALSE(reportedLoad_.active());
 }
 
-TEST_F(SharedLoadTest, CountsForAHostThatIsListedLater) {
-    told(1, false, {load("c", 2, 0.4)});
+TEST_F(ReportedLoadTest, AppliesEarlierReportWhenHostIsListed) {
+    report(1, false, {load("c", 2, 0.4)});
     list({"a", "b", "c"});
     EXPECT_EQ(slot("c").othersWaiting, 2);
-    told(1, false, {load("c", 0, 0)});
+    report(1, false, {load("c", 0, 0)});
     EXPECT_EQ(slot("c").othersWaiting, 0);
 }
 
-TEST_F(SharedLoadTest, SourcesAndHostsAreBounded) {
+TEST_F(ReportedLoadTest, IgnoresSourcesAndHostsBeyondBounds) {
     for (std::uint64_t source = 1; source <= ReportedLoad::kMaxSources + 10; ++source)
-        told(source, false, {load("a", 1, 0.1)});
+        report(source, false, {load("a", 1, 0.1)});
     EXPECT_EQ(slot("a").othersWaiting, static_cast<int>(ReportedLoad::kMaxSources));
     std::vector<HostLoad> many;
     for (std::uint32_t host = 0; host < ReportedLoad::kMaxHosts; ++host) many.push_back({host, 1, 0.1});
-    told(1, true, many);
-    told(1, false, {load("b", 1, 0.1)});
+    report(1, true, many);
+    report(1, false, {load("b", 1, 0.1)});
     EXPECT_EQ(slot("b").othersWaiting, 0);
 }
 
-TEST_F(SharedLoadTest, TheBacklogShrinksAsItIsReadButNotToNothing) {
+TEST_F(ReportedLoadTest, BacklogShrinksWithTimeButStaysAboveZero) {
     ServiceLoad load;
     load.engine = load.othersReported = true;
-    told(1, false, {this->load("a", 1, 1.0)});
+    report(1, false, {this->load("a", 1, 1.0)});
     EXPECT_DOUBLE_EQ(Predictor::backlog(slot("a"), load, now_), 1.0);
     EXPECT_NEAR(Predictor::backlog(slot("a"), load, now_ + 400), 0.6, 1e-9);
     const double atLast = Predictor::backlog(slot("a"), load, now_ + 5000);
@@ -104,7 +104,7 @@
     EXPECT_LT(atLast, 0.6);
 }
 
-TEST_F(SharedLoadTest, MeasuredSpeedsOfOthersCount) {
+TEST_F(ReportedLoadTest, AppliesSpeedsMeasuredByOthersUnlessTurnedOff) {
     ServiceLoad load;
     load.engine = true;
     const double average = Predictor::prefillS(slot("a"), load, 10'000, now_);
@@ -124,16 +124,16 @@
     harness.start({hostNamed("a"), hostNamed("b")}, {serviceNamed("svc", 0, 0, true)}, 2);
 }
 
-// Of so many dispatchers that have heard this word, how many send their first prompt to host "a" of two.
-int sendToFirst(const PeerLoad& word, const Settings& settings = testSettings()) {
+// Of so many dispatchers that have this report, how many send their first prompt to host "a" of two.
+int sendToFirst(const PeerLoad& report, const Settings& settings = testSettings()) {
     int first = 0;
     for (int seed = 1; seed <= kDispatchers; ++seed) {
         Harness harness(settings, static_cast<std::uint64_t>(seed));
         startWithTwoHosts(harness);
-        harness.tell(word);
+        harness.handle(report);
         RequestArrived asked = harness.request(RequestType::streaming);
         asked.prompt = {{"own", 4000}};
-        const std::vector<Send> sent = only<Send>(harness.tell(asked));
+        const std::vector<Send> sent = only<Send>(harness.handle(asked));
         if (sent.size() == 1 && sent.front().instanceId == "a") ++first;
     }
     return first;
@@ -141,43 +141,43 @@
 
 PeerLoad waitingAtFirst() { return {7, true, {{hostKey("a"), 3, 30.0}}, 1e6, {}}; }
 
-TEST(SharedLoadInDispatcher, PromptsAreNotSentBehindThoseOfOthers) {
+TEST(DispatcherReportedLoad, AvoidsHostWithReportedBacklog) {
     EXPECT_EQ(sendToFirst(waitingAtFirst()), 0);
     EXPECT_GT(sendToFirst(PeerLoad{7, true, {}, 1e6, {}}), kDispatchers / 4);
 }
 
-TEST(SharedLoadInDispatcher, WithoutItTheOthersAreNotHeardNorTold) {
+TEST(DispatcherReportedLoad, NeitherAppliesNorSendsReportsWhenTurnedOff) {
     Settings settings = testSettings();
     settings.mechanisms.turnOff(Mechanism::sharedLoad);
     EXPECT_GT(sendToFirst(waitingAtFirst(), settings), kDispatchers / 4);
     Harness harness(settings);
     startWithTwoHosts(harness);
-    harness.tell(harness.request());
+    harness.handle(harness.request());
     EXPECT_TRUE(only<ReportLoad>(harness.all).empty());
 }
 
-TEST(SharedLoadInDispatcher, TellsWhatWaitsAndWhenItNoLongerDoes) {
+TEST(DispatcherReportedLoad, ReportsWaitingAttemptAndItsEndOnce) {
     Harness harness;
     startWithTwoHosts(harness);
     RequestArrived asked = harness.request(RequestType::streaming);
     asked.prompt = {{"own", 4000}};
-    const auto told = only<ReportLoad>(harness.tell(asked));
-    ASSERT_EQ(told.size(), 1u);
-    ASSERT_EQ(told.front().hosts.size(), 1u);
-    EXPECT_EQ(told.front().hosts.front().waiting, 1);
-    EXPECT_GT(told.front().hosts.front().workS, 0);
-    EXPECT_TRUE(only<ReportLoad>(harness.pass(5)).empty());
+    const auto reported = only<ReportLoad>(harness.handle(asked));
+    ASSERT_EQ(reported.size(), 1u);
+    ASSERT_EQ(reported.front().hosts.size(), 1u);
+    EXPECT_EQ(reported.front().hosts.front().waiting, 1);
+    EXPECT_GT(reported.front().hosts.front().workS, 0);
+    EXPECT_TRUE(only<ReportLoad>(harness.advance(5)).empty());
     const auto ended = only<ReportLoad>(harness.serve(asked.id, 0));
     ASSERT_FALSE(ended.empty());
     EXPECT_EQ(ended.front().hosts.front().waiting, 0);
 }
 
-TEST(SharedLoadInDispatcher, AHostThatReadsSlowlyGetsFewerPrompts) {
+TEST(DispatcherReportedLoad, SlowHostGetsFewerPrompts) {
     const std::vector<HostSpeed> slow(40, HostSpeed{hostKey("a"), 3});
     EXPECT_LT(sendToFirst(PeerLoad{7, true, {}, 1e6, slow}), kDispatchers / 8);
 }
 
-TEST(PrefillRate, LearnsThatLongPromptsTakeMoreThanTheirShare) {
+TEST(PrefillRate, LearnsMoreThanProportionalTimeOfLongPrompts) {
     PrefillRate rate;
     const auto truly = [](double tokens) { return 0.03 + tokens / 40'000 + tokens * tokens / 4e9; };
     for (int turn = 0; turn < 400; ++turn)
--- a/tests/dispatch/slow_start_budget_test.cpp
+++ b/tests/dispatch/slow_start_budget_test.cpp
@@ -10,24 +10,24 @@
 namespace beechpoint::dispatch {
 namespace {
 
-TEST(SlowStartShare, IsNothingWithoutAFleet) {
+TEST(SlowStartShare, IsZeroWhenFleetIsUnknownOrBoundBelowOne) {
     EXPECT_EQ(SlowStartShare(20, 1, false, 0).perSpan(), 0);
     EXPECT_EQ(SlowStartShare(0.5, 1, true, 0).perSpan(), 0);
 }
 
-TEST(SlowStartShare, IsAPartThatHoldsWithAThirdMoreGateways) {
+TEST(SlowStartShare, DividesBoundWithMarginForUnknownGateways) {
     EXPECT_EQ(SlowStartShare(20, 8, true, 0).perSpan(), 1);
     EXPECT_EQ(SlowStartShare(20, 2, true, 0).perSpan(), 6);
     EXPECT_EQ(SlowStartShare(20, 1, true, 0).perSpan(), 10);
 }
 
-TEST(SlowStartShare, OfMoreGatewaysThanRequestsOnlyTheFirstSend) {
+TEST(SlowStartShare, IsOneForLowRanksOnlyWhenGatewaysExceedBound) {
     EXPECT_EQ(SlowStartShare(20, 50, true, 5).perSpan(), 1);
     EXPECT_EQ(SlowStartShare(20, 50, true, 6).perSpan(), 0);
     EXPECT_EQ(SlowStartShare(20, 50, true, -1).perSpan(), 0);
 }
 
-TEST(SlowStartLog, FreesPlacesAsTheSpanPasses) {
+TEST(SlowStartLog, AllowsAgainWhenSpanHasPassed) {
     const SlowStartShare share(20, 4, true, 0);
     ASSERT_EQ(share.perSpan(), 3);
     SlowStartLog log;
@@ -38,7 +38,7 @@
 }
 
 // Whatever the gateways want, and with a third more of them than are known, no second sees more than the bound.
-TEST(SlowStartBudgetProperty, SumsOverGatewaysUnderTheBound) {
+TEST(SlowStartBudgetProperty, SumOverGatewaysStaysUnderBoundWithRandomSends) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         SplitMix random(seed);
         const int known = 1 + static_cast<int>(random.below(40));
