--- a/src/dispatch/request_table.cpp
+++ b/src/dispatch/request_table.cpp
@@ -29,6 +29,7 @@
 
 std::vector<RequestId> RequestTable::all() const {
     std::vector<RequestId> ids;
+    ids.reserve(requests_.size());
     for (const auto& [id, request] : requests_) ids.push_back(id);
     std::sort(ids.begin(), ids.end());
     return ids;
--- a/src/dispatch/selection.cpp
+++ b/src/dispatch/selection.cpp
@@ -95,6 +95,7 @@
     const bool homes = settings_.mechanisms.on(Mechanism::prefixHomes);
     if (homes && service.load.engine && request.shared.tokens > 0) return withAffinity(request, hosts);
     std::vector<Option> result;
+    result.reserve(hosts.size());
     for (const int i : hosts) result.push_back({i, 0});
     return result;
 }
