--- a/src/dispatch/service_table.cpp
+++ b/src/dispatch/service_table.cpp
@@ -27,22 +27,22 @@
 
 ServiceState& ServiceTable::use(const std::string& name, Millis now) {
     ServiceState& state = at(name, now);
-    if (state.slowStartShareBlind && !blind(now)) applyFleet(state, now);
+    if (state.slowStartShareUnsure && !earlierProcessMayCount(now)) applyFleet(state, now);
     state.usedAt = now;
     return state;
 }
 
-// While blind, an earlier process of this gateway may have sent as well.
+// While that is so, an earlier process of this gateway may have sent as well.
 void ServiceTable::applyFleet(ServiceState& state, Millis now) {
     const double bound = state.service.warmupPerS * settings_.warmupOvershoot + settings_.warmupSlack;
-    state.slowStartShareBlind = blind(now);
+    state.slowStartShareUnsure = earlierProcessMayCount(now);
     state.slowStartShare =
-        SlowStartShare(bound, fleet_.liveGateways, fleet_.known && !state.slowStartShareBlind, fleet_.rank);
-    state.budget.fleet(fleet_.liveGateways, fleet_.known);
+        SlowStartShare(bound, fleet_.liveGateways, fleet_.known && !state.slowStartShareUnsure, fleet_.rank);
+    state.budget.setFleet(fleet_.liveGateways, fleet_.known);
     state.load.gateways = std::max(1, fleet_.liveGateways);
 }
 
-void ServiceTable::configure(const Services& list, Millis now) {
+void ServiceTable::configure(const ServiceList& list, Millis now) {
     for (auto& [name, state] : services_) state.configured = false;
     for (const Service& each : list.services) {
         ServiceState& state = at(each.name, now);
@@ -53,25 +53,25 @@
     }
 }
 
-void ServiceTable::share(const Fleet& fleet, Millis now) {
+void ServiceTable::setFleet(const Fleet& fleet, Millis now) {
     fleet_ = fleet;
     for (auto& [name, state] : services_) applyFleet(state, now);
 }
 
 void ServiceTable::smoothWaiting(const HostTable& hosts, Millis passed) {
     if (passed <= 0) return;
-    const double keep = std::exp(-passed / kUsualMemoryMs);
+    const double decay = std::exp(-passed / kUsualMemoryMs);
     for (auto& [name, state] : services_) {
         const std::vector<int>& own = hosts.ofService(name);
         double waiting = 0;
         for (const int i : own) waiting += hosts.at(i).waiting;
         const double mean = waiting / static_cast<double>(std::max<std::size_t>(1, own.size()));
-        state.load.usualWaiting = keep * state.load.usualWaiting + (1 - keep) * mean;
+        state.load.usualWaiting = decay * state.load.usualWaiting + (1 - decay) * mean;
     }
 }
 
-void ServiceTable::loadIsShared(bool shared) {
-    for (auto& [name, state] : services_) state.load.shared = shared;
+void ServiceTable::setLoadReported(bool reported) {
+    for (auto& [name, state] : services_) state.load.othersReported = reported;
 }
 
 void ServiceTable::prune(Millis oldest) {
--- a/tests/dispatch/budget_test.cpp
+++ b/tests/dispatch/budget_test.cpp
@@ -10,7 +10,7 @@
 namespace beechpoint::dispatch {
 namespace {
 
-TEST(SlidingCount, BoundsTheTrueCountFromBothSides) {
+TEST(SlidingCount, BoundsTrueCountFromBothSidesWithRandomEvents) {
     SplitMix random(3);
     SlidingCount upper(1000, SlidingCount::Edge::upper), lower(1000, SlidingCount::Edge::lower);
     std::vector<Millis> events;
@@ -28,18 +28,18 @@
     }
 }
 
-TEST(RetryBudget, WithoutAFleetThereIsNoSlack) {
+TEST(RetryBudget, HasNoSlackWhenFleetIsUnknown) {
     RetryBudget budget({0.2, 10000, 100});
     EXPECT_FALSE(budget.allows(1));
-    budget.fleet(4, true);
+    budget.setFleet(4, true);
     EXPECT_TRUE(budget.allows(1));
-    budget.fleet(4, false);
+    budget.setFleet(4, false);
     EXPECT_FALSE(budget.allows(1));
 }
 
-TEST(RetryBudget, GrowsWithOwnRequestsAndForgetsSends) {
+TEST(RetryBudget, GrowsWithRequestsAndStaysSpentWithinWindow) {
     RetryBudget budget({0.2, 10000, 0});
-    budget.fleet(1, true);
+    budget.setFleet(1, true);
     for (int i = 0; i < 100; ++i) budget.requested(i);
     int sent = 0;
     while (budget.allows(100)) budget.spend(100), ++sent;
@@ -49,14 +49,14 @@
 
 // For random traffic at random gateways, a third more of them than are known, further sends never exceed the rule's
 // budget in any window, however many are wanted.
-TEST(RetryBudgetProperty, TheRuleHoldsOverAllGateways) {
+TEST(RetryBudgetProperty, SumOverGatewaysStaysUnderBudgetWithRandomTraffic) {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         SplitMix random(seed);
         const int known = 1 + static_cast<int>(random.below(8));
         const int real = known + known / 2;
         const RetryBounds bounds{0.05 + 0.3 * random(), 10000, 60 * random()};
         std::vector<RetryBudget> budgets(static_cast<std::size_t>(real), RetryBudget(bounds));
-        for (RetryBudget& budget : budgets) budget.fleet(known, true);
+        for (RetryBudget& budget : budgets) budget.setFleet(known, true);
         std::vector<Millis> requests, further;
         double load = 0.05;
         for (Millis now = 0; now < 40000; now += 5) {
