--- a/src/control/codec.cpp
+++ b/src/control/codec.cpp
@@ -43,7 +43,7 @@
     }
 };
 template <>
-struct Fields<SharedHostList> {
+struct Fields<HostListSnapshot> {
     static auto of(auto& list) { return std::tie(list.version, list.readAge, list.hosts); }
 };
 template <>
@@ -53,15 +53,15 @@
     }
 };
 template <>
-struct Fields<SharedHostChanges> {
+struct Fields<HostListDelta> {
     static auto of(auto& shared) { return std::tie(shared.changes, shared.readAge); }
 };
 template <>
 struct Fields<PollRequest> {
     static auto of(auto& request) {
         return std::tie(request.gateway, request.position, request.hostList, request.waitMs,
-                        request.wantsLoad, request.directoryDigest, request.takesHostChanges,
-                        request.takesPackedState);
+                        request.wantsLoad, request.directoryDigest, request.acceptsHostChanges,
+                        request.acceptsPackedState);
     }
 };
 template <>
@@ -87,7 +87,7 @@
 template <>
 struct Fields<PeerUpdateReply> {
     static auto of(auto& reply) {
-        return std::tie(reply.hostListVersion, reply.takesIncrements, reply.unknownLeases);
+        return std::tie(reply.hostListVersion, reply.acceptsIncrements, reply.unknownLeases);
     }
 };
 
@@ -118,11 +118,11 @@
 // The list's fields of a PollReply or a Share.
 template <class Message, class TakeChanges>
 std::optional<Error> unpackHosts(Message& message, const TakeChanges& takeChanges) {
-    const auto takeList = [&](SharedHostList list) {
+    const auto takeList = [&](HostListSnapshot list) {
         list.readAge = message.hostListReadAge;
         message.hostList = std::move(list);
     };
-    if (auto error = unpackField<SharedHostList>(message.packedHostList, takeList)) return error;
+    if (auto error = unpackField<HostListSnapshot>(message.packedHostList, takeList)) return error;
     return unpackField<host_discovery::HostListChanges>(message.packedHostChanges, takeChanges);
 }
 
@@ -134,7 +134,7 @@
         reply.packedTable.clear();
     }
     const auto takeChanges = [&](host_discovery::HostListChanges changes) {
-        reply.hostChanges = SharedHostChanges{std::move(changes), reply.hostListReadAge};
+        reply.hostChanges = HostListDelta{std::move(changes), reply.hostListReadAge};
     };
     if (auto error = unpackHosts(reply, takeChanges)) return error;
     const auto takeDirectory = [&](std::vector<leases::Gateway> gateways) {
@@ -150,7 +150,7 @@
 
 }  // namespace
 
-std::shared_ptr<const host_discovery::HostList> receivedList(const SharedHostList& shared, Millis now) {
+std::shared_ptr<const host_discovery::HostList> toHostList(const HostListSnapshot& shared, Millis now) {
     auto list = std::make_shared<host_discovery::HostList>();
     list->version = shared.version;
     list->readAt = now - shared.readAge;
@@ -169,7 +169,7 @@
 std::string encode(const PeerUpdateReply& reply) { return rpc::pack(reply); }
 
 std::string packHostList(const host_discovery::HostList& list) {
-    return packBytes(rpc::pack(SharedHostList{list.version, 0, list.hosts}));
+    return packBytes(rpc::pack(HostListSnapshot{list.version, 0, list.hosts}));
 }
 std::string packHostChanges(const host_discovery::HostListChanges& changes) {
     return packBytes(rpc::pack(changes));
@@ -200,7 +200,7 @@
     if (!peerUpdate) return peerUpdate;
     const auto takeChanges = [&](host_discovery::HostListChanges changes) {
         peerUpdate.value().hostChanges =
-            SharedHostChanges{std::move(changes), peerUpdate.value().hostListReadAge};
+            HostListDelta{std::move(changes), peerUpdate.value().hostListReadAge};
     };
     if (auto error = unpackHosts(peerUpdate.value(), takeChanges)) return *error;
     return peerUpdate;
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -74,7 +74,8 @@
           server_(io, logger),
           driver_(io, clock, logger, client_, {[this] { onTableMoved(); }, [this] { onView(); }}),
           operatorApi_(io, clock, logger, driver_),
-          gateways_(io, clock, logger, driver_, client_, serviceSettings(), [this] { directory_.look(); }),
+          gateways_(io, clock, logger, driver_, client_, serviceSettings(),
+                    [this] { directory_.answerPending(); }),
           directory_(
               clock, [this] { return gateways_.liveGateways(); }, ttlOf(settings_)),
           operators_(io, clock, logger, kMaxOperators, handler()),
@@ -126,9 +127,9 @@
         logger_.info("leaving");
         const Millis half = settings_.timingBounds.graceS * kMillisPerSecond / 2;
         leaveBy_ = clock_.now() + std::min(half, kLeavingMost);
-        gateways_.leave();
+        gateways_.drain();
         operatorApi_.leave();
-        directory_.leave();
+        directory_.drain();
         for (net::HttpServer* server : servers()) {
             server->stopAccepting();
             server->closing(true);
@@ -287,7 +288,7 @@
             if (!driver_.replica() && now >= openAt_) openStore();
             gateways_.tick();
         }
-        directory_.look();
+        directory_.answerPending();
         if (leaving_ && hasLeft()) return end();
         tick_.expires_after(leaving_ ? kLeavingLook : gateways_.waitsForFreshness() ? kFreshnessLook : kTick);
         tick_.async_wait([weak = weak_from_this()](const asio::error_code& error) {
--- a/src/control/directory_sample.cpp
+++ b/src/control/directory_sample.cpp
@@ -48,7 +48,7 @@
             std::min(mostFrom(*candidates.front().gateway, zone, region), candidates.size());
         std::ranges::partial_sort(candidates, candidates.begin() + static_cast<std::ptrdiff_t>(most),
                                   std::ranges::greater{}, &Candidate::weight);
-        for (std::size_t index = 0; index < most && sample.size() < kMostSampled; ++index)
+        for (std::size_t index = 0; index < most && sample.size() < kMaxSampledGateways; ++index)
             sample.push_back(*candidates[index].gateway);
     }
     std::ranges::sort(sample, {}, &leases::Gateway::name);
--- a/src/control/directory_sample.hpp
+++ b/src/control/directory_sample.hpp
@@ -25,7 +25,7 @@
 inline constexpr std::size_t kFromOwnRegion = 16;
 inline constexpr std::size_t kFromElsewhere = 4;
 inline constexpr std::size_t kSampleGroups = 4;  // gateways of one zone with a sample of their own
-inline constexpr std::size_t kMostSampled = 512;
+inline constexpr std::size_t kMaxSampledGateways = 512;
 static_assert(kFromElsewhere >= kEnoughNear);
 
 std::vector<leases::Gateway> directorySample(const std::vector<leases::Gateway>& live,
--- a/src/control/directory_service.cpp
+++ b/src/control/directory_service.cpp
@@ -32,26 +32,26 @@
     client.connection = connection;
     client.deadline = clock_.now() + kResolveWait;
     if (answer(client, gateways_())) return;
-    if (leaving_ || waiting_.size() >= kMaxWaitingClients) return refuse(client);
+    if (draining_ || waiting_.size() >= kMaxPendingClients) return refuse(client);
     waiting_.push_back(std::move(client));
 }
 
-void DirectoryService::look() {
+void DirectoryService::answerPending() {
     if (waiting_.empty()) return;
     const auto gateways = gateways_();
     const Millis now = clock_.now();
     for (auto next = waiting_.begin(); next != waiting_.end();) {
         const auto client = next++;
         const bool answered = !client->connection->waiting() || answer(*client, gateways);
-        if (!answered && !leaving_ && now < client->deadline) continue;
+        if (!answered && !draining_ && now < client->deadline) continue;
         if (!answered) refuse(*client);
         waiting_.erase(client);
     }
 }
 
-void DirectoryService::leave() {
-    leaving_ = true;
-    look();
+void DirectoryService::drain() {
+    draining_ = true;
+    answerPending();
 }
 
 bool DirectoryService::answer(const Waiting& client, const std::vector<leases::Gateway>& gateways) const {
--- a/src/control/directory_service.hpp
+++ b/src/control/directory_service.hpp
@@ -19,7 +19,7 @@
 
 namespace beechpoint::control {
 
-inline constexpr std::size_t kMaxWaitingClients = 256;  // one more gets 503 at once
+inline constexpr std::size_t kMaxPendingClients = 256;  // one more gets 503 at once
 inline constexpr Millis kResolveWait = 700;             // clients move on after a second
 
 class DirectoryService {
@@ -31,8 +31,8 @@
 
     void handle(const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& connection);
     // Gateways or the time moved: waiting clients are answered.
-    void look();
-    void leave();
+    void answerPending();
+    void drain();
     void ttl(double seconds) { ttlSeconds_ = seconds; }
 
 private:
@@ -47,7 +47,7 @@
     const Clock& clock_;
     Gateways gateways_;
     double ttlSeconds_;
-    bool leaving_ = false;
+    bool draining_ = false;
     std::list<Waiting> waiting_;
 };
 
--- a/src/control/gateway_service.cpp
+++ b/src/control/gateway_service.cpp
@@ -70,7 +70,7 @@
     void onTableMoved() { perform(state_.onTableMoved(clock_.now(), table())); }
     void onView() { perform(state_.onView(clock_.now(), table())); }
     void tick() { perform(state_.tick(clock_.now(), table())); }
-    void leave() { perform(state_.leave()); }
+    void drain() { perform(state_.drain()); }
 
     std::vector<leases::Gateway> liveGateways() const { return state_.leases().live(clock_.now()); }
     bool readsHosts() const { return state_.hosts().reads(); }
@@ -79,7 +79,7 @@
 
     void describe(MemberStatus& status) const {
         const Millis now = clock_.now();
-        const SharedHosts& hosts = state_.hosts();
+        const HostListDistributor& hosts = state_.hosts();
         status.leases = state_.leases().liveLeases(now);
         status.leaseLength = state_.leaseMs();
         if (hosts.list()) status.hostList = HostListStatus{hosts.list()->hosts.size(), *hosts.age(now)};
@@ -135,7 +135,7 @@
     GatewayServiceState state_;
     std::function<void()> onGateways_;
     std::optional<ReplicaTableSource> table_;
-    std::map<PollTicket, rpc::Reply> replies_;  // of waiting polls: at most kMaxWaitingPolls
+    std::map<PollTicket, rpc::Reply> replies_;  // of waiting polls: at most kMaxLongPolls
     PollTicket lastTicket_ = 0;
 };
 
@@ -156,7 +156,7 @@
 void GatewayService::onTableMoved() { impl_->onTableMoved(); }
 void GatewayService::onView() { impl_->onView(); }
 void GatewayService::tick() { impl_->tick(); }
-void GatewayService::leave() { impl_->leave(); }
+void GatewayService::drain() { impl_->drain(); }
 std::vector<leases::Gateway> GatewayService::liveGateways() const { return impl_->liveGateways(); }
 bool GatewayService::waitsForFreshness() const { return impl_->waitsForFreshness(); }
 bool GatewayService::readsHosts() const { return impl_->readsHosts(); }
--- a/src/control/gateway_service.hpp
+++ b/src/control/gateway_service.hpp
@@ -48,7 +48,7 @@
     void onView();
     void tick();
     // Every waiting poll is answered, and later ones at once, with notFresh: gateways go elsewhere.
-    void leave();
+    void drain();
 
     std::vector<leases::Gateway> liveGateways() const;
     // A poll waits until this member can vouch for its table: tick() is wanted often.
--- a/src/control/gateway_service_state.cpp
+++ b/src/control/gateway_service_state.cpp
@@ -60,7 +60,7 @@
     ServiceActions actions;
     leases_.merge(now, peerUpdate.leases);
     reply.unknownLeases = leases_.mergeRenewals(now, peerUpdate.renewals);
-    reply.takesIncrements = true;
+    reply.acceptsIncrements = true;
     const bool isNewList = hosts_.take(now, peerUpdate);
     reply.hostListVersion = hosts_.version();
     if (Peer* peer = peerOf(table, peerUpdate.member)) peer->hostList = peerUpdate.hostListVersion;
@@ -79,10 +79,10 @@
     peer.asked = false;
     if (!reply) return {};
     peer.hostList = reply->hostListVersion;
-    peer.takesIncrements = reply->takesIncrements;
+    peer.acceptsIncrements = reply->acceptsIncrements;
     for (const std::uint64_t id : reply->unknownLeases) peer.told.erase(id);
-    if (!peer.takesIncrements) peer.told.clear();
-    if (reply->unknownLeases.empty() && peer.takesIncrements) peer.toldUntil = peer.askedAt;
+    if (!peer.acceptsIncrements) peer.told.clear();
+    if (reply->unknownLeases.empty() && peer.acceptsIncrements) peer.toldUntil = peer.askedAt;
     return {};
 }
 
@@ -121,7 +121,7 @@
     return actions;
 }
 
-ServiceActions GatewayServiceState::leave() {
+ServiceActions GatewayServiceState::drain() {
     ServiceActions actions;
     leaving_ = true;
     hosts_.stop();
@@ -183,7 +183,7 @@
         if (reply.packedTable.empty()) return refuse(ticket, PollStatus::notFresh, actions);
     }
     hosts_.answer(now, request, reply);
-    if (request.takesPackedState) limitLargeState(now, request, reply);
+    if (request.acceptsPackedState) limitLargeState(now, request, reply);
     addSmallState(now, *table, request, reply);
     actions.answers.push_back({ticket, std::move(reply)});
 }
@@ -197,7 +197,7 @@
     const DirectorySamples::Sample& sample = directory_.sampleFor(request.gateway);
     reply.directoryDigest = sample.digest;
     if (sample.digest != request.directoryDigest) {
-        if (request.takesPackedState)
+        if (request.acceptsPackedState)
             reply.packedDirectory = sample.packed;
         else
             reply.directory = sample.gateways;
@@ -230,11 +230,11 @@
     if (all > kLargeAnswer && !slots_.admit(now, request.gateway.name)) {
         if (reply.packedTable.size() > kLargeAnswer) reply.packedTable.clear();
         leaveOutHosts();
-        reply.retryAfterMs = slots_.comeBackAfter();
+        reply.retryAfterMs = slots_.retryAfter();
     } else if (all > kAnswerBudget && !reply.packedTable.empty()) {
         leaveOutHosts();
     }
-    if (polls_.full() && reply.retryAfterMs == 0) reply.retryAfterMs = TransferSlots::kComeBackMost;
+    if (polls_.full() && reply.retryAfterMs == 0) reply.retryAfterMs = TransferSlots::kMaxRetryAfter;
 }
 
 // Many gateways ask from the same position: the update is packed once.
@@ -330,12 +330,12 @@
     peer.askedAt = now;
     addLeases(now, peer, peerUpdate);
     if (hosts_.isToTell(now, peer.hostList))
-        hosts_.tell(now, peer.hostList, peer.takesIncrements, peerUpdate);
+        hosts_.tell(now, peer.hostList, peer.acceptsIncrements, peerUpdate);
     actions.peerUpdates.push_back({member.name, member.internalAddress, std::move(peerUpdate)});
 }
 
 void GatewayServiceState::addLeases(Millis now, Peer& peer, PeerUpdate& peerUpdate) {
-    if (!peer.takesIncrements) {
+    if (!peer.acceptsIncrements) {
         peerUpdate.leases = leases_.granted(now);
         return;
     }
--- a/src/control/gateway_service_state.hpp
+++ b/src/control/gateway_service_state.hpp
@@ -22,9 +22,9 @@
 
 #include "control/committed_table_source.hpp"
 #include "control/directory_sample.hpp"
+#include "control/host_list_distributor.hpp"
 #include "control/long_polls.hpp"
 #include "control/messages.hpp"
-#include "control/shared_hosts.hpp"
 #include "control/transfer_slots.hpp"
 #include "leases/lease_table.hpp"
 
@@ -75,10 +75,10 @@
                            std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt);
     ServiceActions tick(Millis now, const CommittedTableSource* table);
     // Every waiting poll is answered, and later ones at once, with notFresh: gateways go elsewhere.
-    ServiceActions leave();
+    ServiceActions drain();
 
     const leases::LeaseTable& leases() const { return leases_; }
-    const SharedHosts& hosts() const { return hosts_; }
+    const HostListDistributor& hosts() const { return hosts_; }
     std::size_t pendingLongPolls() const { return polls_.size(); }
     bool waitsForFreshness() const { return polls_.waitsForFreshness(); }
     Millis leaseMs() const { return leaseMs_; }
@@ -88,7 +88,7 @@
         host_discovery::HostListVersion hostList;  // that it said it has
         bool asked = false;                        // a share to it is out
         Millis askedAt = 0;
-        bool takesIncrements = false;
+        bool acceptsIncrements = false;
         Millis toldUntil = 0;          // leases granted before were told
         std::set<std::uint64_t> told;  // ids of leases told whole
     };
@@ -127,7 +127,7 @@
     Millis leaseMs_;
     std::size_t maxGateways_;
     leases::LeaseTable leases_;
-    SharedHosts hosts_;
+    HostListDistributor hosts_;
     LongPolls polls_;
     TransferSlots slots_;
     std::map<std::string, Peer> peers_;           // by member's name
--- a/src/control/shared_hosts.cpp
+++ b/src/control/host_list_distributor.cpp
@@ -1,4 +1,4 @@
-#include "control/shared_hosts.hpp"
+#include "control/host_list_distributor.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-bool SharedHosts::take(Millis now, const PeerUpdate& peerUpdate) {
+bool HostListDistributor::take(Millis now, const PeerUpdate& peerUpdate) {
     const bool isChanged = takeList(now, peerUpdate);
     if (peerUpdate.hostListAge) holder_.confirm(peerUpdate.hostListVersion, now - *peerUpdate.hostListAge);
     if (peerUpdate.readsHosts) readElsewhere_[peerUpdate.member] = now;
@@ -26,9 +26,9 @@
     return isChanged;
 }
 
-bool SharedHosts::takeList(Millis now, const PeerUpdate& peerUpdate) {
+bool HostListDistributor::takeList(Millis now, const PeerUpdate& peerUpdate) {
     if (peerUpdate.hostList)
-        return offer(now, receivedList(*peerUpdate.hostList, now),
+        return offer(now, toHostList(*peerUpdate.hostList, now),
                      now - peerUpdate.hostListAge.value_or(peerUpdate.hostList->readAge));
     if (!peerUpdate.hostChanges || !list()) return false;
     const Millis readAge = peerUpdate.hostChanges->readAge;
@@ -36,12 +36,12 @@
     return changed && offer(now, std::move(changed), now - peerUpdate.hostListAge.value_or(readAge));
 }
 
-void SharedHosts::forget(const std::function<bool(const std::string& member)>& isMember) {
+void HostListDistributor::forget(const std::function<bool(const std::string& member)>& isMember) {
     std::erase_if(readElsewhere_, [&](const auto& entry) { return !isMember(entry.first); });
 }
 
-bool SharedHosts::offer(Millis now, std::shared_ptr<const host_discovery::HostList> list,
-                        Millis confirmedAt) {
+bool HostListDistributor::offer(Millis now, std::shared_ptr<const host_discovery::HostList> list,
+                                Millis confirmedAt) {
     if (!holder_.offer(std::move(list), confirmedAt, now)) return false;
     history_.take(holder_.list());
     takenAt_ = now;
@@ -50,7 +50,7 @@
     return true;
 }
 
-void SharedHosts::look(Millis now, const CommittedTableSource* replica) {
+void HostListDistributor::look(Millis now, const CommittedTableSource* replica) {
     if (!replica || !replica->inView() || !replica->fresh(now)) return source_.stop();
     std::vector<std::string> names;
     for (const replica::Member& member : replica->view().members) names.push_back(member.name);
@@ -64,7 +64,8 @@
         read(replica->view().epoch);
 }
 
-bool SharedHosts::isReadBefore(const std::vector<std::string>& order, std::size_t rank, Millis now) const {
+bool HostListDistributor::isReadBefore(const std::vector<std::string>& order, std::size_t rank,
+                                       Millis now) const {
     return std::any_of(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(rank),
                        [&](const std::string& member) {
                            const auto told = readElsewhere_.find(member);
@@ -72,26 +73,26 @@
                        });
 }
 
-void SharedHosts::read(std::uint64_t epoch) {
+void HostListDistributor::read(std::uint64_t epoch) {
     fencingToken_ = epoch;
     const bool sameFence = version().fencingToken == epoch;
     source_.start(epoch, sameFence ? version().number : 0, list());
 }
 
-Millis SharedHosts::readAge(Millis now) const { return std::max(0.0, now - list()->readAt); }
+Millis HostListDistributor::readAge(Millis now) const { return std::max(0.0, now - list()->readAt); }
 
-std::optional<SharedHostList> SharedHosts::whole(Millis now) const {
+std::optional<HostListSnapshot> HostListDistributor::whole(Millis now) const {
     if (!list()) return std::nullopt;
-    return SharedHostList{list()->version, readAge(now), list()->hosts};
+    return HostListSnapshot{list()->version, readAge(now), list()->hosts};
 }
 
-const std::string& SharedHosts::packedList() {
+const std::string& HostListDistributor::packedList() {
     if (packedList_.empty()) packedList_ = packHostList(*list());
     return packedList_;
 }
 
 // Many gateways and members hold the same list: the changes are compared and packed once.
-const std::string& SharedHosts::packedChanges(const host_discovery::HostListVersion& held) {
+const std::string& HostListDistributor::packedChanges(const host_discovery::HostListVersion& held) {
     const auto known = packedChanges_.find(held);
     if (known != packedChanges_.end()) return known->second;
     if (packedChanges_.size() >= kMostPackedBases) packedChanges_.clear();
@@ -99,13 +100,13 @@
     return packedChanges_[held] = changes ? packHostChanges(*changes) : std::string{};
 }
 
-bool SharedHosts::isToTell(Millis now, const host_discovery::HostListVersion& held) const {
+bool HostListDistributor::isToTell(Millis now, const host_discovery::HostListVersion& held) const {
     if (!list() || held >= version()) return false;
     return reads() || now - takenAt_ >= kRelayAfter;
 }
 
-void SharedHosts::tell(Millis now, const host_discovery::HostListVersion& held, bool packed,
-                       PeerUpdate& peerUpdate) {
+void HostListDistributor::tell(Millis now, const host_discovery::HostListVersion& held, bool packed,
+                               PeerUpdate& peerUpdate) {
     if (!packed) {
         peerUpdate.hostList = whole(now);
         return;
@@ -115,26 +116,26 @@
     if (peerUpdate.packedHostChanges.empty()) peerUpdate.packedHostList = packedList();
 }
 
-void SharedHosts::answer(Millis now, const PollRequest& request, PollReply& reply) {
+void HostListDistributor::answer(Millis now, const PollRequest& request, PollReply& reply) {
     reply.hostListVersion = version();
     reply.hostListAge = age(now);
     if (!list() || version() == request.hostList) return;
     const bool newer = version() > request.hostList;
     if (!newer && *reply.hostListAge >= kListWorthSending) return;
-    if (request.takesPackedState) {
+    if (request.acceptsPackedState) {
         reply.hostListReadAge = readAge(now);
         if (newer) reply.packedHostChanges = packedChanges(request.hostList);
         if (reply.packedHostChanges.empty()) reply.packedHostList = packedList();
         return;
     }
-    auto changes = newer && request.takesHostChanges ? history_.since(request.hostList) : std::nullopt;
+    auto changes = newer && request.acceptsHostChanges ? history_.since(request.hostList) : std::nullopt;
     if (changes)
-        reply.hostChanges = SharedHostChanges{std::move(*changes), readAge(now)};
+        reply.hostChanges = HostListDelta{std::move(*changes), readAge(now)};
     else
         reply.hostList = whole(now);
 }
 
-void SharedHosts::describe(Millis now, PeerUpdate& peerUpdate) const {
+void HostListDistributor::describe(Millis now, PeerUpdate& peerUpdate) const {
     peerUpdate.hostListVersion = version();
     peerUpdate.hostListAge = age(now);
     const bool lately = peerUpdate.hostListAge && *peerUpdate.hostListAge < kReaderHeard;
--- a/src/control/shared_hosts.hpp
+++ b/src/control/host_list_distributor.hpp
@@ -22,10 +22,10 @@
     2000;                                    // an unconfirmed list, for each place in the order of the duty
 inline constexpr Millis kRelayAfter = 1200;  // two shares: the reader has told all members by then
 
-class SharedHosts {
+class HostListDistributor {
 public:
     // `source` must outlive it; what it reads is to be handed to offer().
-    SharedHosts(Millis now, HostListSource& source) : startedAt_(now), source_(source) {}
+    HostListDistributor(Millis now, HostListSource& source) : startedAt_(now), source_(source) {}
 
     // Reads or leaves it to another, by the view. Null: this process may not read.
     void look(Millis now, const CommittedTableSource* replica);
@@ -57,8 +57,8 @@
     bool takeList(Millis now, const PeerUpdate& peerUpdate);
     const std::string& packedList();
     const std::string& packedChanges(
-        const host_discovery::HostListVersion& held);       // empty: none, or not worth it
-    std::optional<SharedHostList> whole(Millis now) const;  // nothing: none known
+        const host_discovery::HostListVersion& held);         // empty: none, or not worth it
+    std::optional<HostListSnapshot> whole(Millis now) const;  // nothing: none known
     bool isReadBefore(const std::vector<std::string>& order, std::size_t rank, Millis now) const;
     void read(std::uint64_t epoch);
     Millis readAge(Millis now) const;
--- a/src/control/long_polls.cpp
+++ b/src/control/long_polls.cpp
@@ -20,7 +20,7 @@
     return taken;
 }
 
-std::vector<LongPoll> LongPolls::takeDue(Millis now, bool fresh, Millis ahead, const HasNews& hasNews) {
+std::vector<LongPoll> LongPolls::takeDue(Millis now, bool fresh, Millis ahead, const HasUpdate& hasNews) {
     std::vector<LongPoll> due;
     for (auto next = polls_.begin(); next != polls_.end();) {
         const auto place = next++;
--- a/src/control/long_polls.hpp
+++ b/src/control/long_polls.hpp
@@ -18,7 +18,7 @@
 // Names a poll to whoever brought it and is to send its answer.
 using PollTicket = std::uint64_t;
 
-inline constexpr std::size_t kMaxWaitingPolls = 512;
+inline constexpr std::size_t kMaxLongPolls = 512;
 inline constexpr Millis kNotFreshWait = 300;
 
 struct LongPoll {
@@ -32,18 +32,18 @@
 
 class LongPolls {
 public:
-    using HasNews = std::function<bool(const PollRequest&)>;
+    using HasUpdate = std::function<bool(const PollRequest&)>;
 
     // Takes the place of an earlier poll of the same gateway, which must have been taken out.
     void hold(Millis now, PollRequest request, PollTicket ticket, Millis wait, bool fresh);
     // The poll of that gateway, taken out, if there is one.
     std::vector<LongPoll> take(const std::string& gateway);
     // Those that are due, taken out; the ends of waits within `ahead` count as come.
-    std::vector<LongPoll> takeDue(Millis now, bool fresh, Millis ahead, const HasNews& hasNews);
+    std::vector<LongPoll> takeDue(Millis now, bool fresh, Millis ahead, const HasUpdate& hasNews);
     std::vector<LongPoll> takeAll();
 
     std::size_t size() const { return polls_.size(); }
-    bool full() const { return polls_.size() >= kMaxWaitingPolls; }
+    bool full() const { return polls_.size() >= kMaxLongPolls; }
     bool waitsForFreshness() const;
 
 private:
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -31,8 +31,9 @@
     Millis waitMs = 0;                         // at most; the member bounds it by kMaxPollWait
     bool wantsLoad = false;                    // send the other gateways' load by host
     std::uint64_t directoryDigest = 0;         // of the gateways held for the directory; 0: none
-    bool takesHostChanges = false;             // understands PollReply::hostChanges; gateways of before don't
-    bool takesPackedState = false;  // understands PollReply's packed fields and comes back after retryAfterMs
+    bool acceptsHostChanges = false;           // understands PollReply::hostChanges; gateways of before don't
+    bool acceptsPackedState =
+        false;  // understands PollReply's packed fields and comes back after retryAfterMs
 };
 
 inline constexpr Millis kMaxPollWait = 2000;
@@ -45,17 +46,17 @@
 };
 
 // The platform's list with the age of its reading at the time of the answer; the receiver subtracts it from its own clock.
-struct SharedHostList {
+struct HostListSnapshot {
     host_discovery::HostListVersion version;
     Millis readAge = 0;  // Host times are counted from then
     std::vector<host_discovery::Host> hosts;
 };
 
 // The list as a value on the receiver's clock.
-std::shared_ptr<const host_discovery::HostList> receivedList(const SharedHostList& shared, Millis now);
+std::shared_ptr<const host_discovery::HostList> toHostList(const HostListSnapshot& shared, Millis now);
 
 // What changed from the list that a gateway holds to the newest, with the age of the newest one's reading.
-struct SharedHostChanges {
+struct HostListDelta {
     host_discovery::HostListChanges changes;
     Millis readAge = 0;
 };
@@ -65,7 +66,7 @@
     std::optional<TableUpdate> table;  // where newer than the position held
     std::string
         packedTable;  // the same on the wire (table_packing.hpp); a sender that has it leaves `table` out
-    std::optional<SharedHostList> hostList;           // where another than the one held
+    std::optional<HostListSnapshot> hostList;         // where another than the one held
     host_discovery::HostListVersion hostListVersion;  // the member's
     std::optional<Millis> hostListAge;          // since it was last read or confirmed; nothing: no list known
     std::optional<std::uint32_t> liveGateways;  // nothing: not known at the moment (keep the last)
@@ -75,8 +76,8 @@
     Millis leaseMs = 0;                            // counted by the gateway from when it sent the poll
     std::uint64_t directoryDigest = 0;             // of the gateways with a lease, as far as clients care
     std::optional<std::vector<leases::Gateway>> directory;  // those, without load, where the digest differs
-    std::optional<SharedHostChanges> hostChanges;           // in place of hostList, where few hosts differ
-    // For a gateway that takes them (PollRequest::takesPackedState). A receiver finds them unpacked in the fields above.
+    std::optional<HostListDelta> hostChanges;               // in place of hostList, where few hosts differ
+    // For a gateway that takes them (PollRequest::acceptsPackedState). A receiver finds them unpacked in the fields above.
     std::string packedHostList, packedHostChanges, packedDirectory;  // table_packing.hpp; empty: not here
     Millis hostListReadAge = 0;                                      // of the list in the packed ones
     Millis retryAfterMs = 0;  // there is more than this member sends now: ask again after so long
@@ -91,17 +92,17 @@
     std::vector<leases::ReportedLease> leases;  // granted by the sender since its last share
     host_discovery::HostListVersion hostListVersion;
     std::optional<Millis> hostListAge;              // since it was last read or confirmed
-    std::optional<SharedHostList> hostList;         // where the receiver is not known to have it
+    std::optional<HostListSnapshot> hostList;       // where the receiver is not known to have it
     bool readsHosts = false;                        // the sender reads the platform's list, with success
     std::vector<leases::Renewal> renewals;          // of leases that the receiver was told before
     std::string packedHostList, packedHostChanges;  // as in PollReply; to a member that takes them
     Millis hostListReadAge = 0;                     // of the list in these
-    std::optional<SharedHostChanges> hostChanges;   // not on the wire: packedHostChanges as received
+    std::optional<HostListDelta> hostChanges;       // not on the wire: packedHostChanges as received
 };
 
 struct PeerUpdateReply {
     host_discovery::HostListVersion hostListVersion;  // that the receiver has now
-    bool takesIncrements = false;                     // understands Share::renewals and the packed fields
+    bool acceptsIncrements = false;                   // understands Share::renewals and the packed fields
     std::vector<std::uint64_t> unknownLeases;         // renewed, and not known here: to be told whole
 };
 
--- a/src/control/table_packing.cpp
+++ b/src/control/table_packing.cpp
@@ -37,7 +37,7 @@
     if (bytes.front() == kPlain) return std::string(body);
     if (bytes.front() != kCompressed) return malformed("it is of no known form");
     const auto size = ZSTD_getFrameContentSize(body.data(), body.size());
-    if (size > kMostUnpackedBytes) return malformed("it states no size, or too large a one");
+    if (size > kMaxUnpackedBytes) return malformed("it states no size, or too large a one");
     std::string plain(static_cast<std::size_t>(size), '\0');
     const std::size_t got = ZSTD_decompress(plain.data(), plain.size(), body.data(), body.size());
     if (ZSTD_isError(got) || got != plain.size()) return malformed("it can't be decompressed");
--- a/src/control/table_packing.hpp
+++ b/src/control/table_packing.hpp
@@ -10,15 +10,15 @@
 
 namespace beechpoint::control {
 
-inline constexpr std::size_t kMostUnpackedBytes = 64u << 20;
+inline constexpr std::size_t kMaxUnpackedBytes = 64u << 20;
 
 // Any state on the wire: compressed where that pays.
 std::string packBytes(const std::string& plain);
-// Error (invalid): no packed bytes, or that unpack to more than kMostUnpackedBytes.
+// Error (invalid): no packed bytes, or that unpack to more than kMaxUnpackedBytes.
 Result<std::string> unpackBytes(std::string_view bytes);
 
 std::string packTable(const TableUpdate& update);
-// Error (invalid): bytes that are no packed update, or that unpack to more than kMostUnpackedBytes.
+// Error (invalid): bytes that are no packed update, or that unpack to more than kMaxUnpackedBytes.
 Result<TableUpdate> unpackTable(std::string_view bytes);
 
 }  // namespace beechpoint::control
--- a/src/control/transfer_slots.cpp
+++ b/src/control/transfer_slots.cpp
@@ -20,7 +20,7 @@
     expire(now);
     if (held_.contains(gateway)) return true;
     if (held_.size() >= kSlots) {
-        if (pending_.size() < kMostPending || pending_.contains(gateway)) pending_[gateway] = now;
+        if (pending_.size() < kMaxPending || pending_.contains(gateway)) pending_[gateway] = now;
         return false;
     }
     pending_.erase(gateway);
@@ -28,23 +28,23 @@
     return true;
 }
 
-Millis TransferSlots::comeBackAfter() const {
+Millis TransferSlots::retryAfter() const {
     const auto turns = 1 + static_cast<double>(pending_.size()) / static_cast<double>(kSlots);
-    return std::clamp(turns * duration_, kComeBackLeast, kComeBackMost);
+    return std::clamp(turns * duration_, kMinRetryAfter, kMaxRetryAfter);
 }
 
 void TransferSlots::expire(Millis now) {
     for (auto next = held_.begin(); next != held_.end();) {
         const auto slot = next++;
-        if (now - slot->second < kSlotMost) continue;
-        learn(kSlotMost);
+        if (now - slot->second < kMaxSlotTime) continue;
+        learn(kMaxSlotTime);
         held_.erase(slot);
     }
     std::erase_if(pending_, [now](const auto& entry) { return now - entry.second > kPendingMemory; });
 }
 
 void TransferSlots::learn(Millis duration) {
-    duration_ += kSmoothing * (std::min(duration, kSlotMost) - duration_);
+    duration_ += kSmoothing * (std::min(duration, kMaxSlotTime) - duration_);
 }
 
 }  // namespace beechpoint::control
--- a/src/gateway/control_link_state.cpp
+++ b/src/gateway/control_link_state.cpp
@@ -81,7 +81,7 @@
     learnMembers(reply);
     if (isLate) return;
     if (now - failedAt_ > kReturnAfter) turn_ = 0;
-    const Millis pause = std::clamp(reply.retryAfterMs, 0.0, kComeBackMost) * (0.5 + random_());
+    const Millis pause = std::clamp(reply.retryAfterMs, 0.0, kMaxRetryAfter) * (0.5 + random_());
     wakeAt_ = now + std::max(kSpacing, pause);
 }
 
--- a/src/gateway/control_link_state.hpp
+++ b/src/gateway/control_link_state.hpp
@@ -44,8 +44,8 @@
     static constexpr Millis kRetryFirst =
         60;  // after a failure; doubles with each further round of all members
     static constexpr Millis kRetryMost = 800;
-    static constexpr Millis kComeBackMost = 1500;  // a member's retryAfterMs counts up to this
-    static constexpr Millis kReturnAfter = 5000;   // without a failure: to the first member of the order
+    static constexpr Millis kMaxRetryAfter = 1500;  // a member's retryAfterMs counts up to this
+    static constexpr Millis kReturnAfter = 5000;    // without a failure: to the first member of the order
 
     ControlLinkState(std::string name, std::uint64_t seed);
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -211,8 +211,8 @@
     request.gateway = self();
     request.position = table_.position();
     request.hostList = hosts_.versionToAskWith();
-    request.takesHostChanges = true;
-    request.takesPackedState = true;
+    request.acceptsHostChanges = true;
+    request.acceptsPackedState = true;
     request.directoryDigest = directoryDigest_;
     return request;
 }
@@ -258,7 +258,7 @@
     fleet.known = liveGateways_ > 0 && now - liveKnownAt_ < kFleetMemory;
     exchange_.tell(fleet);
     if (ready() != wasReady) control_.pollNow();
-    directory_.look();
+    directory_.answerPending();
 }
 
 void Gateway::takeTable(const TableUpdate& update) {
@@ -317,7 +317,7 @@
 // Reads the platform's list from here while control is silent, and leaves it to control otherwise.
 void Gateway::look() {
     const Millis now = clock_.now();
-    directory_.look();
+    directory_.answerPending();
     const Millis heard = std::max(control_.heardAt(), startedAt_);
     const bool silent = now - heard > kControlSilent;
     if (silent && !platform_.running()) {
@@ -344,7 +344,7 @@
     log_.info("gateway {} drains: {} requests are open", field("name", settings_.nodeName),
               field("open", exchange_.live()));
     front_.closing(true);
-    directory_.leave();
+    directory_.drain();
     control_.pollNow();
     lookWhileStopping();
 }
--- a/src/gateway/host_list_copy.cpp
+++ b/src/gateway/host_list_copy.cpp
@@ -9,7 +9,7 @@
     if (reply.hostList) {
         wantsWhole_ = false;
         const Millis age = reply.hostListAge.value_or(reply.hostList->readAge);
-        return holder_.offer(control::receivedList(*reply.hostList, now), now - age, now);
+        return holder_.offer(control::toHostList(*reply.hostList, now), now - age, now);
     }
     if (reply.hostListAge) holder_.confirm(reply.hostListVersion, now - *reply.hostListAge);
     return false;
@@ -17,7 +17,7 @@
 
 bool HostListCopy::takeChanges(const control::PollReply& reply, Millis now) {
     if (!holder_.list()) return false;
-    const control::SharedHostChanges& shared = *reply.hostChanges;
+    const control::HostListDelta& shared = *reply.hostChanges;
     auto list = host_discovery::applyChanges(*holder_.list(), shared.changes, now - shared.readAge);
     wantsWhole_ = list == nullptr;
     if (!list) return false;
--- a/tests/control/codec_test.cpp
+++ b/tests/control/codec_test.cpp
@@ -22,8 +22,8 @@
     return gateway;
 }
 
-SharedHostList hostList() {
-    SharedHostList list;
+HostListSnapshot hostList() {
+    HostListSnapshot list;
     list.version = {3, 4, 5};
     list.readAge = 12.5;
     host_discovery::Host host;
@@ -49,7 +49,7 @@
     request.hostList = {1, 2, 3};
     request.waitMs = 1000;
     request.wantsLoad = true;
-    request.takesHostChanges = true;
+    request.acceptsHostChanges = true;
     const std::string bytes = encode(request);
     const auto envelope = openEnvelope(bytes);
     ASSERT_TRUE(envelope.has_value());
@@ -61,7 +61,7 @@
     EXPECT_EQ(read.value().hostList, request.hostList);
     EXPECT_EQ(read.value().waitMs, request.waitMs);
     EXPECT_TRUE(read.value().wantsLoad);
-    EXPECT_TRUE(read.value().takesHostChanges);
+    EXPECT_TRUE(read.value().acceptsHostChanges);
 }
 
 TEST(Codec, AReplyGoesThereAndBack) {
@@ -96,8 +96,7 @@
 
 TEST(Codec, ChangesOfTheHostListGoThereAndBack) {
     PollReply reply;
-    reply.hostChanges =
-        SharedHostChanges{{{1, 2, 3}, {3, 4, 5}, 1950, hostList().hosts, {"i-2", "i-3"}}, 12.5};
+    reply.hostChanges = HostListDelta{{{1, 2, 3}, {3, 4, 5}, 1950, hostList().hosts, {"i-2", "i-3"}}, 12.5};
     const auto read = decodePollReply(encode(reply));
     ASSERT_TRUE(read.has_value()) << read.error().text();
     EXPECT_FALSE(read.value().hostList.has_value());
@@ -131,14 +130,14 @@
     const auto answer = decodePeerUpdateReply(encode(PeerUpdateReply{{1, 2, 3}, true, {7}}));
     ASSERT_TRUE(answer.has_value());
     EXPECT_EQ(answer.value().hostListVersion, (host_discovery::HostListVersion{1, 2, 3}));
-    EXPECT_TRUE(answer.value().takesIncrements);
+    EXPECT_TRUE(answer.value().acceptsIncrements);
     EXPECT_EQ(answer.value().unknownLeases, std::vector<std::uint64_t>{7});
 }
 
 TEST(Codec, PackedStateOfAPollReplyIsReadIntoThePlainFields) {
     PollReply reply;
-    const SharedHostList shared = hostList();
-    reply.packedHostList = packHostList(*receivedList(shared, 0));
+    const HostListSnapshot shared = hostList();
+    reply.packedHostList = packHostList(*toHostList(shared, 0));
     reply.hostListReadAge = 70;
     reply.packedDirectory = packDirectory({gateway()});
     reply.retryAfterMs = 250;
--- a/tests/control/gateway_service_state_test.cpp
+++ b/tests/control/gateway_service_state_test.cpp
@@ -60,7 +60,7 @@
     request.gateway.ready = true;
     if (!first) request.position = {1, 1};
     request.waitMs = first ? 0 : 1000;
-    request.takesHostChanges = request.takesPackedState = true;
+    request.acceptsHostChanges = request.acceptsPackedState = true;
     return request;
 }
 
@@ -103,7 +103,7 @@
     service.table.value = incompressible(kLargeAnswer * 2);
     for (std::size_t number = 0; number < 20; ++number) {
         PollRequest request = pollOf("g" + std::to_string(number), true);
-        request.takesPackedState = false;
+        request.acceptsPackedState = false;
         EXPECT_FALSE(service.poll(10, request).answers.front().reply.packedTable.empty());
     }
 }
--- a/tests/control/host_changes_test.cpp
+++ b/tests/control/host_changes_test.cpp
@@ -28,7 +28,7 @@
     request.gateway.zone = "za";
     request.gateway.region = "r1";
     request.gateway.frontAddress = "g1:80";
-    request.takesHostChanges = true;
+    request.acceptsHostChanges = true;
     return request;
 }
 
@@ -74,12 +74,12 @@
         const auto applied = host_discovery::applyChanges(held, reply->hostChanges->changes, 0);
         ASSERT_TRUE(applied);
         // A gateway of an older version, which holds the same, gets the whole list.
-        request.takesHostChanges = false;
+        request.acceptsHostChanges = false;
         ASSERT_TRUE(hears([&] { return reply->hostList || reply->hostChanges; })) << member;
         EXPECT_FALSE(reply->hostChanges);
         ASSERT_TRUE(reply->hostList);
         EXPECT_EQ(reply->hostList->hosts, applied->hosts);
-        request.takesHostChanges = true;
+        request.acceptsHostChanges = true;
         // A gateway whose list the member does not know gets the whole one, and it is the same.
         request.hostList = {0, 1, 77};
         ASSERT_TRUE(hears([&] { return reply->hostList.has_value(); })) << member;
--- a/tests/control/waiting_polls_test.cpp
+++ b/tests/control/long_polls_test.cpp
@@ -1,14 +1,14 @@
 // Which waiting polls are due.
-#include <gtest/gtest.h>
-
 #include "control/long_polls.hpp"
 
+#include <gtest/gtest.h>
+
 namespace beechpoint::control {
 namespace {
 
 constexpr Millis kNow = 1000;
-const LongPolls::HasNews kNoNews = [](const PollRequest&) { return false; };
-const LongPolls::HasNews kNews = [](const PollRequest&) { return true; };
+const LongPolls::HasUpdate kNoNews = [](const PollRequest&) { return false; };
+const LongPolls::HasUpdate kNews = [](const PollRequest&) { return true; };
 
 PollRequest of(const std::string& gateway) {
     PollRequest request;
@@ -55,14 +55,14 @@
 
 TEST(LongPolls, HoldOneAGatewayAndSoManyInAll) {
     LongPolls polls;
-    for (std::size_t i = 0; i < kMaxWaitingPolls; ++i) {
+    for (std::size_t i = 0; i < kMaxLongPolls; ++i) {
         EXPECT_FALSE(polls.full());
         polls.hold(kNow, of("g" + std::to_string(i)), {}, 500, true);
     }
     EXPECT_TRUE(polls.full());
     EXPECT_EQ(polls.take("g7").size(), 1u);
     EXPECT_TRUE(polls.take("g7").empty());
-    EXPECT_EQ(polls.takeAll().size(), kMaxWaitingPolls - 1);
+    EXPECT_EQ(polls.takeAll().size(), kMaxLongPolls - 1);
     EXPECT_EQ(polls.size(), 0u);
 }
 
--- a/tests/control/transfer_slots_test.cpp
+++ b/tests/control/transfer_slots_test.cpp
@@ -26,19 +26,19 @@
 
 TEST(TransferSlots, AGatewayThatIsGoneLosesItsSlot) {
     TransferSlots slots = full(0);
-    EXPECT_FALSE(slots.admit(TransferSlots::kSlotMost - 1, "late"));
-    EXPECT_TRUE(slots.admit(TransferSlots::kSlotMost, "late"));
+    EXPECT_FALSE(slots.admit(TransferSlots::kMaxSlotTime - 1, "late"));
+    EXPECT_TRUE(slots.admit(TransferSlots::kMaxSlotTime, "late"));
     EXPECT_EQ(slots.held(), 1u);
 }
 
 TEST(TransferSlots, TheTimeToComeBackGrowsWithThoseThatWaitAndIsBounded) {
     TransferSlots slots = full(0);
-    const Millis alone = slots.comeBackAfter();
+    const Millis alone = slots.retryAfter();
     for (std::size_t number = 0; number < 16; ++number) EXPECT_FALSE(slots.admit(0, "late" + name(number)));
-    EXPECT_GT(slots.comeBackAfter(), alone);
+    EXPECT_GT(slots.retryAfter(), alone);
     for (std::size_t number = 0; number < 5000; ++number) EXPECT_FALSE(slots.admit(0, "more" + name(number)));
-    EXPECT_EQ(slots.pending(), TransferSlots::kMostPending);
-    EXPECT_EQ(slots.comeBackAfter(), TransferSlots::kComeBackMost);
+    EXPECT_EQ(slots.pending(), TransferSlots::kMaxPending);
+    EXPECT_EQ(slots.retryAfter(), TransferSlots::kMaxRetryAfter);
     for (std::size_t number = 0; number < TransferSlots::kSlots; ++number) slots.release(1, name(number));
     EXPECT_TRUE(slots.admit(TransferSlots::kPendingMemory + 1, "last"));
     EXPECT_EQ(slots.pending(), 0u);
--- a/tests/gateway/control_link_state_test.cpp
+++ b/tests/gateway/control_link_state_test.cpp
@@ -117,7 +117,7 @@
     auto reply = replyOf({"a"});
     reply.retryAfterMs = 1e9;
     link.onAnswer(0, call->number, reply);
-    EXPECT_LE(*link.wakeAt(), 1.5 * ControlLinkState::kComeBackMost);
+    EXPECT_LE(*link.wakeAt(), 1.5 * ControlLinkState::kMaxRetryAfter);
 }
 
 TEST(ControlLinkState, GoesToAMemberOfItsOwnRegion) {
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -61,7 +61,7 @@
         if (poll.position < newest) answer.table = TableUpdate{newest, true, changes()};
         answer.hostListVersion = {1, number, 1};
         if (poll.hostList != answer.hostListVersion)
-            answer.hostList = control::SharedHostList{answer.hostListVersion, 0, hosts};
+            answer.hostList = control::HostListSnapshot{answer.hostListVersion, 0, hosts};
         answer.hostListAge = 0;
         answer.largestLive = 1;
         answer.directoryDigest = 7;
--- a/tests/gateway/host_list_copy_test.cpp
+++ b/tests/gateway/host_list_copy_test.cpp
@@ -18,7 +18,7 @@
     control::PollReply reply;
     reply.hostListVersion = {1, number, 1};
     reply.hostListAge = 0;
-    reply.hostList = control::SharedHostList{reply.hostListVersion, 100, std::move(hosts)};
+    reply.hostList = control::HostListSnapshot{reply.hostListVersion, 100, std::move(hosts)};
     return reply;
 }
 
--- a/tests/golden/control/control_messages_test.cpp
+++ b/tests/golden/control/control_messages_test.cpp
@@ -95,8 +95,8 @@
 PollReply unpackedReply(std::size_t count) {
     PollReply reply;
     reply.table = sampleTableUpdate(count);
-    reply.hostList = control::SharedHostList{{3, 4, 5}, 14.5, sampleHosts(count)};
-    reply.hostChanges = control::SharedHostChanges{sampleHostChanges(count), 14.5};
+    reply.hostList = control::HostListSnapshot{{3, 4, 5}, 14.5, sampleHosts(count)};
+    reply.hostChanges = control::HostListDelta{sampleHostChanges(count), 14.5};
     reply.directory = sampleDirectory(count);
     reply.hostListReadAge = 14.5;
     return reply;
@@ -114,8 +114,8 @@
 PeerUpdate unpackedShare(std::size_t count) {
     PeerUpdate peerUpdate;
     peerUpdate.member = "control-1";
-    peerUpdate.hostList = control::SharedHostList{{3, 4, 5}, 14.5, sampleHosts(count)};
-    peerUpdate.hostChanges = control::SharedHostChanges{sampleHostChanges(count), 14.5};
+    peerUpdate.hostList = control::HostListSnapshot{{3, 4, 5}, 14.5, sampleHosts(count)};
+    peerUpdate.hostChanges = control::HostListDelta{sampleHostChanges(count), 14.5};
     peerUpdate.hostListReadAge = 14.5;
     return peerUpdate;
 }
@@ -132,10 +132,10 @@
     request.wantsLoad = true;
     check("poll_request/wants_load", request);
     request = {};
-    request.takesHostChanges = true;
+    request.acceptsHostChanges = true;
     check("poll_request/takes_host_changes", request);
     request = {};
-    request.takesPackedState = true;
+    request.acceptsPackedState = true;
     check("poll_request/takes_packed_state", request);
 }
 
--- a/tests/golden/control/control_samples.cpp
+++ b/tests/golden/control/control_samples.cpp
@@ -60,7 +60,7 @@
 
 host_discovery::HostList sampleHostList(std::size_t count) { return {{3, 4, 5}, 0, sampleHosts(count)}; }
 
-control::SharedHostList sampleSharedList() { return {{3, 4, 5}, 12.5, sampleHosts(2)}; }
+control::HostListSnapshot sampleSharedList() { return {{3, 4, 5}, 12.5, sampleHosts(2)}; }
 
 host_discovery::HostListChanges sampleHostChanges(std::size_t count) {
     return {{3, 1, 5}, {3, 4, 5}, 1950.25, sampleHosts(count), {"host-801", "host-802"}};
@@ -83,8 +83,8 @@
     request.waitMs = 1000.5;
     request.wantsLoad = true;
     request.directoryDigest = 0x1122334455667788u;
-    request.takesHostChanges = true;
-    request.takesPackedState = true;
+    request.acceptsHostChanges = true;
+    request.acceptsPackedState = true;
     return request;
 }
 
@@ -102,7 +102,7 @@
     reply.leaseMs = 3000;
     reply.directoryDigest = 0x8877665544332211u;
     reply.directory = sampleDirectory(2);
-    reply.hostChanges = control::SharedHostChanges{sampleHostChanges(2), 13.5};
+    reply.hostChanges = control::HostListDelta{sampleHostChanges(2), 13.5};
     reply.hostListReadAge = 14.5;
     reply.retryAfterMs = 250;
     reply.memberRegions = {"region-a", "region-b"};
--- a/tests/golden/control/control_samples.hpp
+++ b/tests/golden/control/control_samples.hpp
@@ -16,7 +16,7 @@
 // As many hosts with ids in order; the first is sampleHost().
 std::vector<host_discovery::Host> sampleHosts(std::size_t count);
 host_discovery::HostList sampleHostList(std::size_t count);
-control::SharedHostList sampleSharedList();
+control::HostListSnapshot sampleSharedList();
 host_discovery::HostListChanges sampleHostChanges(std::size_t count);
 
 // As many changes, and the removal of a key.
--- a/tests/golden/control/equality.hpp
+++ b/tests/golden/control/equality.hpp
@@ -25,11 +25,11 @@
 
 namespace beechpoint::control {
 
-inline auto tied(const SharedHostList& list) { return std::tie(list.version, list.readAge, list.hosts); }
-inline auto tied(const SharedHostChanges& shared) { return std::tie(shared.changes, shared.readAge); }
+inline auto tied(const HostListSnapshot& list) { return std::tie(list.version, list.readAge, list.hosts); }
+inline auto tied(const HostListDelta& shared) { return std::tie(shared.changes, shared.readAge); }
 inline auto tied(const PollRequest& request) {
     return std::tie(request.gateway, request.position, request.hostList, request.waitMs, request.wantsLoad,
-                    request.directoryDigest, request.takesHostChanges, request.takesPackedState);
+                    request.directoryDigest, request.acceptsHostChanges, request.acceptsPackedState);
 }
 inline auto tied(const PollReply& reply) {
     return std::tie(reply.status, reply.table, reply.packedTable, reply.hostList, reply.hostListVersion,
@@ -45,7 +45,7 @@
                     peerUpdate.packedHostChanges, peerUpdate.hostListReadAge, peerUpdate.hostChanges);
 }
 inline auto tied(const PeerUpdateReply& reply) {
-    return std::tie(reply.hostListVersion, reply.takesIncrements, reply.unknownLeases);
+    return std::tie(reply.hostListVersion, reply.acceptsIncrements, reply.unknownLeases);
 }
 inline auto tied(const FoundedView& view) { return std::tie(view.founders, view.view); }
 
--- a/tests/golden/names/operator_refusals_test.cpp
+++ b/tests/golden/names/operator_refusals_test.cpp
@@ -181,7 +181,7 @@
                                directory.handle(message, connection);
                            });
     server.listen(test::anyPort());
-    directory.leave();  // else a client waits for gateways
+    directory.drain();  // else a client waits for gateways
     Lines lines{answerLine("POST /resolve", ask(io, server.endpoint(), request("POST", "/resolve"))),
                 answerLine("no gateway", ask(io, server.endpoint(), request("GET", "/resolve")))};
     gateways.resize(1);
--- a/tests/recovery/recovery_model.cpp
+++ b/tests/recovery/recovery_model.cpp
@@ -250,7 +250,7 @@
         request.position = gateway.position;
         request.hostList = gateway.hosts;
         request.directoryDigest = gateway.digest;
-        request.takesHostChanges = request.takesPackedState = true;
+        request.acceptsHostChanges = request.acceptsPackedState = true;
         return request;
     }
 
--- a/tests/simulation/gateway_process.cpp
+++ b/tests/simulation/gateway_process.cpp
@@ -32,8 +32,8 @@
     request.gateway.session = session_;
     request.gateway.ready = copy_.configured();
     request.position = copy_.position();
-    request.takesHostChanges = true;
-    request.takesPackedState = true;
+    request.acceptsHostChanges = true;
+    request.acceptsPackedState = true;
     return request;
 }
 
