--- a/tests/control/codec_test.cpp
+++ b/tests/control/codec_test.cpp
@@ -267,7 +267,8 @@
     constexpr std::size_t kDigestBytes = 64;
     TableUpdate fullTable{{9, 9}, true, {}};
     for (std::size_t tenant = 0; tenant < kTenants; tenant++)
-        fullTable.changes.push_back({fmt::format("route/tenant-{:05}", tenant), std::string(kRouteBytes, 'r')});
+        fullTable.changes.push_back(
+            {fmt::format("route/tenant-{:05}", tenant), std::string(kRouteBytes, 'r')});
     for (std::size_t operation = 0; operation < kAppliedOperations; operation++)
         fullTable.changes.push_back({fmt::format("taken/{}", operation), std::string(kDigestBytes, 'd')});
     const std::string bytes = encodeMessages({{member("a"), 4, replica::SyncReply{{1, 1}, fullTable}}});
