--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -2,23 +2,19 @@
 
 #include <algorithm>
 #include <asio/io_context.hpp>
-#include <asio/ip/tcp.hpp>
 #include <asio/steady_timer.hpp>
 #include <chrono>
-#include <set>
 #include <utility>
-#include <vector>
 
-#include "backend/pool.hpp"
-#include "configuration/editing.hpp"
-#include "control/codec.hpp"
+#include "control/control_settings.hpp"
 #include "control/directory_service.hpp"
 #include "control/gateway_service.hpp"
+#include "control/http_listeners.hpp"
+#include "control/member_requests.hpp"
 #include "control/operator_api.hpp"
 #include "control/replica_driver.hpp"
 #include "control/status.hpp"
 #include "core/metrics_text.hpp"
-#include "net/server.hpp"
 #include "replica/replica.hpp"
 #include "rpc/client.hpp"
 #include "rpc/server.hpp"
@@ -26,40 +22,16 @@
 namespace beechpoint::control {
 namespace {
 
-constexpr std::size_t kMaxOperators = 128;  // connections to the operator's API
-constexpr std::size_t kMaxClients = 1024;   // connections to the directory
-constexpr std::size_t kMaxProbers = 16;     // connections to the readiness address
-constexpr Millis kBodyPause = 2000;
 constexpr auto kTick = std::chrono::milliseconds(static_cast<int>(kServiceTick));
-constexpr auto kFreshnessLook = std::chrono::milliseconds(25);
-constexpr auto kLeavingLook = std::chrono::milliseconds(20);
-constexpr Millis kLeavingMost = 3000;
-constexpr Millis kOpenAgain = 500;        // the store, while the disk refuses
-constexpr double kLeaseHeartbeats = 2.5;  // a lease in heartbeats of the settings
-constexpr Millis kShortestLease = 2500;
-constexpr Millis kLongestLease = 5000;
-constexpr double kMostTtlSeconds = 2;
+constexpr auto kFreshnessTick = std::chrono::milliseconds(25);  // while a poll waits for freshness
+constexpr auto kDrainTick = std::chrono::milliseconds(20);
+constexpr Millis kMaxDrain = 3000;
+constexpr Millis kReopenStoreAfter = 500;  // while the disk refuses
 constexpr double kMillisPerSecond = 1000;
+constexpr int kOk = 200;
+constexpr int kServiceUnavailable = 503;
 constexpr const char* kJson = "application/json";
 
-Result<asio::ip::tcp::endpoint> endpointOf(const std::string& text, const char* place) {
-    const auto endpoint = backend::readEndpoint(text);
-    if (endpoint) return *endpoint;
-    return Error{ErrorKind::invalid, place, fmt::format("'{}' is not IP:PORT", text),
-                 "write it as 10.0.0.1:8146"};
-}
-
-leases::LeaseTable::Settings leaseSettings(const settings::ProcessSettings& settings) {
-    leases::LeaseTable::Settings leases;
-    leases.leaseMs = std::clamp(kLeaseHeartbeats * settings.heartbeatMs, kShortestLease, kLongestLease);
-    leases.windowMs = settings.timingBounds.retryWindowS * kMillisPerSecond;
-    return leases;
-}
-
-double ttlOf(const settings::ProcessSettings& settings) {
-    return std::min(settings.timingBounds.ttlMaxS, kMostTtlSeconds);
-}
-
 }  // namespace
 
 class Control::Impl : public std::enable_shared_from_this<Impl> {
@@ -72,21 +44,16 @@
           options_(options),
           client_(io, logger),
           server_(io, logger),
-          driver_(io, clock, logger, client_, {[this] { onTableMoved(); }, [this] { onView(); }}),
+          driver_(io, clock, logger, client_, {[this] { onTableChanged(); }, [this] { onViewChanged(); }}),
           operatorApi_(io, clock, logger, driver_),
-          gateways_(io, clock, logger, driver_, client_, serviceSettings(), [this] { directory_.look(); }),
+          gateways_(io, clock, logger, driver_, client_,
+                    gatewayServiceSettingsOf(settings_, options_.hostReading, options_.seed),
+                    [this] { directory_.look(); }),
           directory_(
-              clock, [this] { return gateways_.liveGateways(); }, ttlOf(settings_)),
-          operators_(io, clock, logger, kMaxOperators, handler()),
-          clients_(io, clock, logger, kMaxClients, handler()),
-          probers_(io, clock, logger, kMaxProbers, handler()),
-          tick_(io) {
-        net::HttpLimits limits;
-        limits.body = kMaxOperatorBody;
-        limits.bodyPause = kBodyPause;
-        limits.strict = true;
-        operators_.limits(limits);
-    }
+              clock, [this] { return gateways_.liveGateways(); }, directoryTtlSecondsOf(settings_)),
+          memberRequests_(logger, driver_, gateways_),
+          listeners_(io, clock, logger, httpHandler()),
+          tick_(io) {}
 
     Result<void> start() {
         if (settings_.dataDirectory.empty()) {
@@ -94,16 +61,11 @@
                          "run it on machines that have one"};
         }
         server_.onRequest(
-            [this](std::string bytes, rpc::Reply reply) { onRequest(bytes, std::move(reply)); });
+            [this](std::string bytes, rpc::Reply reply) { memberRequests_.handle(bytes, std::move(reply)); });
         const auto internal = listenInternally();
         if (!internal) return internal;
-        for (auto [server, address, place] :
-             {Listener{&operators_, &settings_.listenAddresses.control, "control"},
-              Listener{&clients_, &settings_.listenAddresses.directory, "directory"},
-              Listener{&probers_, &settings_.listenAddresses.readiness, "readiness"}}) {
-            const auto listening = listen(*server, *address, place);
-            if (!listening) return listening;
-        }
+        const auto listening = listeners_.listen(settings_);
+        if (!listening) return listening;
         openStore();
         onTick();
         return boost::outcome_v2::success();
@@ -111,37 +73,33 @@
 
     void reload(settings::ProcessSettings settings) {
         if (settings == settings_) return;
-        if (settings.seedNodes != settings_.seedNodes) driver_.seeds(settings.seedNodes);
+        if (settings.seedNodes != settings_.seedNodes) driver_.setSeeds(settings.seedNodes);
         settings_.seedNodes = std::move(settings.seedNodes);
         settings_.timingBounds = settings.timingBounds;
         settings_.faultTolerance = settings.faultTolerance;
-        directory_.ttl(ttlOf(settings_));
-        logger_.info("the settings were read anew");
+        directory_.ttl(directoryTtlSecondsOf(settings_));
+        logger_.info("the settings were reloaded");
     }
 
     void stop(std::function<void()> done) {
-        if (leaving_) return;
-        leaving_ = true;
+        if (phase_ != Phase::serving) return;
+        phase_ = Phase::finishingCalls;
         stopped_ = std::move(done);
-        logger_.info("leaving");
-        const Millis half = settings_.timingBounds.graceS * kMillisPerSecond / 2;
-        leaveBy_ = clock_.now() + std::min(half, kLeavingMost);
+        logger_.info("draining");
+        const Millis halfOfGrace = settings_.timingBounds.graceS * kMillisPerSecond / 2;
+        drainDeadline_ = clock_.now() + std::min(halfOfGrace, kMaxDrain);
         gateways_.leave();
-        operatorApi_.leave();
+        operatorApi_.startDraining();
         directory_.leave();
-        for (net::HttpServer* server : servers()) {
-            server->stopAccepting();
-            server->closing(true);
-        }
+        listeners_.startDraining();
         onTick();
     }
 
     // No callback is run from now on.
     void abandon() {
         tick_.cancel();
-        leaving_ = true;
-        abandoned_ = true;
-        for (net::HttpServer* server : servers()) server->closeAll();
+        phase_ = Phase::abandoned;
+        listeners_.closeAll();
     }
 
     const replica::Replica* replica() const { return driver_.replica(); }
@@ -149,64 +107,48 @@
     std::size_t pendingLongPolls() const { return gateways_.pendingLongPolls(); }
 
 private:
-    struct Listener {
-        net::HttpServer* server;
-        const std::string* address;
-        const char* place;
+    enum class Phase {
+        serving,         // also before start()
+        finishingCalls,  // draining: operators' calls that have begun are finished
+        leavingView,     // draining: the others were asked for a view without this member
+        abandoned,       // the owner is gone
     };
 
-    std::vector<net::HttpServer*> servers() { return {&operators_, &clients_, &probers_}; }
-
-    GatewayService::Settings serviceSettings() const {
-        GatewayService::Settings service;
-        service.leases = leaseSettings(settings_);
-        service.poller.address = settings_.cloudApi.address;
-        service.poller.reader = options_.hostReading;
-        service.seed = options_.seed;
-        return service;
-    }
-
-    std::string internalAddress() const {
-        return fmt::format("{}:{}", settings_.ipAddress, settings_.internalPortRange.first);
-    }
+    // ---- Requests
 
     Result<void> listenInternally() {
+        // A start that is tried again may find it listening.
         if (server_.port() != 0) return boost::outcome_v2::success();
-        return server_.listen(internalAddress());
-    }
-
-    // Without an address the part is not served. A start that is tried again finds some listening already.
-    Result<void> listen(net::HttpServer& server, const std::string& address, const char* place) {
-        if (address.empty() || listening_.contains(&server)) return boost::outcome_v2::success();
-        const auto endpoint = endpointOf(address, place);
-        if (!endpoint) return endpoint.error();
-        try {
-            server.listen(endpoint.value());
-            listening_.insert(&server);
-        } catch (const std::exception& failure) {
-            return Error{ErrorKind::unavailable, place,
-                         fmt::format("can't listen on {}: {}", address, failure.what()),
-                         "end what uses the address"};
-        }
-        return boost::outcome_v2::success();
+        return server_.listen(internalAddressOf(settings_));
     }
 
-    net::HttpServer::Handler handler() {
+    net::HttpServer::Handler httpHandler() {
         return
             [this](const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& connection) {
-                if (message.path() == "/resolve") return directory_.handle(message, connection);
-                if (message.path() == "/readiness") return answerReadiness(connection);
-                if (message.path() == kStatusPath)
-                    return connection->respond(200, kJson, renderStatus(memberStatus()));
-                if (message.path() == kMetricsPath)
-                    return connection->respond(200, kMetricsContentType, renderMetrics(memberStatus()));
-                operatorApi_.handle(message, connection);
+                handleHttp(message, connection);
             };
     }
 
+    void handleHttp(const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& connection) {
+        const auto path = message.path();
+        if (path == "/resolve")
+            directory_.handle(message, connection);
+        else if (path == "/readiness")
+            answerReadiness(connection);
+        else if (path == kStatusPath)
+            connection->respond(kOk, kJson, renderStatus(memberStatus()));
+        else if (path == kMetricsPath)
+            connection->respond(kOk, kMetricsContentType, renderMetrics(memberStatus()));
+        else
+            operatorApi_.handle(message, connection);
+    }
+
     void answerReadiness(const std::shared_ptr<net::HttpConnection>& connection) const {
-        const bool ready = !leaving_ && driver_.replica() && driver_.replica()->inView();
-        connection->respond(ready ? 200 : 503, kJson, ready ? R"({"ready":true})" : R"({"ready":false})");
+        const bool ready = phase_ == Phase::serving && driver_.replica() && driver_.replica()->inView();
+        if (ready)
+            connection->respond(kOk, kJson, R"({"ready":true})");
+        else
+            connection->respond(kServiceUnavailable, kJson, R"({"ready":false})");
     }
 
     MemberStatus memberStatus() const {
@@ -214,105 +156,81 @@
         status.member = settings_.nodeName;
         status.zone = settings_.zone;
         gateways_.describe(status);
-        status.writesTaken = operatorApi_.writesTaken();
-        const replica::Replica* replica = driver_.replica();
-        if (!replica) return status;
-        status.inView = replica->inView();
-        status.fresh = replica->fresh(clock_.now());
-        status.writable = replica->writable();
-        status.view = replica->view();
-        status.position = replica->committedPosition();
-        status.revision = configuration::currentRevision(replica->committedTable());
-        status.evacuatedZones = evacuatedZonesOf(replica->committedTable());
+        status.committedWrites = operatorApi_.committedWrites();
+        if (driver_.replica()) describeReplica(*driver_.replica(), clock_.now(), status);
         return status;
     }
 
-    void onRequest(const std::string& bytes, rpc::Reply reply) {
-        const auto envelope = openEnvelope(bytes);
-        if (!envelope) return tellUnreadable(envelope.error(), reply);
-        const std::string_view body = envelope.value().body;
-        switch (envelope.value().kind) {
-            case RequestKind::replica:
-                return driver_.onRequest(body, std::move(reply));
-            case RequestKind::poll: {
-                auto request = decodePollRequest(body);
-                if (!request) return tellUnreadable(request.error(), reply);
-                return gateways_.onPoll(std::move(request.value()), std::move(reply));
-            }
-            case RequestKind::peerUpdate: {
-                const auto peerUpdate = decodePeerUpdate(body);
-                if (!peerUpdate) return tellUnreadable(peerUpdate.error(), reply);
-                return gateways_.onPeerUpdate(peerUpdate.value(), std::move(reply));
-            }
-        }
-    }
-
-    // An empty answer reads as nothing; a call left without any would cost the caller its connection.
-    void tellUnreadable(const Error& error, rpc::Reply& reply) {
-        logger_.seldom("rpc", "a request can't be read: {}", field("error", error.text()));
-        reply.send({});
-    }
+    // ---- The replica
 
     void openStore() {
-        replica::Settings replica;
-        replica.self.name = settings_.nodeName;
-        replica.self.internalAddress = settings_.advertised(internalAddress());
-        replica.self.controlAddress = settings_.advertised(settings_.listenAddresses.control);
-        replica.self.zone = settings_.zone;
-        replica.self.counted = settings_.countsAsLoss;
-        replica.seeds = settings_.seedNodes;
-        replica.bootstrap = settings_.bootstrap;
-        replica.tolerance.machines = static_cast<std::size_t>(std::max(0, settings_.faultTolerance.machines));
-        replica.tolerance.zones = static_cast<std::size_t>(std::max(0, settings_.faultTolerance.zones));
-        const auto opened = driver_.open(settings_.dataDirectory, std::move(replica), options_.seed);
-        openAt_ = clock_.now() + kOpenAgain;
+        const auto opened =
+            driver_.open(settings_.dataDirectory, replicaSettingsOf(settings_), options_.seed);
+        reopenStoreAt_ = clock_.now() + kReopenStoreAfter;
         if (!opened)
             logger_.seldom("store", "the store can't be opened: {}", field("error", opened.error().text()));
     }
 
-    void onTableMoved() {
+    void onTableChanged() {
         gateways_.onTableMoved();
-        operatorApi_.look();
+        operatorApi_.onReplicaChanged();
     }
 
-    void onView() {
+    void onViewChanged() {
         gateways_.onView();
-        operatorApi_.look();
+        operatorApi_.onReplicaChanged();
     }
 
+    // ---- Time
+
     void onTick() {
-        if (abandoned_) return;
-        if (!leaving_) {
+        if (phase_ == Phase::abandoned) return;
+        if (phase_ == Phase::serving) {
             const Millis now = clock_.now();
-            if (!driver_.replica() && now >= openAt_) openStore();
+            if (!driver_.replica() && now >= reopenStoreAt_) openStore();
             gateways_.tick();
         }
         directory_.look();
-        if (leaving_ && hasLeft()) return end();
-        tick_.expires_after(leaving_ ? kLeavingLook : gateways_.waitsForFreshness() ? kFreshnessLook : kTick);
+        if (phase_ != Phase::serving && drained()) {
+            end();
+            return;
+        }
+        armTick();
+    }
+
+    void armTick() {
+        tick_.expires_after(tickLength());
         tick_.async_wait([weak = weak_from_this()](const asio::error_code& error) {
             const auto self = weak.lock();
             if (!error && self) self->onTick();
         });
     }
 
-    // First the operators' calls in hand are answered, then the others are asked for a view without this member; it goes on as
-    // a member until that view is settled, so that no copy and no vote is missing in between.
-    bool hasLeft() {
-        if (clock_.now() >= leaveBy_) return true;
-        const bool answered = operatorApi_.inHand() == 0;
-        if (answered && !std::exchange(leaveAsked_, true)) driver_.leave();
-        bool idle = answered && driver_.left();
-        for (net::HttpServer* server : servers()) {
-            server->closeIdle(-1);
-            idle = idle && server->connections() == 0;
+    std::chrono::milliseconds tickLength() const {
+        if (phase_ != Phase::serving) return kDrainTick;
+        return gateways_.waitsForFreshness() ? kFreshnessTick : kTick;
+    }
+
+    // ---- Graceful shutdown
+
+    // First the operators' calls that have begun are answered, then the others are asked for a view without this member. It goes on as
+    // a member until that view is installed, so that no replica and no voter is missing in between.
+    bool drained() {
+        if (clock_.now() >= drainDeadline_) return true;
+        const bool callsFinished = operatorApi_.pendingCalls() == 0;
+        if (callsFinished && phase_ == Phase::finishingCalls) {
+            phase_ = Phase::leavingView;
+            driver_.leaveView();
         }
-        return idle;
+        const bool viewLeft = callsFinished && driver_.hasLeftView();
+        const bool connectionsClosed = listeners_.closeIdleConnections();
+        return viewLeft && connectionsClosed;
     }
 
     void end() {
         driver_.close();
-        if (stopped_) std::exchange(stopped_, nullptr)();
+        const auto stopped = std::exchange(stopped_, nullptr);
+        if (stopped) stopped();
     }
 
     const Clock& clock_;
@@ -325,13 +243,13 @@
     OperatorApi operatorApi_;
     GatewayService gateways_;
     DirectoryService directory_;
-    net::HttpServer operators_, clients_, probers_;
-    std::set<const net::HttpServer*> listening_;
+    MemberRequests memberRequests_;
+    HttpListeners listeners_;
     asio::steady_timer tick_;
     std::function<void()> stopped_;
-    Millis leaveBy_ = 0;
-    Millis openAt_ = 0;
-    bool leaving_ = false, leaveAsked_ = false, abandoned_ = false;
+    Millis drainDeadline_ = 0;
+    Millis reopenStoreAt_ = 0;
+    Phase phase_ = Phase::serving;
 };
 
 Control::Control(asio::io_context& io, const Clock& clock, Logger& logger, settings::ProcessSettings settings,
--- a/src/control/control.hpp
+++ b/src/control/control.hpp
@@ -1,5 +1,18 @@
-// The control role: one member of the chain that holds the configuration. It owns the replica with its store, the operator's API, the
-// directory and what gateways poll, and wires them on one loop; it decides nothing itself.
+/// The control role: one member of the chain that holds the configuration.
+///
+/// What it is: the wiring of one member's parts on one event loop, and its start and graceful shutdown. What it is not: it decides
+/// nothing itself. Where each job is:
+///   replica and its store           ReplicaDriver      replica_driver.hpp
+///   operators' calls                OperatorApi        operator_api.hpp (decided by OperatorCalls)
+///   gateways' polls, leases, hosts  GatewayService     gateway_service.hpp
+///   GET /resolve                    DirectoryService   directory_service.hpp
+///   HTTP servers                    HttpListeners      http_listeners.hpp
+///   requests over rpc               MemberRequests     member_requests.hpp
+///   settings of the parts           control_settings.hpp
+///   GET /status, GET /metrics       status.hpp
+///
+/// All functions are to be called from the thread that runs the event loop `io`; callbacks come on it. The store writes on a thread of
+/// its own (storage::StoreThread), which no other part sees.
 #pragma once
 
 #include <cstdint>
@@ -21,38 +34,45 @@
 
 namespace beechpoint::control {
 
+/// Owns all parts of one member. Life cycle: constructed -> start() succeeds: serving -> stop(): draining -> `done`: ended. Its
+/// destruction ends it at any time, as a crash would: without answers to pending calls and without callbacks.
 class Control {
 public:
     struct Options {
-        std::uint64_t seed = 0;  // must differ at each start
+        std::uint64_t seed = 0;  ///< must differ at each start
         host_discovery::ListReader::Settings hostReading;
     };
 
-    // `io`, `clock` and `logger` must outlive it.
+    /// `io`, `clock` and `logger` must outlive it.
     Control(asio::io_context& io, const Clock& clock, Logger& logger, settings::ProcessSettings settings,
             Options options);
     ~Control();
     Control(const Control&) = delete;
     Control& operator=(const Control&) = delete;
 
-    // Listens and opens the store; the store is tried again while the disk refuses. Error (unavailable): an address
-    // can't be listened on, to be tried again; (invalid): the settings do not fit the role.
-    Result<void> start();
-    // The settings were read anew: what may change in service is taken over.
+    /// Listens and opens the store; the store is tried again by itself while the disk refuses. May be called again after an error.
+    /// Errors: unavailable (an address can't be listened on, to be tried again), invalid (the settings do not fit the role).
+    [[nodiscard]] Result<void> start();
+    /// The settings were read again: those that may change in service (seeds, timing bounds, tolerance) are taken over.
     void reload(settings::ProcessSettings settings);
-    // Ends: calls in hand are finished for at most about half of the grace time, then `done` is called.
+    /// Graceful shutdown: pending calls are finished and the view is left, for at most about half of the grace time; then `done` is
+    /// called. A second call does nothing.
     void stop(std::function<void()> done);
 
-    const replica::Replica* replica() const;  // null until the store is open
-    bool readsHosts() const;                  // holds the duty of reading the platform's list
-    std::size_t pendingLongPolls() const;     // gateways' polls that wait for news
+    /// Null until the store is open.
+    [[nodiscard]] const replica::Replica* replica() const;
+    /// Holds the lease of the singleton role that reads the platform's host list.
+    [[nodiscard]] bool readsHosts() const;
+    /// Gateways' polls that wait for an update.
+    [[nodiscard]] std::size_t pendingLongPolls() const;
 
 private:
     class Impl;
     std::shared_ptr<Impl> impl_;
 };
 
-// Serves until SIGTERM. The exit status: 0 after an orderly end, 1 where it could not listen, 2 where the settings are not sound.
-int run(const std::string& settingsPath, Clock& clock, Logger& logger);
+/// Serves until SIGTERM or SIGINT; SIGHUP and a change of the file reload the settings. Blocks the calling thread, which runs the event
+/// loop. Returns the exit status: 0 after a graceful shutdown, 1 where it could not listen, 2 where the settings are invalid.
+[[nodiscard]] int run(const std::string& settingsPath, Clock& clock, Logger& logger);
 
 }  // namespace beechpoint::control
--- /dev/null
+++ b/src/control/member_requests.cpp
@@ -0,0 +1,45 @@
+#include "control/member_requests.hpp"
+
+#include <string_view>
+#include <utility>
+
+#include "control/codec.hpp"
+#include "control/gateway_service.hpp"
+#include "control/replica_driver.hpp"
+#include "rpc/server.hpp"
+
+namespace beechpoint::control {
+
+void MemberRequests::handle(const std::string& bytes, rpc::Reply reply) {
+    const auto envelope = openEnvelope(bytes);
+    if (!envelope) {
+        rejectUnreadable(envelope.error(), reply);
+        return;
+    }
+    const std::string_view body = envelope.value().body;
+    switch (envelope.value().kind) {
+        case RequestKind::replica:
+            driver_.onRequest(body, std::move(reply));
+            return;
+        case RequestKind::poll: {
+            auto request = decodePollRequest(body);
+            if (!request) return rejectUnreadable(request.error(), reply);
+            gateways_.onPoll(std::move(request.value()), std::move(reply));
+            return;
+        }
+        case RequestKind::peerUpdate: {
+            const auto peerUpdate = decodePeerUpdate(body);
+            if (!peerUpdate) return rejectUnreadable(peerUpdate.error(), reply);
+            gateways_.onPeerUpdate(peerUpdate.value(), std::move(reply));
+            return;
+        }
+    }
+}
+
+// The caller reads an empty answer as none; a call left without any would cost it its connection.
+void MemberRequests::rejectUnreadable(const Error& error, rpc::Reply& reply) {
+    logger_.seldom("rpc", "a request can't be read: {}", field("error", error.text()));
+    reply.send({});
+}
+
+}  // namespace beechpoint::control
--- /dev/null
+++ b/src/control/member_requests.hpp
@@ -0,0 +1,36 @@
+/// Requests that a control member gets over rpc from other members and from gateways: opens the envelope and hands each kind to the
+/// part that answers it. Owns nothing, holds no state. To be called from the event loop's thread only.
+#pragma once
+
+#include <string>
+
+#include "core/logger.hpp"
+#include "core/result.hpp"
+
+namespace beechpoint::rpc {
+class Reply;
+}
+
+namespace beechpoint::control {
+
+class GatewayService;
+class ReplicaDriver;
+
+class MemberRequests {
+public:
+    /// All references must outlive it.
+    MemberRequests(Logger& logger, ReplicaDriver& driver, GatewayService& gateways)
+        : logger_(logger), driver_(driver), gateways_(gateways) {}
+
+    /// `bytes`: one envelope (codec.hpp). Every request is answered, now or later; one that can't be read with an empty answer.
+    void handle(const std::string& bytes, rpc::Reply reply);
+
+private:
+    void rejectUnreadable(const Error& error, rpc::Reply& reply);
+
+    Logger& logger_;
+    ReplicaDriver& driver_;
+    GatewayService& gateways_;
+};
+
+}  // namespace beechpoint::control
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -7,7 +7,10 @@
 #include <map>
 #include <string>
 #include <utility>
+#include <vector>
 
+#include "configuration/editing.hpp"
+#include "control/operator_calls.hpp"
 #include "control/replica_driver.hpp"
 #include "net/http.hpp"
 #include "net/server.hpp"
@@ -16,7 +19,7 @@
 namespace beechpoint::control {
 namespace {
 
-constexpr auto kLookEvery = std::chrono::milliseconds(25);
+constexpr auto kReevaluateEvery = std::chrono::milliseconds(25);
 constexpr const char* kJson = "application/json";
 
 }  // namespace
@@ -28,69 +31,83 @@
 
     void handle(const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& connection) {
         auto call = parseOperatorCall(message.method, message.path(), message.header("if-match"));
-        if (!call)
-            return connection->respond(statusOfCallError(call.error()), kJson,
-                                       configuration::renderError(call.error()));
+        if (!call) {
+            connection->respond(statusOfCallError(call.error()), kJson,
+                                configuration::renderError(call.error()));
+            return;
+        }
         const CallId id = ++lastId_;
         call.value().body = std::string(message.body);
         connections_.emplace(id, connection);
-        tell(CallCame{id, std::move(call.value())});
+        dispatch(CallReceived{id, std::move(call.value())});
     }
 
-    void tell(OperatorEvent event) {
+    // Queues the event and handles all that are queued. Called again from within an action it only queues: the outer call goes on
+    // until no event is left.
+    void dispatch(OperatorEvent event) {
         events_.push_back(std::move(event));
-        if (running_) return;  // from within an action: the loop below goes on until nothing moves
-        running_ = true;
-        tellOfThoseWhoLeft();
-        while (!events_.empty()) runOne();
-        running_ = false;
-        arm();
+        if (dispatching_) return;
+        dispatching_ = true;
+        queueDisconnectedClients();
+        while (!events_.empty()) handleNextEvent();
+        dispatching_ = false;
+        armTimer();
     }
 
-    std::size_t inHand() const { return calls_.inHand(); }
-    std::uint64_t writesTaken() const { return calls_.writesTaken(); }
+    std::size_t pendingCalls() const { return calls_.pendingCalls(); }
+    std::uint64_t committedWrites() const { return calls_.committedWrites(); }
 
 private:
-    void runOne() {
+    void handleNextEvent() {
         OperatorEvent event = std::move(events_.front());
         events_.pop_front();
-        const auto heardLately = [this](const std::string& address) { return driver_.heardLately(address); };
-        const ReplicaState replica = replicaStateOf(driver_.replica(), heardLately);
+        const auto isResponsive = [this](const std::string& address) {
+            return driver_.isResponsive(address);
+        };
+        const ReplicaState replica = replicaStateOf(driver_.replica(), isResponsive);
         std::vector<OperatorAction> actions;
         calls_.handle(clock_.now(), replica, std::move(event), actions);
         for (OperatorAction& action : actions) std::visit([this](auto& what) { carryOut(what); }, action);
     }
 
-    void tellOfThoseWhoLeft() {
+    // Ends of connections come before the event that is being dispatched.
+    void queueDisconnectedClients() {
         for (auto next = connections_.begin(); next != connections_.end();) {
             const auto entry = next++;
             if (entry->second->waiting()) continue;
-            events_.emplace_front(ClientLeft{entry->first});
+            events_.emplace_front(ClientDisconnected{entry->first});
             connections_.erase(entry);
         }
     }
 
-    void carryOut(const StartBarrier& action) {
-        auto done = [weak = weak_from_this(), id = action.id](bool ok) {
-            if (const auto self = weak.lock()) self->tell(BarrierDone{id, ok});
+    void carryOut(const StartReadBarrier& action) {
+        auto done = [weak = weak_from_this(), id = action.id](bool passed) {
+            if (const auto self = weak.lock()) self->dispatch(ReadBarrierDone{id, passed});
         };
-        if (action.emptyBatch)
-            driver_.write({}, std::move(done));
-        else
-            driver_.readBarrier(std::move(done));
+        switch (action.kind) {
+            case ReadBarrierKind::emptyBatch:
+                driver_.write({}, std::move(done));
+                break;
+            case ReadBarrierKind::heartbeatRound:
+                driver_.readBarrier(std::move(done));
+                break;
+        }
     }
 
     void carryOut(StartWrite& action) {
-        if (left(action.id)) {
-            events_.emplace_back(ClientLeft{action.id});
-            return tell(WriteDone{action.id, WriteResult::notStarted});
+        if (clientHasLeft(action.id)) {
+            events_.emplace_back(ClientDisconnected{action.id});
+            dispatch(WriteDone{action.id, WriteResult::notStarted});
+            return;
         }
         const replica::Replica* replica = driver_.replica();
-        if (!replica || replica->committedPosition() != action.base)
-            return tell(WriteDone{action.id, WriteResult::notStarted});
+        if (!replica || replica->committedPosition() != action.base) {
+            dispatch(WriteDone{action.id, WriteResult::notStarted});
+            return;
+        }
         driver_.write(std::move(action.changes), [weak = weak_from_this(), id = action.id](bool committed) {
             const auto result = committed ? WriteResult::committed : WriteResult::unknown;
-            if (const auto self = weak.lock()) self->tell(WriteDone{id, result});
+            if (const auto self = weak.lock()) self->dispatch(WriteDone{id, result});
         });
     }
 
@@ -102,24 +119,24 @@
         if (connection->waiting()) connection->respond(action.status, kJson, action.body, action.headers);
     }
 
-    void carryOut(const Note& action) { logger_.info("operator's call: {}", field("event", action.text)); }
+    void carryOut(const LogEvent& action) { logger_.info("operator call: {}", field("event", action.text)); }
 
-    // Whether its client's end has come, perhaps behind bytes that were not read: an order that was on its way through a cut is not
-    // begun long after its sender has given it up.
-    bool left(CallId id) const {
+    // Whether its client has closed the connection, perhaps behind bytes that are not read yet. A call that a partition held up is
+    // not begun long after its sender has given it up and sent it elsewhere.
+    bool clientHasLeft(CallId id) const {
         const auto found = connections_.find(id);
         return found == connections_.end() || found->second->left();
     }
 
-    void arm() {
-        if (!calls_.waiting() || armed_) return;
-        armed_ = true;
-        timer_.expires_after(kLookEvery);
+    void armTimer() {
+        if (!calls_.waiting() || timerArmed_) return;
+        timerArmed_ = true;
+        timer_.expires_after(kReevaluateEvery);
         timer_.async_wait([weak = weak_from_this()](const asio::error_code& error) {
             const auto self = weak.lock();
             if (error || !self) return;
-            self->armed_ = false;
-            self->tell(Look{});
+            self->timerArmed_ = false;
+            self->dispatch(Reevaluate{});
         });
     }
 
@@ -128,10 +145,11 @@
     ReplicaDriver& driver_;
     asio::steady_timer timer_;
     OperatorCalls calls_;
-    std::map<CallId, std::shared_ptr<net::HttpConnection>> connections_;  // of calls that are to be answered
-    std::deque<OperatorEvent> events_;
+    std::map<CallId, std::shared_ptr<net::HttpConnection>> connections_;  // of unanswered calls
+    std::deque<OperatorEvent> events_;                                    // not handled yet
     CallId lastId_ = 0;
-    bool running_ = false, armed_ = false;
+    bool dispatching_ = false;
+    bool timerArmed_ = false;
 };
 
 OperatorApi::OperatorApi(asio::io_context& io, const Clock& clock, Logger& logger, ReplicaDriver& driver)
@@ -143,11 +161,11 @@
                          const std::shared_ptr<net::HttpConnection>& connection) {
     impl_->handle(message, connection);
 }
-void OperatorApi::look() {
-    if (impl_->inHand() > 0) impl_->tell(Look{});
+void OperatorApi::onReplicaChanged() {
+    if (impl_->pendingCalls() > 0) impl_->dispatch(Reevaluate{});
 }
-void OperatorApi::leave() { impl_->tell(Leaving{}); }
-std::size_t OperatorApi::inHand() const { return impl_->inHand(); }
-std::uint64_t OperatorApi::writesTaken() const { return impl_->writesTaken(); }
+void OperatorApi::startDraining() { impl_->dispatch(DrainStarted{}); }
+std::size_t OperatorApi::pendingCalls() const { return impl_->pendingCalls(); }
+std::uint64_t OperatorApi::committedWrites() const { return impl_->committedWrites(); }
 
 }  // namespace beechpoint::control
--- a/src/control/operator_call.hpp
+++ b/src/control/operator_call.hpp
@@ -1,9 +1,9 @@
-// An operator's call as it is read from the request line, and what the head makes of it. Free of I/O.
+/// One operator's call as read from its request line, and what it comes to on a table. Free of I/O and state; may be called from any
+/// thread. When a call may be decided on is OperatorCalls' business (operator_calls.hpp).
 #pragma once
 
 #include <string>
 #include <string_view>
-#include <variant>
 
 #include "configuration/editing.hpp"
 #include "core/replicated_table.hpp"
@@ -11,24 +11,33 @@
 
 namespace beechpoint::control {
 
-enum class OperatorCallKind { read, put, patch, evacuate, takeBack };
+enum class OperatorCallKind {
+    read,              ///< GET /configuration
+    put,               ///< PUT /configuration
+    patch,             ///< PATCH /configuration
+    evacuate,          ///< POST /evacuate/ZONE
+    cancelEvacuation,  ///< DELETE /evacuate/ZONE
+};
 
 struct OperatorCall {
     OperatorCallKind kind = OperatorCallKind::read;
-    std::string target;   // as sent, for redirects
-    std::string zone;     // of evacuate and takeBack
-    std::string ifMatch;  // without quotes
-    std::string body;
-    bool writes() const { return kind != OperatorCallKind::read; }
+    std::string target;   ///< the path as sent, for redirects
+    std::string zone;     ///< of evacuate and cancelEvacuation, decoded
+    std::string ifMatch;  ///< the version that the change builds on, without quotes
+    std::string body;     ///< of put and patch; filled in by the caller
+
+    [[nodiscard]] bool writes() const { return kind != OperatorCallKind::read; }
 };
 
-// Errors: notFound (no such path), invalid with place "method" (405), invalid (the zone's name can't be read).
-Result<OperatorCall> parseOperatorCall(std::string_view method, std::string_view path,
-                                       std::string_view ifMatch);
-// HTTP status of its errors.
-int statusOfCallError(const Error& error);
+/// Reads a call from its request line and If-Match header; the body stays empty. `path` is as sent, without the query.
+/// Errors: notFound (no such path); invalid at location "method" (405); invalid at "zone" (it can't be decoded or is empty).
+[[nodiscard]] Result<OperatorCall> parseOperatorCall(std::string_view method, std::string_view path,
+                                                     std::string_view ifMatch);
+/// HTTP status of an error of parseOperatorCall().
+[[nodiscard]] int statusOfCallError(const Error& error);
 
-// What a write comes to on that table.
-Result<configuration::Decision> decide(const OperatorCall& call, const Table& table);
+/// What a write comes to on `table`: accepted with its changes, or already applied.
+/// Errors: invalid, conflict, notFound, as configuration/editing.hpp says; invalid for a read.
+[[nodiscard]] Result<configuration::Decision> decide(const OperatorCall& call, const Table& table);
 
 }  // namespace beechpoint::control
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -5,31 +5,24 @@
 #include <algorithm>
 #include <utility>
 
-#include "net/http.hpp"
+#include "configuration/editing.hpp"
+#include "control/operator_answers.hpp"
 
 namespace beechpoint::control {
 namespace {
 
-constexpr Millis kComeBackAfter = 300;
-constexpr Millis kTryAgainAfter = 25;  // a barrier that failed may fail again in the same step
-constexpr int kOk = 200;
-constexpr int kTemporaryRedirect = 307;
-constexpr int kUnavailable = 503;
-
-Answer busyAnswer(CallId id, const std::string& why) {
-    const Error error{ErrorKind::unavailable, "", why, "send the same call again, here or to another member"};
-    return {id, kUnavailable, configuration::renderError(error), net::retryAfterHeader(kComeBackAfter)};
-}
+constexpr Millis kBarrierRetryAfter = 25;
 
 bool hasRole(const ReplicaState& replica, const OperatorCall& call) {
-    return replica.table && replica.inView && (call.writes() ? replica.isHead : replica.isTail);
+    if (!replica.table || !replica.inView) return false;
+    return call.writes() ? replica.isHead : replica.isTail;
 }
 
-const RoleHolder& holderFor(const ReplicaState& replica, const OperatorCall& call) {
+const ChainEnd& chainEndFor(const ReplicaState& replica, const OperatorCall& call) {
     return call.writes() ? replica.head : replica.tail;
 }
 
-std::string waitReason(const ReplicaState& replica, const OperatorCall& call) {
+std::string deadlineReason(const ReplicaState& replica, const OperatorCall& call) {
     if (!hasRole(replica, call)) return "no member that could answer is in reach";
     return call.writes() ? "the write can't be kept by enough members at the moment"
                          : "whether this is the newest configuration can't be told at the moment";
@@ -39,160 +32,181 @@
 
 void OperatorCalls::handle(Millis now, const ReplicaState& replica, OperatorEvent event,
                            std::vector<OperatorAction>& actions) {
-    const Moment moment{now, replica, actions};
-    std::visit([&](auto& what) { on(moment, what); }, event);
-    lookAtWaiting(moment);
+    const Step step{now, replica, actions};
+    std::visit([&](auto& what) { on(step, what); }, event);
+    evaluateWaiting(step);
 }
 
 bool OperatorCalls::waiting() const {
     return std::any_of(calls_.begin(), calls_.end(),
-                       [](const Pending& pending) { return pending.state == State::waiting; });
+                       [](const PendingCall& pending) { return pending.state == State::waiting; });
 }
 
 // ---- Events
 
-void OperatorCalls::on(const Moment& moment, CallCame& event) {
+void OperatorCalls::on(const Step& step, CallReceived& event) {
     const std::size_t bytes = event.call.body.size();
-    if (calls_.size() >= kMaxOperatorCalls || bytes_ + bytes > kMaxOperatorBytes) {
-        moment.actions.emplace_back(busyAnswer(event.id, "too many calls are in hand"));
+    if (calls_.size() >= kMaxOperatorCalls || bodyBytes_ + bytes > kMaxOperatorBytes) {
+        step.actions.emplace_back(unavailableAnswer(event.id, "too many calls are in hand"));
         return;
     }
-    Pending pending;
+    PendingCall pending;
     pending.id = event.id;
     pending.call = std::move(event.call);
-    pending.deadline = moment.now + kOperatorWait;
-    bytes_ += bytes;
+    pending.deadline = step.now + kOperatorCallTimeout;
+    bodyBytes_ += bytes;
     calls_.push_back(std::move(pending));
 }
 
-void OperatorCalls::on(const Moment&, const ClientLeft& event) {
-    const auto pending =
-        std::find_if(calls_.begin(), calls_.end(), [&](const Pending& each) { return each.id == event.id; });
+void OperatorCalls::on(const Step&, const ClientDisconnected& event) {
+    const auto pending = std::find_if(calls_.begin(), calls_.end(),
+                                      [&](const PendingCall& each) { return each.id == event.id; });
     if (pending == calls_.end()) return;
-    pending->clientLeft = true;
+    pending->clientDisconnected = true;
     if (pending->state == State::waiting) forget(pending);
 }
 
-void OperatorCalls::on(const Moment&, const Look&) {}
+// The evaluation that follows every event is all there is to do.
+void OperatorCalls::on(const Step&, const Reevaluate&) {}
 
-void OperatorCalls::on(const Moment& moment, const BarrierDone& event) {
-    const auto pending = find(event.id, State::barrier);
+void OperatorCalls::on(const Step& step, const ReadBarrierDone& event) {
+    const auto pending = find(event.id, State::readBarrier);
     if (pending == calls_.end()) return;
     pending->state = State::waiting;
-    if (pending->clientLeft) return forget(pending);
-    if (!event.ok || !moment.replica.table) {
-        pending->notBefore = moment.now + kTryAgainAfter;
+    if (pending->clientDisconnected) {
+        forget(pending);
         return;
     }
-    if (pending->call.writes()) return decideWrite(moment, pending, true);
-    answer(moment, pending, kOk, configuration::renderConfiguration(*moment.replica.table));
+    if (!event.passed || !step.replica.table) {
+        pending->retryAt = step.now + kBarrierRetryAfter;
+        return;
+    }
+    if (pending->call.writes()) {
+        decideWrite(step, pending, TableFreshness::verifiedByReadBarrier);
+        return;
+    }
+    finish(step, pending, configurationAnswer(pending->id, *step.replica.table));
 }
 
-void OperatorCalls::on(const Moment& moment, const WriteDone& event) {
+void OperatorCalls::on(const Step& step, const WriteDone& event) {
     const auto pending = find(event.id, State::committing);
     if (pending == calls_.end()) return;
-    if (event.result == WriteResult::committed) {
-        writesTaken_++;
-        moment.actions.emplace_back(
-            Note{fmt::format("took revision {} by {}", pending->revision, pending->call.target)});
-        return answerTaken(moment, pending, pending->revision);
+    switch (event.result) {
+        case WriteResult::committed:
+            committedWrites_++;
+            step.actions.emplace_back(LogEvent{
+                fmt::format("committed revision {} of {}", pending->revision, pending->call.target)});
+            finish(step, pending, appliedAnswer(pending->id, pending->revision));
+            break;
+        case WriteResult::unknown:
+            finish(step, pending,
+                   unavailableAnswer(pending->id, "whether the change took effect is not known"));
+            break;
+        case WriteResult::notStarted:
+            pending->state = State::waiting;
+            if (pending->clientDisconnected) forget(pending);
+            break;
     }
-    if (event.result == WriteResult::unknown)
-        return sendAway(moment, pending, "whether the change took effect is not known");
-    pending->state = State::waiting;
-    if (pending->clientLeft) forget(pending);
 }
 
-void OperatorCalls::on(const Moment&, const Leaving&) { leaving_ = true; }
+void OperatorCalls::on(const Step&, const DrainStarted&) { draining_ = true; }
 
-// ---- Calls that wait
+// ---- Waiting calls
 
-void OperatorCalls::lookAtWaiting(const Moment& moment) {
-    bool writeAhead = std::any_of(calls_.begin(), calls_.end(), [](const Pending& pending) {
+void OperatorCalls::evaluateWaiting(const Step& step) {
+    // Invariant: writes start in the order in which they came, one at a time.
+    bool earlierWrite = std::any_of(calls_.begin(), calls_.end(), [](const PendingCall& pending) {
         return pending.call.writes() && pending.state != State::waiting;
     });
     for (auto next = calls_.begin(); next != calls_.end();) {
-        const auto pending = next++;
-        if (pending->state == State::waiting) look(moment, pending, writeAhead);
+        const auto pending = next++;  // the call may be erased below
+        if (pending->state != State::waiting || endWaiting(step, pending)) continue;
+        if (!pending->call.writes()) {
+            if (mayProceed(step, pending)) startReadBarrier(step, pending);
+            continue;
+        }
+        const bool isNextWrite = !earlierWrite;
+        earlierWrite = true;
+        if (isNextWrite && mayProceed(step, pending) && step.replica.writable)
+            decideWrite(step, pending, TableFreshness::unverified);
     }
 }
 
-void OperatorCalls::look(const Moment& moment, Iterator pending, bool& writeAhead) {
-    const ReplicaState& replica = moment.replica;
-    const bool here = hasRole(replica, pending->call);
-    const RoleHolder& holder = holderFor(replica, pending->call);
-    if (!here && holder.elsewhere && !holder.controlAddress.empty())
-        return redirect(moment, pending, holder.controlAddress);
-    if (leaving_) return sendAway(moment, pending, "this member is leaving");
-    if (moment.now >= pending->deadline) return sendAway(moment, pending, waitReason(replica, pending->call));
-    const bool due = moment.now >= pending->notBefore;
-    if (!pending->call.writes()) {
-        if (here && due) startBarrier(moment, pending);
-        return;
+bool OperatorCalls::endWaiting(const Step& step, Iterator pending) {
+    const ReplicaState& replica = step.replica;
+    const ChainEnd& chainEnd = chainEndFor(replica, pending->call);
+    if (!hasRole(replica, pending->call) && chainEnd.isReachablePeer && !chainEnd.controlAddress.empty()) {
+        finish(step, pending, redirectAnswer(pending->id, chainEnd.controlAddress, pending->call.target));
+        return true;
     }
-    const bool first = !std::exchange(writeAhead, true);
-    if (first && here && due && replica.writable) decideWrite(moment, pending, false);
+    if (draining_) {
+        finish(step, pending, unavailableAnswer(pending->id, "this member is leaving"));
+        return true;
+    }
+    if (step.now >= pending->deadline) {
+        finish(step, pending, unavailableAnswer(pending->id, deadlineReason(replica, pending->call)));
+        return true;
+    }
+    return false;
 }
 
-void OperatorCalls::startBarrier(const Moment& moment, Iterator pending) {
-    pending->state = State::barrier;
-    moment.actions.emplace_back(StartBarrier{pending->id, pending->call.writes()});
+bool OperatorCalls::mayProceed(const Step& step, Iterator pending) {
+    return hasRole(step.replica, pending->call) && step.now >= pending->retryAt;
 }
 
-void OperatorCalls::decideWrite(const Moment& moment, Iterator pending, bool vouched) {
-    auto decision = decide(pending->call, *moment.replica.table);
-    if (decision) {
-        if (auto* accepted = std::get_if<configuration::Accepted>(&decision.value())) {
-            if (!moment.replica.writable) return;
-            pending->state = State::committing;
-            pending->revision = accepted->revision;
-            moment.actions.emplace_back(
-                StartWrite{pending->id, moment.replica.position, std::move(accepted->changes)});
-            return;
-        }
-    }
-    if (!vouched) return startBarrier(moment, pending);
-    if (decision)
-        return answerTaken(moment, pending,
-                           std::get<configuration::AlreadyApplied>(decision.value()).revision);
-    const Error& error = decision.error();
-    moment.actions.emplace_back(Note{fmt::format("refused {}: {}", pending->call.target, error.text())});
-    answer(moment, pending, configuration::httpStatus(error.kind), configuration::renderError(error));
+void OperatorCalls::startReadBarrier(const Step& step, Iterator pending) {
+    pending->state = State::readBarrier;
+    const auto kind = pending->call.writes() ? ReadBarrierKind::emptyBatch : ReadBarrierKind::heartbeatRound;
+    step.actions.emplace_back(StartReadBarrier{pending->id, kind});
 }
 
-// ---- Answers
+// ---- Decisions on writes
 
-void OperatorCalls::answerTaken(const Moment& moment, Iterator pending, std::uint64_t revision) {
-    answer(moment, pending, kOk, fmt::format(R"({{"revision":{}}})", revision));
+void OperatorCalls::decideWrite(const Step& step, Iterator pending, TableFreshness freshness) {
+    auto decision = decide(pending->call, *step.replica.table);
+    auto* const accepted = decision ? std::get_if<configuration::Accepted>(&decision.value()) : nullptr;
+    if (accepted) {
+        startWrite(step, pending, std::move(*accepted));
+        return;
+    }
+    // Invariant: a write is rejected or called applied only by a table that holds all that was acknowledged before.
+    if (freshness == TableFreshness::unverified) return startReadBarrier(step, pending);
+    if (!decision) {
+        rejectWrite(step, pending, decision.error());
+        return;
+    }
+    const auto& alreadyApplied = std::get<configuration::AlreadyApplied>(decision.value());
+    finish(step, pending, appliedAnswer(pending->id, alreadyApplied.revision));
 }
 
-void OperatorCalls::redirect(const Moment& moment, Iterator pending, const std::string& address) {
-    std::string location = fmt::format("Location: http://{}{}\r\n", address, pending->call.target);
-    const Error error{ErrorKind::unavailable, "", "another member answers this call",
-                      "follow Location: " + address};
-    answer(moment, pending, kTemporaryRedirect, configuration::renderError(error), std::move(location));
+// Where the head isn't writable, the call stays in `waiting` and is decided anew.
+void OperatorCalls::startWrite(const Step& step, Iterator pending, configuration::Accepted accepted) {
+    if (!step.replica.writable) return;
+    pending->state = State::committing;
+    pending->revision = accepted.revision;
+    step.actions.emplace_back(StartWrite{pending->id, step.replica.position, std::move(accepted.changes)});
 }
 
-void OperatorCalls::sendAway(const Moment& moment, Iterator pending, const std::string& why) {
-    Answer busy = busyAnswer(pending->id, why);
-    answer(moment, pending, busy.status, std::move(busy.body), std::move(busy.headers));
+void OperatorCalls::rejectWrite(const Step& step, Iterator pending, const Error& error) {
+    step.actions.emplace_back(LogEvent{fmt::format("rejected {}: {}", pending->call.target, error.text())});
+    finish(step, pending, errorAnswer(pending->id, error));
 }
 
-void OperatorCalls::answer(const Moment& moment, Iterator pending, int status, std::string body,
-                           std::string headers) {
-    if (!pending->clientLeft)
-        moment.actions.emplace_back(Answer{pending->id, status, std::move(body), std::move(headers)});
+// ---- Ends
+
+void OperatorCalls::finish(const Step& step, Iterator pending, Answer answer) {
+    if (!pending->clientDisconnected) step.actions.emplace_back(std::move(answer));
     forget(pending);
 }
 
 void OperatorCalls::forget(Iterator pending) {
-    bytes_ -= pending->call.body.size();
+    bodyBytes_ -= pending->call.body.size();
     calls_.erase(pending);
 }
 
 OperatorCalls::Iterator OperatorCalls::find(CallId id, State state) {
     return std::find_if(calls_.begin(), calls_.end(),
-                        [&](const Pending& each) { return each.id == id && each.state == state; });
+                        [&](const PendingCall& each) { return each.id == id && each.state == state; });
 }
 
 }  // namespace beechpoint::control
--- a/src/control/operator_calls.hpp
+++ b/src/control/operator_calls.hpp
@@ -1,32 +1,49 @@
-// The operator's calls at one member: reads go to the tail, writes to the head, from elsewhere by 307; a call that finds no place
-// waits a little for the next view. A state machine: (now, the replica's state at that moment, an event) in, actions out. No I/O,
-// clocks or sockets. The driver carries the actions out in order and reports each barrier and write once.
-//
-//   state       event                                        next         action
-//   -           CallCame, no room                            -            Answer 503
-//   -           CallCame                                     waiting
-//   waiting     another member has the role and is heard     -            Answer 307
-//   waiting     Leaving seen, or past the call's deadline    -            Answer 503
-//   waiting     a read, this member is the tail              barrier      StartBarrier (read)
-//   waiting     a write, the oldest, head and writable       decided
-//   barrier     BarrierDone ok, of a read                    -            Answer 200, the table of that moment
-//   barrier     BarrierDone ok, of a write                   decided      on the table of that moment, vouched for
-//   barrier     BarrierDone not ok                           waiting
-//   decided     accepted, writable                           committing   StartWrite
-//   decided     accepted, not writable                       waiting
-//   decided     refused or taken already, vouched for        -            Answer 4xx or 200
-//   decided     refused or taken already, not vouched for    barrier      StartBarrier (write)
-//   committing  WriteDone committed                          -            Answer 200
-//   committing  WriteDone unknown                            -            Answer 503: the operator sends it again
-//   committing  WriteDone notStarted                         waiting
-//   waiting     ClientLeft                                   -
-//   other       ClientLeft                                   the same; what would be answered is dropped
-//
-// Calls that wait are looked at after every event; `decided` lasts no longer than one. One write is in a barrier or committing at a
-// time, the others wait in the order in which they came. A barrier shows that the table holds all that was acknowledged before it
-// began: of a read, a heartbeat round of the tail; of a write, an empty batch that the whole chain commits. Only behind its own
-// barrier is a write refused or called taken: a head that was cut off would do so by a table that is out of date. A write that is
-// accepted needs none: the chain commits it in the view in force, or not at all.
+/// The operators' calls at one control member: GET, PUT and PATCH of /configuration, POST and DELETE of /evacuate/ZONE.
+///
+/// What it is: a state machine. The time, the replica's state at that moment and one event go in, actions come out. It has no I/O,
+/// clock, socket or lock. What it is not: it neither parses requests (operator_call.hpp) nor commits anything (replica/).
+///
+/// Who owns what: OperatorCalls owns the calls that are not answered yet. The driver (operator_api.hpp) owns the connections, carries
+/// the actions out in order and reports each read barrier and each write exactly once. All on the control member's event loop thread.
+///
+///   state          event                                             next           action
+///   -              CallReceived, too many calls or bytes             -              Answer 503
+///   -              CallReceived                                      waiting
+///   waiting        another, responsive member has the role           -              Answer 307
+///   waiting        DrainStarted seen, or past the call's deadline    -              Answer 503
+///   waiting        a read, this member is the tail                   readBarrier    StartReadBarrier (heartbeatRound)
+///   waiting        a write, the oldest, this member is the head      decided
+///                  and writable
+///   readBarrier    ReadBarrierDone passed, of a read                 -              Answer 200, the table of that moment
+///   readBarrier    ReadBarrierDone passed, of a write                decided        on the table of that moment, now verified
+///   readBarrier    ReadBarrierDone not passed                        waiting
+///   decided        accepted, writable                                committing     StartWrite
+///   decided        accepted, not writable                            waiting
+///   decided        rejected or already applied, verified             -              Answer 4xx or 200
+///   decided        rejected or already applied, not verified         readBarrier    StartReadBarrier (emptyBatch)
+///   committing     WriteDone committed                               -              Answer 200
+///   committing     WriteDone unknown                                 -              Answer 503: the operator sends it again
+///   committing     WriteDone notStarted                              waiting
+///   waiting        ClientDisconnected                                -
+///   other          ClientDisconnected                                the same       the answer is dropped
+///
+/// Calls in `waiting` are evaluated again after every event; `decided` lasts no longer than one event. At most one write is in
+/// `readBarrier` or `committing`; the others wait in the order in which they came.
+///
+/// **May this control member answer a read now?** Only when all of this holds, in this order:
+///   1. It has the role: it has a table, the newest view that it knows lists this very process, and it is that view's tail
+///      (`ReplicaState`, replica_state.hpp). Any other member answers 307 with the tail's address, or 503.
+///   2. A read barrier that began after the call came has passed. The tail holds every acknowledged write (chain replication, 2004),
+///      but a tail that was cut off does not know that a later view exists, whose chain has acknowledged more. So it first has a
+///      majority confirm that its epoch is still the newest: a heartbeat round begun after the call, the read index of the Raft
+///      thesis, section 6.4, which makes reads linearizable (replica/read_barriers.hpp, replica/failure_detector.hpp).
+///   3. It still has a table when the barrier passes. The answer is that committed table.
+/// A gateway's poll is another question: it may be answered by a slightly older table (replica::Replica::fresh,
+/// control/committed_table_source.hpp).
+///
+/// A write that is accepted needs no read barrier: the chain commits it in the view in force, or not at all. A write that is rejected,
+/// or found to be applied already, needs one: a head that was cut off would say so by an outdated table. Its barrier is an empty batch
+/// that the whole chain commits.
 #pragma once
 
 #include <cstddef>
@@ -36,129 +53,149 @@
 #include <variant>
 #include <vector>
 
-#include "configuration/editing.hpp"
 #include "control/operator_call.hpp"
 #include "control/replica_state.hpp"
 #include "core/clock.hpp"
 
 namespace beechpoint::control {
 
-inline constexpr std::size_t kMaxOperatorCalls = 64;                // one more gets 503
-inline constexpr std::size_t kMaxOperatorBytes = 32 * 1024 * 1024;  // bodies of calls in hand, together
-inline constexpr Millis kOperatorWait = 850;  // for a place; operators move on after a second of silence
+inline constexpr std::size_t kMaxOperatorCalls = 64;  ///< unanswered; one more gets 503
+inline constexpr std::size_t kMaxOperatorBytes =
+    32 * 1024 * 1024;  ///< bodies of the unanswered calls, together
+/// From a call's coming until it has found a member that may carry it out. Operators move on after a second without an answer.
+inline constexpr Millis kOperatorCallTimeout = 850;
 
-using CallId = std::uint64_t;  // given by the driver, each once
+using CallId = std::uint64_t;  ///< given by the driver, each once
 
 // ---- Events
 
-struct CallCame {
+/// A call was read from its connection.
+struct CallReceived {
     CallId id = 0;
     OperatorCall call;
 };
-// Its connection is gone: nobody waits for the answer.
-struct ClientLeft {
+/// The call's connection has ended: nobody waits for its answer.
+struct ClientDisconnected {
     CallId id = 0;
 };
-// Time went on, or the replica's state may have changed.
-struct Look {};
-struct BarrierDone {
+/// Time went on, or the replica's state may have changed.
+struct Reevaluate {};
+/// Ends one StartReadBarrier.
+struct ReadBarrierDone {
     CallId id = 0;
-    bool ok = false;
+    bool passed = false;  ///< the committed table holds all that was acknowledged before the barrier began
 };
 enum class WriteResult {
     committed,
-    unknown,     // refused by the replica, or begun and perhaps still to be committed
-    notStarted,  // certainly not begun
+    unknown,     ///< refused by the replica, or begun and perhaps still to be committed
+    notStarted,  ///< certainly not begun
 };
+/// Ends one StartWrite.
 struct WriteDone {
     CallId id = 0;
     WriteResult result = WriteResult::unknown;
 };
-// This member ends: calls that wait are sent away from now on, those in hand are finished.
-struct Leaving {};
-using OperatorEvent = std::variant<CallCame, ClientLeft, Look, BarrierDone, WriteDone, Leaving>;
+/// This member ends: waiting calls are answered 503 from now on, those in a read barrier or committing are finished.
+struct DrainStarted {};
+using OperatorEvent =
+    std::variant<CallReceived, ClientDisconnected, Reevaluate, ReadBarrierDone, WriteDone, DrainStarted>;
 
 // ---- Actions
 
-// Answered by one BarrierDone; of a write (`empty batch`) ok means committed.
-struct StartBarrier {
+enum class ReadBarrierKind {
+    heartbeatRound,  ///< of a read: a majority confirms the tail's epoch in a round begun after the call came
+    emptyBatch,      ///< of a write: the whole chain commits an empty batch
+};
+/// To be answered by one ReadBarrierDone.
+struct StartReadBarrier {
     CallId id = 0;
-    bool emptyBatch = false;  // else a read's
+    ReadBarrierKind kind = ReadBarrierKind::heartbeatRound;
 };
-// Answered by one WriteDone; notStarted, and nothing begun, where the replica's committed position is not `base` any more: the
-// changes were computed from the table of that position.
+/// To be answered by one WriteDone; by notStarted, and nothing begun, where the replica's committed position is not `base` any more:
+/// the changes were computed from the table of that position.
 struct StartWrite {
     CallId id = 0;
     Position base;
     std::vector<Change> changes;
 };
-// The call is over.
+/// The call is over; to be sent on its connection.
 struct Answer {
     CallId id = 0;
-    int status = 0;
-    std::string body;     // JSON
-    std::string headers;  // whole lines, each ended by CRLF
+    int status = 0;       ///< of HTTP
+    std::string body;     ///< JSON
+    std::string headers;  ///< complete lines, each ended by CRLF
 };
-// For the log: what became of a write.
-struct Note {
+/// For the log: what became of a write.
+struct LogEvent {
     std::string text;
 };
-using OperatorAction = std::variant<StartBarrier, StartWrite, Answer, Note>;
+using OperatorAction = std::variant<StartReadBarrier, StartWrite, Answer, LogEvent>;
 
+/// Owns the unanswered calls of one member. Lives as long as the member's process; a call lives from its CallReceived to its Answer,
+/// or to its client's end while it waits. To be called from the event loop's thread only; never calls back.
 class OperatorCalls {
 public:
-    // `replica` is the state at `now`, which never goes back.
+    /// Handles one event and evaluates the waiting calls. `now` never goes back; `replica` is the state at `now`. Actions are appended.
     void handle(Millis now, const ReplicaState& replica, OperatorEvent event,
                 std::vector<OperatorAction>& actions);
 
-    std::size_t inHand() const { return calls_.size(); }
-    bool waiting() const;                                       // some call waits: Look is due now and then
-    std::uint64_t writesTaken() const { return writesTaken_; }  // committed by this process
+    /// Number of unanswered calls.
+    [[nodiscard]] std::size_t pendingCalls() const { return calls_.size(); }
+    /// Some call waits for time or for the replica: Reevaluate is to be sent now and then.
+    [[nodiscard]] bool waiting() const;
+    /// Writes that this process committed since its start.
+    [[nodiscard]] std::uint64_t committedWrites() const { return committedWrites_; }
 
 private:
-    enum class State { waiting, barrier, committing };
-    struct Pending {
+    enum class State { waiting, readBarrier, committing };
+    // Whether the table that a write is decided on is known to hold all that was acknowledged before.
+    enum class TableFreshness { unverified, verifiedByReadBarrier };
+
+    struct PendingCall {
         CallId id = 0;
         OperatorCall call;
         Millis deadline = 0;
         State state = State::waiting;
         std::uint64_t revision = 0;  // while committing
-        bool clientLeft = false;
-        // No barrier is begun before that: one that failed may fail again in the same step.
-        Millis notBefore = 0;
+        bool clientDisconnected = false;
+        // No read barrier is begun before that: one that failed may fail again within the same step, without end.
+        Millis retryAt = 0;
     };
-    using Iterator = std::list<Pending>::iterator;
+    using Iterator = std::list<PendingCall>::iterator;
 
     // What is at hand while one event is handled.
-    struct Moment {
+    struct Step {
         Millis now;
         const ReplicaState& replica;
         std::vector<OperatorAction>& actions;
     };
 
-    void on(const Moment& moment, CallCame& event);
-    void on(const Moment& moment, const ClientLeft& event);
-    void on(const Moment& moment, const Look& event);
-    void on(const Moment& moment, const BarrierDone& event);
-    void on(const Moment& moment, const WriteDone& event);
-    void on(const Moment& moment, const Leaving& event);
-
-    void lookAtWaiting(const Moment& moment);
-    void look(const Moment& moment, Iterator pending, bool& writeAhead);
-    void startBarrier(const Moment& moment, Iterator pending);
-    void decideWrite(const Moment& moment, Iterator pending, bool vouched);
-    void answerTaken(const Moment& moment, Iterator pending, std::uint64_t revision);
-    void redirect(const Moment& moment, Iterator pending, const std::string& address);
-    void sendAway(const Moment& moment, Iterator pending, const std::string& why);
-    void answer(const Moment& moment, Iterator pending, int status, std::string body,
-                std::string headers = {});
+    void on(const Step& step, CallReceived& event);
+    void on(const Step& step, const ClientDisconnected& event);
+    void on(const Step& step, const Reevaluate& event);
+    void on(const Step& step, const ReadBarrierDone& event);
+    void on(const Step& step, const WriteDone& event);
+    void on(const Step& step, const DrainStarted& event);
+
+    void evaluateWaiting(const Step& step);
+    // Redirects or rejects a waiting call that this member won't carry out; false where it may go on waiting.
+    [[nodiscard]] bool endWaiting(const Step& step, Iterator pending);
+    [[nodiscard]] static bool mayProceed(const Step& step, Iterator pending);
+    void startReadBarrier(const Step& step, Iterator pending);
+    void decideWrite(const Step& step, Iterator pending, TableFreshness freshness);
+    void startWrite(const Step& step, Iterator pending, configuration::Accepted accepted);
+    void rejectWrite(const Step& step, Iterator pending, const Error& error);
+
+    // Each of these ends the call.
+    void finish(const Step& step, Iterator pending, Answer answer);
     void forget(Iterator pending);
-    Iterator find(CallId id, State state);
 
-    std::list<Pending> calls_;  // in the order in which they came
-    std::size_t bytes_ = 0;     // of their bodies
-    std::uint64_t writesTaken_ = 0;
-    bool leaving_ = false;
+    [[nodiscard]] Iterator find(CallId id, State state);
+
+    std::list<PendingCall> calls_;  // in the order in which they came
+    std::size_t bodyBytes_ = 0;     // of calls_
+    std::uint64_t committedWrites_ = 0;
+    bool draining_ = false;
 };
 
 }  // namespace beechpoint::control
--- a/src/control/replica_driver.cpp
+++ b/src/control/replica_driver.cpp
@@ -4,14 +4,16 @@
 #include <asio/io_context.hpp>
 #include <asio/steady_timer.hpp>
 #include <chrono>
-#include <deque>
-#include <map>
 #include <optional>
 #include <utility>
 
+#include "control/callback_queue.hpp"
 #include "control/durable_records.hpp"
 #include "control/messages.hpp"
+#include "control/outgoing_messages.hpp"
+#include "control/pending_operations.hpp"
 #include "control/replica_codec.hpp"
+#include "control/responsive_members.hpp"
 #include "replica/replica.hpp"
 #include "rpc/client.hpp"
 #include "rpc/server.hpp"
@@ -21,12 +23,13 @@
 namespace {
 
 constexpr Millis kCallTimeout = 1000;
-constexpr std::size_t kMaxHeard = 64;
+constexpr double kMicrosPerMilli = 1000;
 
-struct Outgoing {
-    std::string address;
-    std::vector<replica::Message> messages;
-};
+std::string namesOf(const std::vector<replica::Member>& members) {
+    std::string names;
+    for (const replica::Member& member : members) names += (names.empty() ? "" : " ") + member.name;
+    return names;
+}
 
 }  // namespace
 
@@ -40,6 +43,8 @@
           listener_(std::move(listener)),
           timer_(io) {}
 
+    // ---- Life cycle
+
     Result<void> open(const std::string& directory, replica::Settings settings, std::uint64_t seed) {
         auto opened = storage::Store::open(directory);
         if (!opened) return opened.error();
@@ -48,6 +53,7 @@
             logger_.warn("the store at {} is lost and counts as empty: {}", field("directory", directory),
                          field("reason", contents.lossReason));
         }
+        // Only a store that never held anything may found a group: one that lost its state would forget what it acknowledged.
         settings.bootstrap = settings.bootstrap && contents.fresh && !contents.lost;
         auto state = durableState(std::move(contents));
         if (!state) return state.error();
@@ -64,159 +70,142 @@
         replica_.reset();
         store_.reset();
         failAll(writes_);
-        failAll(reads_);
-        notify();
+        failAll(readBarriers_);
+        runCallbacks();
     }
 
-    // As close(), and nobody is told.
+    // As close(), without any callback.
     void abandon() {
-        writes_.clear();
-        reads_.clear();
+        writes_ = {};
+        readBarriers_ = {};
         callbacks_.clear();
         listener_ = {};
         close();
     }
 
-    const replica::Replica* replica() const { return replica_ ? &*replica_ : nullptr; }
+    // ---- Calls of the owner
 
-    void onRequest(std::string_view body, rpc::Reply reply) {
-        const auto messages = decodeMessages(body);
-        if (!messages || !replica_) return reply.send(encodeMessages({}));
-        Outgoing answers;
-        if (!messages.value().empty()) answers.address = messages.value().front().from.internalAddress;
-        for (const replica::Message& message : messages.value()) {
-            hear(message.from.internalAddress);
-            handle(replica::MessageReceived{message}, &answers);
-        }
-        reply.send(encodeMessages(answers.messages));
-    }
+    const replica::Replica* replica() const { return replica_ ? &*replica_ : nullptr; }
 
-    void seeds(std::vector<std::string> addresses) {
+    void setSeeds(std::vector<std::string> addresses) {
         if (replica_) handle(replica::SeedsChanged{std::move(addresses)});
     }
 
-    void leave() {
+    void leaveView() {
         if (replica_) handle(replica::Leave{});
     }
 
-    bool left() const { return !replica_ || replica_->left(clock_.now()); }
+    bool hasLeftView() const { return !replica_ || replica_->left(clock_.now()); }
 
-    void write(std::vector<Change> changes, std::function<void(bool)> done) {
-        if (!replica_) return done(false);
-        const std::uint64_t token = ++token_;
-        writes_.emplace(token, std::move(done));
+    void write(std::vector<Change> changes, PendingOperations::Done done) {
+        if (!replica_) {
+            done(false);
+            return;
+        }
+        const std::uint64_t token = ++lastToken_;
+        writes_.add(token, std::move(done));
         handle(replica::ClientWrite{token, std::move(changes)});
     }
 
-    void readBarrier(std::function<void(bool)> done) {
-        if (!replica_) return done(false);
-        const std::uint64_t token = ++token_;
-        reads_.emplace(token, std::move(done));
+    void readBarrier(PendingOperations::Done done) {
+        if (!replica_) {
+            done(false);
+            return;
+        }
+        const std::uint64_t token = ++lastToken_;
+        readBarriers_.add(token, std::move(done));
         handle(replica::ReadBarrier{token});
     }
 
-    bool heardLately(const std::string& address) const {
-        const auto found = heard_.find(address);
-        return found != heard_.end() && clock_.now() - found->second <= kHeardLately;
+    bool isResponsive(const std::string& internalAddress) const {
+        return responsiveMembers_.isResponsive(internalAddress, clock_.now());
     }
 
-private:
-    using Waiting = std::map<std::uint64_t, std::function<void(bool)>>;
-
-    void hear(const std::string& address) {
-        if (heard_.size() >= kMaxHeard && !heard_.contains(address)) forgetSilent();
-        if (heard_.size() < kMaxHeard || heard_.contains(address)) heard_[address] = clock_.now();
-    }
+    // ---- Messages of other members
 
-    void forgetSilent() {
-        const Millis now = clock_.now();
-        std::erase_if(heard_, [now](const auto& entry) { return now - entry.second > kHeardLately; });
+    void onRequest(std::string_view body, rpc::Reply reply) {
+        const auto messages = decodeMessages(body);
+        if (!messages || !replica_) {
+            reply.send(encodeMessages({}));
+            return;
+        }
+        MessageBatch answers;
+        if (!messages.value().empty()) answers.address = messages.value().front().from.internalAddress;
+        for (const replica::Message& message : messages.value()) {
+            responsiveMembers_.onMessage(message.from.internalAddress, clock_.now());
+            handle(replica::MessageReceived{message}, &answers);
+        }
+        reply.send(encodeMessages(answers.messages));
     }
 
-    // Messages for `answers->address` are put there instead of being sent.
-    void handle(const replica::Event& event, Outgoing* answers = nullptr) {
+private:
+    // `reply`: takes messages for its address instead of their being sent as calls.
+    void handle(const replica::Event& event, MessageBatch* reply = nullptr) {
         std::vector<replica::Action> actions;
         replica_->handle(clock_.now(), event, actions);
-        std::vector<Outgoing> outgoing;
+        OutgoingMessages outgoing(reply);
         for (replica::Action& action : actions)
-            std::visit([&](auto& done) { carryOut(done, outgoing, answers); }, action);
-        for (Outgoing& out : outgoing) send(std::move(out));
-        notify();
+            std::visit([&](auto& what) { carryOut(what, outgoing); }, action);
+        for (MessageBatch& batch : outgoing.takeBatches()) send(std::move(batch));
+        runCallbacks();
     }
 
-    void carryOut(replica::Send& action, std::vector<Outgoing>& outgoing, Outgoing* answers) {
-        if (answers && answers->address == action.address && answers->messages.size() < kMaxReplicaMessages)
-            return answers->messages.push_back(std::move(action.message));
-        const auto sameAddress = [&](const Outgoing& out) {
-            return out.address == action.address && out.messages.size() < kMaxReplicaMessages;
-        };
-        auto found = std::find_if(outgoing.begin(), outgoing.end(), sameAddress);
-        if (found == outgoing.end()) found = outgoing.insert(outgoing.end(), Outgoing{action.address, {}});
-        found->messages.push_back(std::move(action.message));
+    // ---- Actions of the replica
+
+    void carryOut(replica::Send& action, OutgoingMessages& outgoing) {
+        outgoing.add(action.address, std::move(action.message));
     }
-    void carryOut(replica::Persist& action, std::vector<Outgoing>&, Outgoing*) {
+    void carryOut(replica::Persist& action, OutgoingMessages&) {
         store_->write(storeUpdate(action.update), [weak = weak_from_this(), generation = generation_,
                                                    token = action.token](Result<void> result) {
             const auto self = weak.lock();
             if (self && generation == self->generation_) self->onPersisted(token, result);
         });
     }
-    void carryOut(replica::WriteDone& action, std::vector<Outgoing>&, Outgoing*) {
+    void carryOut(replica::WriteDone& action, OutgoingMessages&) {
         finish(writes_, action.token, action.outcome == replica::WriteOutcome::committed);
     }
-    void carryOut(replica::ReadDone& action, std::vector<Outgoing>&, Outgoing*) {
-        finish(reads_, action.token, action.ok);
-    }
-    void carryOut(replica::Committed&, std::vector<Outgoing>&, Outgoing*) { later(listener_.onTableMoved); }
-    void carryOut(replica::TableReplaced&, std::vector<Outgoing>&, Outgoing*) {
-        later(listener_.onTableMoved);
+    void carryOut(replica::ReadDone& action, OutgoingMessages&) {
+        finish(readBarriers_, action.token, action.ok);
     }
-    void carryOut(replica::SetTimer& action, std::vector<Outgoing>&, Outgoing*) { arm(action.at); }
-    void carryOut(replica::ViewChanged& action, std::vector<Outgoing>&, Outgoing*) {
-        std::string members;
-        for (const replica::Member& member : action.view.members)
-            members += (members.empty() ? "" : " ") + member.name;
-        logger_.info("view {}: {}", field("epoch", action.view.epoch), field("members", members));
-        later(listener_.onView);
+    void carryOut(replica::Committed&, OutgoingMessages&) { callbacks_.add(listener_.onTableChanged); }
+    void carryOut(replica::TableReplaced&, OutgoingMessages&) { callbacks_.add(listener_.onTableChanged); }
+    void carryOut(replica::SetTimer& action, OutgoingMessages&) { armTimer(action.at); }
+    void carryOut(replica::ViewChanged& action, OutgoingMessages&) {
+        logger_.info("view {}: {}", field("epoch", action.view.epoch),
+                     field("members", namesOf(action.view.members)));
+        callbacks_.add(listener_.onViewChanged);
     }
-    void carryOut(replica::Log& action, std::vector<Outgoing>&, Outgoing*) {
+    void carryOut(replica::Log& action, OutgoingMessages&) {
         logger_.info("replica: {}", field("event", action.text));
     }
 
-    void finish(Waiting& waiting, std::uint64_t token, bool result) {
-        auto node = waiting.extract(token);
-        if (node.empty()) return;
-        later([done = std::move(node.mapped()), result] { done(result); });
-    }
+    // ---- Callbacks
 
-    void failAll(Waiting& waiting) {
-        for (auto& [token, done] : std::exchange(waiting, {}))
-            later([done = std::move(done)] { done(false); });
+    void finish(PendingOperations& operations, std::uint64_t token, bool succeeded) {
+        auto done = operations.take(token);
+        if (done) callbacks_.add([done = std::move(done), succeeded] { done(succeeded); });
     }
 
-    // Callbacks run once the event is handled: they may bring the next one.
-    void later(std::function<void()> callback) {
-        if (callback) callbacks_.push_back(std::move(callback));
+    void failAll(PendingOperations& operations) {
+        for (auto& [token, done] : operations.takeAll())
+            callbacks_.add([done = std::move(done)] { done(false); });
     }
 
-    void notify() {
-        if (notifying_) return;
-        notifying_ = true;
+    // A callback may drop the driver: this object lives until the queue is done.
+    void runCallbacks() {
         const auto self = shared_from_this();
-        while (!callbacks_.empty()) {
-            const auto callback = std::move(callbacks_.front());
-            callbacks_.pop_front();
-            callback();
-        }
-        notifying_ = false;
+        callbacks_.run();
     }
 
-    void send(Outgoing out) {
+    // ---- Network
+
+    void send(MessageBatch batch) {
         std::string bytes(1, static_cast<char>(RequestKind::replica));
-        bytes += encodeMessages(out.messages);
-        client_.call(out.address, std::move(bytes), kCallTimeout,
+        bytes += encodeMessages(batch.messages);
+        client_.call(batch.address, std::move(bytes), kCallTimeout,
                      [weak = weak_from_this(), generation = generation_,
-                      address = out.address](Result<std::string> reply) {
+                      address = batch.address](Result<std::string> reply) {
                          const auto self = weak.lock();
                          if (self && generation == self->generation_ && reply)
                              self->onReply(address, reply.value());
@@ -224,21 +213,28 @@
     }
 
     void onReply(const std::string& address, const std::string& bytes) {
-        hear(address);
+        responsiveMembers_.onMessage(address, clock_.now());
         const auto messages = decodeMessages(bytes);
         if (!messages) return;
         for (const replica::Message& message : messages.value()) handle(replica::MessageReceived{message});
     }
 
+    // ---- Disk
+
     void onPersisted(std::uint64_t token, const Result<void>& result) {
-        if (result) return handle(replica::Persisted{token});
+        if (result) {
+            handle(replica::Persisted{token});
+            return;
+        }
         logger_.seldom("disk", "the store refuses a write: {}", field("error", result.error().text()));
         handle(replica::PersistFailed{token, result.error().message});
     }
 
-    void arm(Millis at) {
+    // ---- Timer
+
+    void armTimer(Millis at) {
         const Millis wait = std::max(0.0, at - clock_.now());
-        timer_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(wait * 1000)));
+        timer_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(wait * kMicrosPerMilli)));
         timer_.async_wait([weak = weak_from_this(), generation = generation_](const asio::error_code& error) {
             const auto self = weak.lock();
             if (!error && self && generation == self->generation_) self->handle(replica::Tick{});
@@ -253,12 +249,13 @@
     asio::steady_timer timer_;
     std::optional<storage::StoreThread> store_;
     std::optional<replica::Replica> replica_;
-    std::uint64_t generation_ = 0;  // answers for an earlier replica are told by it
-    std::uint64_t token_ = 0;
-    Waiting writes_, reads_;
-    std::deque<std::function<void()>> callbacks_;
-    bool notifying_ = false;
-    std::map<std::string, Millis> heard_;  // by internal address
+    std::uint64_t generation_ =
+        0;  // counts openings and closings: answers meant for an earlier one are dropped
+    std::uint64_t lastToken_ = 0;
+    PendingOperations writes_;
+    PendingOperations readBarriers_;
+    CallbackQueue callbacks_;
+    ResponsiveMembers responsiveMembers_;
 };
 
 ReplicaDriver::ReplicaDriver(asio::io_context& io, const Clock& clock, Logger& logger, rpc::Client& client,
@@ -272,9 +269,9 @@
     return impl_->open(directory, std::move(settings), seed);
 }
 void ReplicaDriver::close() { impl_->close(); }
-void ReplicaDriver::seeds(std::vector<std::string> addresses) { impl_->seeds(std::move(addresses)); }
-void ReplicaDriver::leave() { impl_->leave(); }
-bool ReplicaDriver::left() const { return impl_->left(); }
+void ReplicaDriver::setSeeds(std::vector<std::string> addresses) { impl_->setSeeds(std::move(addresses)); }
+void ReplicaDriver::leaveView() { impl_->leaveView(); }
+bool ReplicaDriver::hasLeftView() const { return impl_->hasLeftView(); }
 const replica::Replica* ReplicaDriver::replica() const { return impl_->replica(); }
 void ReplicaDriver::onRequest(std::string_view body, rpc::Reply reply) {
     impl_->onRequest(body, std::move(reply));
@@ -283,8 +280,8 @@
     impl_->write(std::move(changes), std::move(done));
 }
 void ReplicaDriver::readBarrier(std::function<void(bool)> done) { impl_->readBarrier(std::move(done)); }
-bool ReplicaDriver::heardLately(const std::string& internalAddress) const {
-    return impl_->heardLately(internalAddress);
+bool ReplicaDriver::isResponsive(const std::string& internalAddress) const {
+    return impl_->isResponsive(internalAddress);
 }
 
 }  // namespace beechpoint::control
--- a/src/control/replica_state.cpp
+++ b/src/control/replica_state.cpp
@@ -5,12 +5,12 @@
 namespace beechpoint::control {
 
 ReplicaState replicaStateOf(const replica::Replica* replica,
-                            const std::function<bool(const std::string&)>& heardLately) {
+                            const std::function<bool(const std::string&)>& isResponsive) {
     ReplicaState state;
     if (!replica) return state;
-    const auto holder = [&](const replica::Member& member) {
-        const bool other = member.name != replica->self().name;
-        return RoleHolder{member.controlAddress, other && heardLately(member.internalAddress)};
+    const auto chainEnd = [&](const replica::Member& member) {
+        const bool isPeer = member.name != replica->self().name;
+        return ChainEnd{member.controlAddress, isPeer && isResponsive(member.internalAddress)};
     };
     const auto& members = replica->view().members;
     state.inView = replica->inView();
@@ -18,8 +18,8 @@
     state.isTail = replica->isTail();
     state.writable = replica->writable();
     if (!members.empty()) {
-        state.head = holder(members.front());
-        state.tail = holder(members.back());
+        state.head = chainEnd(members.front());
+        state.tail = chainEnd(members.back());
     }
     state.position = replica->committedPosition();
     state.table = replica->committedSnapshot();
--- a/src/control/replica_state.hpp
+++ b/src/control/replica_state.hpp
@@ -1,5 +1,5 @@
-// What the operator's calls need to know of this member's replica at one moment, as a value: no reference to the replica, so that
-// what decides on it can be run on scripted states.
+/// What the operators' calls need to know of this member's replica at one moment, as a value: without a reference to the replica, so
+/// that OperatorCalls, which decides on it, can be run on scripted states. Free of I/O; to be made on the event loop's thread.
 #pragma once
 
 #include <functional>
@@ -14,25 +14,27 @@
 
 namespace beechpoint::control {
 
-// The member that has a role of the view.
-struct RoleHolder {
-    std::string controlAddress;
-    bool elsewhere = false;  // another member than this one, and it said something lately
+/// The member at one end of the chain: its head or its tail.
+struct ChainEnd {
+    std::string controlAddress;  ///< IP:PORT; empty where it serves no operators
+    bool isReachablePeer =
+        false;  ///< another member than this one, and responsive: a redirect to it makes sense
 };
 
 struct ReplicaState {
-    bool inView = false;  // the view lists this very process
+    bool inView = false;  ///< the view lists this very process
     bool isHead = false;
     bool isTail = false;
-    bool writable = false;  // head, settled, within tolerance, nothing in flight
-    RoleHolder head;        // by the newest view known here, also while this process is not in it
-    RoleHolder tail;
-    Position position;                   // of `table`
-    std::shared_ptr<const Table> table;  // the committed table; null while no replica is open
+    bool writable = false;  ///< head, the view is installed and within tolerance, no batch in flight
+    ChainEnd head;          ///< by the newest view known here, also while this process is not in it
+    ChainEnd tail;
+    Position position;                   ///< of `table`
+    std::shared_ptr<const Table> table;  ///< the committed table; null while no replica is open
 };
 
-// `heardLately(internal address)`: whether that member said something lately. A null replica gives the empty state.
-ReplicaState replicaStateOf(const replica::Replica* replica,
-                            const std::function<bool(const std::string&)>& heardLately);
+/// The state of `replica` now; the empty state for null. `isResponsive(internal address)`: whether a message of that member came
+/// recently.
+[[nodiscard]] ReplicaState replicaStateOf(const replica::Replica* replica,
+                                          const std::function<bool(const std::string&)>& isResponsive);
 
 }  // namespace beechpoint::control
--- a/src/control/run.cpp
+++ b/src/control/run.cpp
@@ -1,4 +1,4 @@
-// The process of the control role: signals, the settings file, the loop.
+/// The process of the control role (control::run): signals, the settings file, the event loop. One thread runs all of it.
 #include <asio/io_context.hpp>
 #include <asio/signal_set.hpp>
 #include <asio/steady_timer.hpp>
@@ -12,12 +12,15 @@
 namespace beechpoint::control {
 namespace {
 
+constexpr int kExitOk = 0;
 constexpr int kExitCannotListen = 1;
-constexpr int kExitSettings = 2;
-constexpr int kMostStarts = 25;  // attempts to listen: a process before this one may still hold the addresses
-constexpr auto kStartAgain = std::chrono::milliseconds(200);
-constexpr auto kSettingsLook = std::chrono::seconds(2);  // the file may change without a signal
+constexpr int kExitInvalidSettings = 2;
+constexpr int kMaxStartAttempts =
+    25;  // attempts to listen: a process before this one may still hold the addresses
+constexpr auto kRestartAfter = std::chrono::milliseconds(200);
+constexpr auto kSettingsCheckEvery = std::chrono::seconds(2);  // the file may change without a signal
 
+// Owns the event loop, the member and the signal handlers; lives for one run().
 class Process {
 public:
     Process(const std::string& path, settings::ProcessSettings settings, Clock& clock, Logger& logger)
@@ -28,12 +31,12 @@
           startTimer_(io_),
           settingsTimer_(io_),
           control_(io_, clock, logger, std::move(settings), {drawSeed(), {}}) {
-        readTime_ = changedAt();
+        changeOfReadSettings_ = lastChangeOfFile();
     }
 
     int run() {
         stop_.async_wait([this](const asio::error_code& error, int) {
-            if (!error) leave();
+            if (!error) startDraining();
         });
         awaitReload();
         start(1);
@@ -45,20 +48,28 @@
 private:
     void start(int attempt) {
         const auto started = control_.start();
-        if (started) return logger_.info("control started");
+        if (started) {
+            logger_.info("control started");
+            return;
+        }
         logger_.warn("control can't start: {}", field("error", started.error().text()));
-        const bool again = started.error().kind != ErrorKind::invalid && attempt < kMostStarts;
-        if (!again)
-            return end(started.error().kind == ErrorKind::invalid ? kExitSettings : kExitCannotListen);
-        startTimer_.expires_after(kStartAgain);
+        if (started.error().kind == ErrorKind::invalid) {
+            end(kExitInvalidSettings);
+            return;
+        }
+        if (attempt >= kMaxStartAttempts) {
+            end(kExitCannotListen);
+            return;
+        }
+        startTimer_.expires_after(kRestartAfter);
         startTimer_.async_wait([this, attempt](const asio::error_code& error) {
             if (!error) start(attempt + 1);
         });
     }
 
-    void leave() {
+    void startDraining() {
         startTimer_.cancel();
-        control_.stop([this] { end(0); });
+        control_.stop([this] { end(kExitOk); });
     }
 
     void end(int status) {
@@ -75,29 +86,29 @@
     }
 
     void watchSettings() {
-        settingsTimer_.expires_after(kSettingsLook);
+        settingsTimer_.expires_after(kSettingsCheckEvery);
         settingsTimer_.async_wait([this](const asio::error_code& error) {
             if (error) return;
-            if (changedAt() != readTime_) readSettings();
+            if (lastChangeOfFile() != changeOfReadSettings_) readSettings();
             watchSettings();
         });
     }
 
-    // A file that can't be read, perhaps half written, changes nothing; the next look reads it again.
+    // A file that can't be read, perhaps half written, changes nothing; the next check reads it again.
     void readSettings() {
-        const auto time = changedAt();
+        const auto time = lastChangeOfFile();
         auto settings = settings::readSettings(path_);
         if (!settings) {
             logger_.seldom("settings", "the settings can't be read, the old ones stay: {}",
                            field("error", settings.error().text()));
-            readTime_ = {};
+            changeOfReadSettings_ = {};
             return;
         }
-        readTime_ = time;
+        changeOfReadSettings_ = time;
         control_.reload(std::move(settings.value()));
     }
 
-    std::filesystem::file_time_type changedAt() const {
+    std::filesystem::file_time_type lastChangeOfFile() const {
         std::error_code ignored;
         return std::filesystem::last_write_time(path_, ignored);
     }
@@ -105,11 +116,13 @@
     std::string path_;
     Logger& logger_;
     asio::io_context io_{1};
-    asio::signal_set stop_, reload_;
-    asio::steady_timer startTimer_, settingsTimer_;
+    asio::signal_set stop_;
+    asio::signal_set reload_;
+    asio::steady_timer startTimer_;
+    asio::steady_timer settingsTimer_;
     Control control_;
-    std::filesystem::file_time_type readTime_;
-    int exitStatus_ = 0;
+    std::filesystem::file_time_type changeOfReadSettings_;
+    int exitStatus_ = kExitOk;
 };
 
 }  // namespace
@@ -118,8 +131,8 @@
     std::signal(SIGPIPE, SIG_IGN);
     auto settings = settings::readSettings(settingsPath);
     if (!settings) {
-        logger.warn("the settings are not sound: {}", field("error", settings.error().text()));
-        return kExitSettings;
+        logger.warn("the settings are invalid: {}", field("error", settings.error().text()));
+        return kExitInvalidSettings;
     }
     return Process(settingsPath, std::move(settings.value()), clock, logger).run();
 }
--- a/src/control/status.cpp
+++ b/src/control/status.cpp
@@ -3,7 +3,9 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
+#include "configuration/editing.hpp"
 #include "core/metrics_text.hpp"
+#include "replica/replica.hpp"
 
 namespace beechpoint::control {
 namespace {
@@ -52,6 +54,16 @@
 
 }  // namespace
 
+void describeReplica(const replica::Replica& replica, Millis now, MemberStatus& status) {
+    status.inView = replica.inView();
+    status.fresh = replica.fresh(now);
+    status.writable = replica.writable();
+    status.view = replica.view();
+    status.position = replica.committedPosition();
+    status.revision = configuration::currentRevision(replica.committedTable());
+    status.evacuatedZones = evacuatedZonesOf(replica.committedTable());
+}
+
 std::vector<std::string> evacuatedZonesOf(const Table& table) {
     std::vector<std::string> zones;
     for (auto entry = table.lower_bound(std::string(kEvacuatedPrefix)); entry != table.end(); ++entry) {
@@ -75,41 +87,41 @@
                     {"host_list", hostListJson(status.hostList)},
                     {"reads_hosts", status.readsHosts},
                     {"waiting_polls", status.pendingLongPolls},
-                    {"writes_taken", status.writesTaken}};
+                    {"writes_taken", status.committedWrites}};
     return body.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 std::string renderMetrics(const MemberStatus& status) {
-    const auto figure = [](auto value) { return static_cast<double>(value); };
+    const auto number = [](auto value) { return static_cast<double>(value); };
     MetricsText text;
     text.gauge("beechpoint_control_in_view", "1 while the agreed view lists this process.",
-               figure(status.inView));
-    text.gauge("beechpoint_control_fresh", "1 while this member may answer polls.", figure(status.fresh));
-    text.gauge("beechpoint_control_view_epoch", "Epoch of the agreed view.", figure(status.view.epoch));
+               number(status.inView));
+    text.gauge("beechpoint_control_fresh", "1 while this member may answer polls.", number(status.fresh));
+    text.gauge("beechpoint_control_view_epoch", "Epoch of the agreed view.", number(status.view.epoch));
     text.gauge("beechpoint_control_view_members", "Members of the agreed view.",
-               figure(status.view.members.size()));
+               number(status.view.members.size()));
     text.gauge("beechpoint_control_position_epoch", "Epoch of the committed table's position.",
-               figure(status.position.epoch));
+               number(status.position.epoch));
     text.gauge("beechpoint_control_position_sequence", "Sequence of the committed table's position.",
-               figure(status.position.sequence));
+               number(status.position.sequence));
     text.gauge("beechpoint_control_configuration_revision", "Revision of the configuration in force.",
-               figure(status.revision));
+               number(status.revision));
     text.gauge("beechpoint_control_evacuated_zones", "Zones that are evacuated.",
-               figure(status.evacuatedZones.size()));
+               number(status.evacuatedZones.size()));
     text.gauge("beechpoint_control_live_gateways", "Gateways whose leases run.",
-               figure(status.leases.size()));
+               number(status.leases.size()));
     if (status.hostList) {
         text.gauge("beechpoint_control_host_list_hosts", "Hosts of the platform's list.",
-                   figure(status.hostList->hosts));
+                   number(status.hostList->hosts));
         text.gauge("beechpoint_control_host_list_age_seconds", "Since the list was last read or confirmed.",
                    status.hostList->age / kMillisPerSecond);
     }
     text.gauge("beechpoint_control_reads_hosts", "1 while this member reads the platform's list.",
-               figure(status.readsHosts));
+               number(status.readsHosts));
     text.gauge("beechpoint_control_waiting_polls", "Polls of gateways that wait for news.",
-               figure(status.pendingLongPolls));
+               number(status.pendingLongPolls));
     text.counter("beechpoint_control_writes_taken_total", "Operators' writes that this process committed.",
-                 figure(status.writesTaken));
+                 number(status.committedWrites));
     return text.text();
 }
 
--- a/src/control/status.hpp
+++ b/src/control/status.hpp
@@ -1,5 +1,6 @@
-// What a control member says of itself to staff and to their monitoring: GET /status as JSON, GET /metrics as text. Free of I/O.
-// It is this member's own knowledge, without asking the others: two members may differ for a moment.
+/// What a control member reports about itself to staff and to their monitoring: GET /status as JSON, GET /metrics as text.
+/// It is this member's own knowledge, without asking the others: two members may differ for a moment. Free of I/O and state; to be
+/// called from the event loop's thread, which owns the replica.
 #pragma once
 
 #include <cstddef>
@@ -14,6 +15,10 @@
 #include "leases/lease_table.hpp"
 #include "replica/view.hpp"
 
+namespace beechpoint::replica {
+class Replica;
+}
+
 namespace beechpoint::control {
 
 inline constexpr std::string_view kStatusPath = "/status";
@@ -21,31 +26,37 @@
 
 struct HostListStatus {
     std::size_t hosts = 0;
-    Millis age = 0;  // since it was last read or confirmed
+    Millis age = 0;  ///< since it was last read or confirmed
 };
 
+/// The answer to GET /status, before it is rendered. Filled by Control, GatewayService::describe() and describeReplica().
 struct MemberStatus {
-    std::string member;  // its own name
+    std::string member;  ///< its own name
     std::string zone;
     bool inView = false;
-    bool fresh = false;     // may answer gateways' polls
-    bool writable = false;  // the head of the chain, with nothing in flight
+    bool fresh = false;     ///< may answer gateways' polls
+    bool writable = false;  ///< the head of the chain, with nothing in flight
     replica::View view;
     Position position;
-    std::uint64_t revision = 0;  // of the configuration
+    std::uint64_t revision = 0;  ///< of the configuration
     std::vector<std::string> evacuatedZones;
-    std::vector<leases::ReportedLease> leases;  // those that run
+    std::vector<leases::ReportedLease> leases;  ///< those that run
     Millis leaseLength = 0;
-    std::optional<HostListStatus> hostList;  // nothing: none is known
+    std::optional<HostListStatus> hostList;  ///< nothing: none is known
     bool readsHosts = false;
     std::size_t pendingLongPolls = 0;
-    std::uint64_t writesTaken = 0;  // operators' writes that this process committed
+    std::uint64_t committedWrites = 0;  ///< operators' writes that this process committed
 };
 
-// Zones that the table says are evacuated, in their order.
-std::vector<std::string> evacuatedZonesOf(const Table& table);
+/// Fills in what the replica knows at `now`: view, position, revision, evacuated zones, and whether it is fresh and writable.
+void describeReplica(const replica::Replica& replica, Millis now, MemberStatus& status);
+
+/// Zones that the table says are evacuated, in their order.
+[[nodiscard]] std::vector<std::string> evacuatedZonesOf(const Table& table);
 
-std::string renderStatus(const MemberStatus& status);
-std::string renderMetrics(const MemberStatus& status);
+/// JSON, the body of GET /status.
+[[nodiscard]] std::string renderStatus(const MemberStatus& status);
+/// Prometheus text, the body of GET /metrics.
+[[nodiscard]] std::string renderMetrics(const MemberStatus& status);
 
 }  // namespace beechpoint::control
--- a/tests/control/cluster.cpp
+++ b/tests/control/cluster.cpp
@@ -21,7 +21,7 @@
 
 using Tcp = asio::ip::tcp;
 
-constexpr Millis kCallMost = 6000;
+constexpr Millis kCallTimeout = 6000;
 constexpr std::array<const char*, Cluster::kMembers> kZones{"za", "zb", "zc"};
 
 std::string ipOf(std::size_t member) { return fmt::format("127.0.0.{}", member + 1); }
@@ -147,7 +147,7 @@
     return settings;
 }
 
-void Cluster::found() {
+void Cluster::bootstrap() {
     for (std::size_t member = 0; member < kMembers; member++) start(member, true);
 }
 
@@ -166,13 +166,13 @@
 
 void Cluster::kill(std::size_t member) { members_[member].reset(); }
 
-void Cluster::wipe(std::size_t member) {
+void Cluster::eraseDisk(std::size_t member) {
     ASSERT_FALSE(members_[member]);
     std::filesystem::remove_all(directory_ / fmt::format("core-{}", member + 1));
 }
 
-bool Cluster::runUntil(const std::function<bool()>& condition, Millis most) {
-    const Millis end = clock_.now() + most;
+bool Cluster::runUntil(const std::function<bool()>& condition, Millis timeout) {
+    const Millis end = clock_.now() + timeout;
     while (!condition()) {
         if (clock_.now() >= end) return false;
         if (io_.stopped()) io_.restart();
@@ -206,7 +206,7 @@
 HttpAnswer Cluster::callOnce(const std::string& address, const std::string& method, const std::string& target,
                              const std::string& ifMatch, const std::string& body) {
     const auto call = startCall(io_, address, method, target, ifMatch, body);
-    if (!runUntil([&] { return call->done; }, kCallMost)) call->end();
+    if (!runUntil([&] { return call->done; }, kCallTimeout)) call->end();
     return call->answer;
 }
 
@@ -217,7 +217,7 @@
     for (const std::string& body : bodies)
         calls.push_back(startCall(io_, controlAddress(member), method, target, ifMatch, body));
     const auto done = [](const auto& call) { return call->done; };
-    runUntil([&] { return std::all_of(calls.begin(), calls.end(), done); }, kCallMost);
+    runUntil([&] { return std::all_of(calls.begin(), calls.end(), done); }, kCallTimeout);
     std::vector<HttpAnswer> answers;
     for (const auto& call : calls) {
         if (!call->done) call->end();
@@ -246,7 +246,7 @@
 HttpAnswer Cluster::call(std::size_t member, const std::string& method, const std::string& target,
                          const std::string& ifMatch, const std::string& body) {
     HttpAnswer answer;
-    const Millis end = clock_.now() + kMost;
+    const Millis end = clock_.now() + kConditionTimeout;
     for (std::size_t turn = member; clock_.now() < end; turn++) {
         if (!members_[turn % kMembers]) continue;
         answer = attempt(turn % kMembers, method, target, ifMatch, body);
@@ -257,7 +257,7 @@
 
 std::optional<PollReply> Cluster::poll(std::size_t member, const PollRequest& request) {
     std::optional<Result<std::string>> bytes;
-    client_.call(internalAddress(member), encode(request), kCallMost,
+    client_.call(internalAddress(member), encode(request), kCallTimeout,
                  [&](Result<std::string> got) { bytes = std::move(got); });
     if (!runUntil([&] { return bytes.has_value(); }) || !*bytes) return std::nullopt;
     auto reply = decodePollReply(bytes->value());
--- a/tests/control/cluster.hpp
+++ b/tests/control/cluster.hpp
@@ -25,27 +25,27 @@
 class Cluster {
 public:
     static constexpr std::size_t kMembers = 3;
-    static constexpr Millis kMost = 20'000;  // for a condition to come true
+    static constexpr Millis kConditionTimeout = 20'000;  // for a condition to come true
 
     Cluster();
     ~Cluster();
 
     // The platform's address for the settings of members started from now on.
-    void platform(std::string address) { platform_ = std::move(address); }
+    void setPlatform(std::string address) { platform_ = std::move(address); }
     // The seeds in a member's settings, in place of all control addresses.
-    void seedsOf(std::size_t member, std::vector<std::string> addresses) {
+    void setSeeds(std::size_t member, std::vector<std::string> addresses) {
         seeds_[member] = std::move(addresses);
     }
     void reload(std::size_t member) { members_[member]->reload(settingsOf(member, false)); }
     // Starts members with bootstrap, all at once.
-    void found();
+    void bootstrap();
     void start(std::size_t member, bool bootstrap = false);
     void kill(std::size_t member);
-    void wipe(std::size_t member);  // its disk
+    void eraseDisk(std::size_t member);  // its disk
     Control* member(std::size_t member) { return members_[member].get(); }
 
     // Runs the loop until the condition holds; false where it does not in time.
-    bool runUntil(const std::function<bool()>& condition, Millis most = kMost);
+    bool runUntil(const std::function<bool()>& condition, Millis timeout = kConditionTimeout);
     bool installed(
         std::size_t members = kMembers);  // a view of so many, all of them in it, and its head takes writes
 
@@ -60,7 +60,7 @@
     std::vector<HttpAnswer> callTogether(std::size_t member, const std::string& method,
                                          const std::string& target, const std::string& ifMatch,
                                          const std::vector<std::string>& bodies);
-    // One try of an operator: 307 is followed twice.
+    // One attempt of an operator: 307 is followed twice.
     HttpAnswer attempt(std::size_t member, const std::string& method, const std::string& target,
                        const std::string& ifMatch = {}, const std::string& body = {});
     // As operators do, beginning at that member: again at the next one after a 5xx, no answer or too many redirects, for
--- a/tests/control/control_test.cpp
+++ b/tests/control/control_test.cpp
@@ -51,8 +51,8 @@
 
 class ControlTest : public ::testing::Test {
 protected:
-    void found() {
-        cluster.found();
+    void bootstrap() {
+        cluster.bootstrap();
         ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
     }
     int revisionAt(std::size_t member) {
@@ -72,8 +72,8 @@
     Cluster cluster;
 };
 
-TEST_F(ControlTest, TakesChangesAtAnyMemberAndReadsThemBack) {
-    found();
+TEST_F(ControlTest, AppliesWritesSentToAnyMemberAndReadsThemBack) {
+    bootstrap();
     const HttpAnswer first = cluster.call(0, "PUT", "/configuration", "0", configuration(5));
     EXPECT_EQ(first.status, 200) << first.body;
     for (std::size_t member = 0; member < Cluster::kMembers; member++) EXPECT_EQ(revisionAt(member), 5);
@@ -91,7 +91,7 @@
     EXPECT_EQ(cluster.call(2, "PATCH", "/configuration", "\"5\"", patch.dump()).status, 200);
     EXPECT_EQ(cluster.call(0, "PATCH", "/configuration", "5", patch.dump()).status, 200);
     EXPECT_EQ(cluster.call(1, "PUT", "/configuration", "0", configuration(5)).status,
-              200);  // taken once: still so
+              200);  // applied once: still so
     const Json now = Json::parse(cluster.call(1, "GET", "/configuration").body);
     EXPECT_EQ(now["revision"], 9);
     ASSERT_EQ(now["routes"].size(), 1u);
@@ -100,8 +100,8 @@
     EXPECT_EQ(cluster.call(0, "DELETE", "/configuration").status, 405);
 }
 
-TEST_F(ControlTest, OfTwoChangesOnTopOfOneVersionOneWins) {
-    found();
+TEST_F(ControlTest, AppliesOneOfTwoConcurrentWritesOnOneVersion) {
+    bootstrap();
     ASSERT_EQ(cluster.call(0, "PUT", "/configuration", "0", configuration(1)).status, 200);
     const std::vector<std::string> bodies{configuration(2), configuration(3)};
     auto answers = cluster.callTogether(head(), "PUT", "/configuration", "1", bodies);
@@ -116,25 +116,25 @@
     EXPECT_EQ(revisionAt(0), answers[0].status == 200 ? 2 : 3);
 }
 
-// Its end comes right behind the order, as after a cut that held both up: by now the order was sent again elsewhere, or given up.
-TEST_F(ControlTest, AnOrderWhoseSenderHasGoneIsNotBegun) {
-    found();
+// Its end comes right behind the call, as after a partition that delayed both: by now the call was sent again elsewhere, or given up.
+TEST_F(ControlTest, DropsWriteWhenClientHasDisconnected) {
+    bootstrap();
     const std::string address = cluster.controlAddress(head());
     const std::size_t colon = address.rfind(':');
     const std::string body = configuration(1);
-    asio::ip::tcp::socket sender(cluster.io());
-    sender.connect({asio::ip::make_address(address.substr(0, colon)),
+    asio::ip::tcp::socket client(cluster.io());
+    client.connect({asio::ip::make_address(address.substr(0, colon)),
                     static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1)))});
-    asio::write(sender,
+    asio::write(client,
                 asio::buffer("PUT /configuration HTTP/1.1\r\nHost: c\r\nIf-Match: 0\r\nContent-Length: " +
                              std::to_string(body.size()) + "\r\n\r\n" + body));
-    sender.close();
+    client.close();
     EXPECT_EQ(cluster.call(head(), "PUT", "/configuration", "0", configuration(2)).status, 200);
     EXPECT_EQ(revisionAt(0), 2);
 }
 
-TEST_F(ControlTest, EvacuatesAZoneAndTakesItBack) {
-    found();
+TEST_F(ControlTest, EvacuatesZoneAndCancelsEvacuation) {
+    bootstrap();
     EXPECT_EQ(cluster.call(0, "POST", "/evacuate/za").status, 200);
     EXPECT_EQ(cluster.call(1, "POST", "/evacuate/za").status, 200);
     PollRequest request = pollOf("g1");
@@ -148,12 +148,12 @@
     reply = cluster.poll(0, request);
     ASSERT_TRUE(reply && reply->table);
     EXPECT_FALSE(reply->table->whole);
-    const Change takenBack{"evacuated/za", std::nullopt};
-    EXPECT_EQ(reply->table->changes, (std::vector<Change>{takenBack}));
+    const Change cancelled{"evacuated/za", std::nullopt};
+    EXPECT_EQ(reply->table->changes, (std::vector<Change>{cancelled}));
 }
 
-TEST_F(ControlTest, AWaitingPollIsAnsweredByTheNextChange) {
-    found();
+TEST_F(ControlTest, AnswersLongPollOnNextChange) {
+    bootstrap();
     ASSERT_EQ(cluster.call(0, "PUT", "/configuration", "0", configuration(1)).status, 200);
     PollRequest request = pollOf("g1");
     auto reply = cluster.poll(1, request);
@@ -181,8 +181,8 @@
     EXPECT_LT(answeredAt - began, 1900);
 }
 
-TEST_F(ControlTest, LeasesAreKnownAtAllMembersAndFeedTheDirectory) {
-    found();
+TEST_F(ControlTest, ReportsLeasesToAllMembersAndDirectory) {
+    bootstrap();
     EXPECT_EQ(
         cluster.callOnce(cluster.directoryAddress(0), "GET", "/resolve?name=a&zone=za&region=r1").status,
         503);
@@ -213,7 +213,7 @@
     EXPECT_EQ(reply->largestLive, 3u);
 }
 
-TEST_F(ControlTest, TheHostListIsReadByOneMemberAndReachesAll) {
+TEST_F(ControlTest, ReadsHostListAtOneMemberAndSendsItToAll) {
     std::string hosts = R"({"instance_id":"i-1","backend":"s","address":"10.0.0.1:80","state":"serving"})";
     int calls = 0;
     net::HttpServer platform(
@@ -224,8 +224,8 @@
                                 R"({"instances":[)" + hosts + R"(],"next_page_token":null})");
         });
     platform.listen({asio::ip::address_v4::loopback(), 0});
-    cluster.platform("127.0.0.1:" + std::to_string(platform.endpoint().port()));
-    found();
+    cluster.setPlatform("127.0.0.1:" + std::to_string(platform.endpoint().port()));
+    bootstrap();
     PollRequest request = pollOf("g1");
     std::optional<PollReply> reply;
     for (std::size_t member = 0; member < Cluster::kMembers; member++) {
@@ -243,7 +243,7 @@
         return count;
     };
     EXPECT_TRUE(cluster.runUntil([&] { return readers() == 1; }));
-    // A waiting poll hears of a host that drains.
+    // A long poll is answered when a host drains.
     request.position = reply->table ? reply->table->position : request.position;
     request.hostList = reply->hostList->version;
     request.waitMs = 2000;
@@ -251,7 +251,7 @@
     reply = cluster.poll(2, request);
     ASSERT_TRUE(reply && reply->hostList);
     EXPECT_EQ(reply->hostList->hosts.front().state, host_discovery::HostState::draining);
-    // The reader is lost: another one takes the duty under a higher fence, or confirms what is held.
+    // The reader is lost: another member takes over the role under a higher fencing token, or confirms the list.
     std::size_t reader = 0;
     while (!cluster.member(reader)->readsHosts()) reader++;
     cluster.kill(reader);
@@ -266,8 +266,8 @@
     EXPECT_GT(reply->hostList->version.fencingToken, request.hostList.fencingToken);
 }
 
-TEST_F(ControlTest, AMemberIsKilledAndComesBackWithItsDisk) {
-    found();
+TEST_F(ControlTest, RejoinsWithItsDiskAfterKill) {
+    bootstrap();
     ASSERT_EQ(cluster.call(0, "PUT", "/configuration", "0", configuration(1)).status, 200);
     const std::size_t lost = head();
     cluster.kill(lost);
@@ -278,11 +278,11 @@
     EXPECT_EQ(revisionAt(lost), 2);
 }
 
-TEST_F(ControlTest, AMemberLosesItsDiskAndIsFilledAgain) {
-    found();
+TEST_F(ControlTest, RestoresMemberAfterDiskLoss) {
+    bootstrap();
     ASSERT_EQ(cluster.call(0, "PUT", "/configuration", "0", configuration(1, 50)).status, 200);
     cluster.kill(2);
-    cluster.wipe(2);
+    cluster.eraseDisk(2);
     cluster.start(2);
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
     EXPECT_EQ(cluster.member(2)->replica()->committedTable(), cluster.member(0)->replica()->committedTable());
@@ -301,8 +301,8 @@
     EXPECT_EQ(revisionAt(2), 2);
 }
 
-TEST_F(ControlTest, AllRestartAndNothingAcknowledgedIsLost) {
-    found();
+TEST_F(ControlTest, KeepsAcknowledgedWritesWhenAllMembersRestart) {
+    bootstrap();
     ASSERT_EQ(cluster.call(0, "PUT", "/configuration", "0", configuration(1, 20)).status, 200);
     ASSERT_EQ(cluster.call(0, "POST", "/evacuate/zb").status, 200);
     const Table before = cluster.member(0)->replica()->committedTable();
@@ -316,25 +316,25 @@
 }
 
 // A new machine whose seeds nobody serves finds the others once its settings are read again.
-TEST_F(ControlTest, SeedsMayChangeInService) {
+TEST_F(ControlTest, JoinsAfterReloadWithNewSeeds) {
     for (const std::size_t member : {0, 1}) {
-        cluster.seedsOf(member, {cluster.controlAddress(0), cluster.controlAddress(1)});
+        cluster.setSeeds(member, {cluster.controlAddress(0), cluster.controlAddress(1)});
         cluster.start(member, true);
     }
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(2); }));
     ASSERT_EQ(cluster.call(0, "PUT", "/configuration", "0", configuration(1)).status, 200);
-    cluster.seedsOf(2, {"127.0.0.9:9"});
+    cluster.setSeeds(2, {"127.0.0.9:9"});
     cluster.start(2);
     const HttpAnswer alone = cluster.callOnce(cluster.controlAddress(2), "GET", "/configuration");
     EXPECT_EQ(alone.status, 503);
     EXPECT_FALSE(cluster.member(2)->replica()->inView());
-    cluster.seedsOf(2, {cluster.controlAddress(1)});
+    cluster.setSeeds(2, {cluster.controlAddress(1)});
     cluster.reload(2);
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
     EXPECT_EQ(revisionAt(2), 1);
 }
 
-TEST_F(ControlTest, WithoutAViewCallsGetA503InTime) {
+TEST_F(ControlTest, Answers503InTimeWithoutView) {
     cluster.start(0, true);
     const Millis began = cluster.clock().now();
     const HttpAnswer answer =
@@ -345,8 +345,8 @@
     EXPECT_EQ(cluster.poll(0, pollOf("g1"))->status, PollStatus::notFresh);
 }
 
-TEST_F(ControlTest, NobodyIsSentToAMemberThatIsGone) {
-    found();
+TEST_F(ControlTest, DoesNotRedirectToKilledMember) {
+    bootstrap();
     const std::size_t lost = head();
     const std::size_t other = lost == 0 ? 1 : 0;
     cluster.kill(lost);
@@ -363,8 +363,8 @@
         kSuspicion));
 }
 
-TEST_F(ControlTest, LeavingItAnswersWhatItHasAndEnds) {
-    found();
+TEST_F(ControlTest, AnswersLongPollsAndEndsOnStop) {
+    bootstrap();
     PollRequest request = pollOf("g1");
     request.waitMs = 2000;
     rpc::Client client(cluster.io(), cluster.logger());
@@ -372,17 +372,17 @@
     client.call(cluster.internalAddress(0), encode(request), 5000,
                 [&](Result<std::string> bytes) { reply = decodePollReply(bytes.value()).value(); });
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.member(0)->pendingLongPolls() == 1; }));
-    bool left = false;
-    cluster.member(0)->stop([&] { left = true; });
-    ASSERT_TRUE(cluster.runUntil([&] { return left && reply; }));
+    bool stopped = false;
+    cluster.member(0)->stop([&] { stopped = true; });
+    ASSERT_TRUE(cluster.runUntil([&] { return stopped && reply; }));
     EXPECT_EQ(reply->status, PollStatus::notFresh);
     EXPECT_EQ(cluster.callOnce(cluster.controlAddress(0), "GET", "/configuration").status, 0);
     cluster.kill(0);
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(2); }));
 }
 
-TEST_F(ControlTest, BodiesOfSomeMegabytesAreTakenAndLargerOnesRefused) {
-    found();
+TEST_F(ControlTest, AcceptsMegabyteBodiesAndRejectsLargerOnes) {
+    bootstrap();
     // Large by few long items: tens of thousands of small ones hold up the one loop of all three members for seconds under the
     // sanitizers.
     Json json = Json::parse(configuration(1, 300));
--- a/tests/control/host_changes_test.cpp
+++ b/tests/control/host_changes_test.cpp
@@ -43,8 +43,8 @@
             connection->respond(200, "application/json", page.dump());
         });
     platform.listen({asio::ip::address_v4::loopback(), 0});
-    cluster.platform("127.0.0.1:" + std::to_string(platform.endpoint().port()));
-    cluster.found();
+    cluster.setPlatform("127.0.0.1:" + std::to_string(platform.endpoint().port()));
+    cluster.bootstrap();
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
     for (std::size_t member = 0; member < Cluster::kMembers; member++) {
         PollRequest request = firstPoll();
--- a/tests/control/operator_calls_test.cpp
+++ b/tests/control/operator_calls_test.cpp
@@ -1,4 +1,4 @@
-// Each state and each way out of it, on scripted states of the replica.
+// Each state of a call and each transition out of it, on scripted states of the replica.
 #include "control/operator_calls.hpp"
 
 #include <gtest/gtest.h>
@@ -35,35 +35,37 @@
     }
 
     // This member is the head, or the tail, or both.
-    void place(bool head, bool tail) {
+    void setRole(bool head, bool tail) {
         replica.inView = true;
         replica.isHead = replica.writable = head;
         replica.isTail = tail;
-        replica.head.elsewhere = !head;
-        replica.tail.elsewhere = !tail;
+        replica.head.isReachablePeer = !head;
+        replica.tail.isReachablePeer = !tail;
+    }
+    void leaveViewWithoutPeers() {
+        replica.inView = replica.head.isReachablePeer = replica.tail.isReachablePeer = false;
     }
-    void nowhere() { replica.inView = replica.head.elsewhere = replica.tail.elsewhere = false; }
 
-    void tell(OperatorEvent event) {
+    void dispatch(OperatorEvent event) {
         actions.clear();
         calls.handle(now, replica, std::move(event), actions);
     }
-    CallId come(OperatorCall call) {
-        tell(CallCame{++lastId, std::move(call)});
+    CallId receive(OperatorCall call) {
+        dispatch(CallReceived{++lastId, std::move(call)});
         return lastId;
     }
     template <class Wanted>
-    std::optional<Wanted> only() const {
+    std::optional<Wanted> onlyAction() const {
         std::optional<Wanted> found;
         for (const OperatorAction& action : actions) {
-            if (std::holds_alternative<Note>(action)) continue;
+            if (std::holds_alternative<LogEvent>(action)) continue;
             const auto* wanted = std::get_if<Wanted>(&action);
             if (!wanted || found) return std::nullopt;
             found = *wanted;
         }
         return found;
     }
-    int answered() const { return only<Answer>() ? only<Answer>()->status : 0; }
+    int answeredStatus() const { return onlyAction<Answer>() ? onlyAction<Answer>()->status : 0; }
     void commit(const StartWrite& write) {
         Table table = *replica.table;
         apply(write.changes, table);
@@ -71,7 +73,7 @@
         replica.position.sequence++;
     }
     // The first configuration, as if it had been put long ago.
-    void start(int revision) {
+    void commitConfiguration(int revision) {
         const auto decision = decide(put(0, body(revision)), *replica.table);
         commit({0, {}, std::get<configuration::Accepted>(decision.value()).changes});
     }
@@ -85,361 +87,362 @@
 
 // ---- waiting
 
-TEST_F(OperatorCallsTest, WritesGoToTheHeadAndReadsToTheTail) {
-    place(false, false);
-    come(put(0, body(1)));
-    ASSERT_EQ(answered(), 307);
-    EXPECT_EQ(only<Answer>()->headers, "Location: http://10.0.0.1:8/configuration\r\n");
-    come(get());
-    ASSERT_EQ(answered(), 307);
-    EXPECT_EQ(only<Answer>()->headers, "Location: http://10.0.0.3:8/configuration\r\n");
-    EXPECT_EQ(calls.inHand(), 0u);
+TEST_F(OperatorCallsTest, RedirectsWritesToHeadAndReadsToTail) {
+    setRole(false, false);
+    receive(put(0, body(1)));
+    ASSERT_EQ(answeredStatus(), 307);
+    EXPECT_EQ(onlyAction<Answer>()->headers, "Location: http://10.0.0.1:8/configuration\r\n");
+    receive(get());
+    ASSERT_EQ(answeredStatus(), 307);
+    EXPECT_EQ(onlyAction<Answer>()->headers, "Location: http://10.0.0.3:8/configuration\r\n");
+    EXPECT_EQ(calls.pendingCalls(), 0u);
 }
 
-TEST_F(OperatorCallsTest, NobodyIsSentToAMemberThatIsSilent) {
-    nowhere();
-    come(put(0, body(1)));
+TEST_F(OperatorCallsTest, DoesNotRedirectToUnresponsiveMember) {
+    leaveViewWithoutPeers();
+    receive(put(0, body(1)));
     EXPECT_TRUE(actions.empty());
     EXPECT_TRUE(calls.waiting());
-    replica.head.elsewhere = true;
-    tell(Look{});
-    EXPECT_EQ(answered(), 307);
+    replica.head.isReachablePeer = true;
+    dispatch(Reevaluate{});
+    EXPECT_EQ(answeredStatus(), 307);
 }
 
-TEST_F(OperatorCallsTest, NorToAnAddressThatIsNotKnown) {
-    nowhere();
+TEST_F(OperatorCallsTest, DoesNotRedirectToUnknownAddress) {
+    leaveViewWithoutPeers();
     replica.head = {"", true};
-    come(put(0, body(1)));
+    receive(put(0, body(1)));
     EXPECT_TRUE(actions.empty());
 }
 
-TEST_F(OperatorCallsTest, WithoutAPlaceACallGets503AtItsDeadline) {
-    nowhere();
-    come(get());
-    now += kOperatorWait - 1;
-    tell(Look{});
+TEST_F(OperatorCallsTest, Answers503AtDeadlineWithoutReachableRole) {
+    leaveViewWithoutPeers();
+    receive(get());
+    now += kOperatorCallTimeout - 1;
+    dispatch(Reevaluate{});
     EXPECT_TRUE(actions.empty());
     now += 1;
-    tell(Look{});
-    ASSERT_EQ(answered(), 503);
-    EXPECT_NE(only<Answer>()->headers.find("Retry-After"), std::string::npos);
+    dispatch(Reevaluate{});
+    ASSERT_EQ(answeredStatus(), 503);
+    EXPECT_NE(onlyAction<Answer>()->headers.find("Retry-After"), std::string::npos);
     EXPECT_FALSE(calls.waiting());
 }
 
-TEST_F(OperatorCallsTest, WithoutAReplicaNothingIsDecided) {
-    place(true, true);
+TEST_F(OperatorCallsTest, DecidesNothingWithoutReplica) {
+    setRole(true, true);
     replica = {};
-    come(put(0, body(1)));
-    come(get());
+    receive(put(0, body(1)));
+    receive(get());
     EXPECT_TRUE(actions.empty());
-    EXPECT_EQ(calls.inHand(), 2u);
+    EXPECT_EQ(calls.pendingCalls(), 2u);
 }
 
-TEST_F(OperatorCallsTest, AWriteWaitsUntilTheHeadIsWritable) {
-    place(true, false);
+TEST_F(OperatorCallsTest, HoldsWriteUntilHeadIsWritable) {
+    setRole(true, false);
     replica.writable = false;
-    come(put(0, body(1)));
+    receive(put(0, body(1)));
     EXPECT_TRUE(actions.empty());
     replica.writable = true;
-    tell(Look{});
-    EXPECT_TRUE(only<StartWrite>());
+    dispatch(Reevaluate{});
+    EXPECT_TRUE(onlyAction<StartWrite>());
 }
 
-TEST_F(OperatorCallsTest, OneThatWaitsIsForgottenWithItsClient) {
-    nowhere();
-    const CallId id = come(put(0, body(1)));
-    tell(ClientLeft{id});
+TEST_F(OperatorCallsTest, ForgetsWaitingCallWhenClientDisconnects) {
+    leaveViewWithoutPeers();
+    const CallId id = receive(put(0, body(1)));
+    dispatch(ClientDisconnected{id});
     EXPECT_TRUE(actions.empty());
-    EXPECT_EQ(calls.inHand(), 0u);
-    place(true, true);
-    tell(Look{});
-    EXPECT_TRUE(actions.empty()) << "an order whose sender has gone is not begun";
+    EXPECT_EQ(calls.pendingCalls(), 0u);
+    setRole(true, true);
+    dispatch(Reevaluate{});
+    EXPECT_TRUE(actions.empty()) << "a call whose client has disconnected is not started";
 }
 
-TEST_F(OperatorCallsTest, LeavingItSendsAwayWhatWaitsAndWhatComes) {
-    nowhere();
-    come(put(0, body(1)));
-    tell(Leaving{});
-    EXPECT_EQ(answered(), 503);
-    place(true, true);
-    come(get());
-    EXPECT_EQ(answered(), 503);
-    place(false, false);
-    come(get());
-    EXPECT_EQ(answered(), 307) << "others still answer";
+TEST_F(OperatorCallsTest, RejectsWaitingAndNewCallsWhileDraining) {
+    leaveViewWithoutPeers();
+    receive(put(0, body(1)));
+    dispatch(DrainStarted{});
+    EXPECT_EQ(answeredStatus(), 503);
+    setRole(true, true);
+    receive(get());
+    EXPECT_EQ(answeredStatus(), 503);
+    setRole(false, false);
+    receive(get());
+    EXPECT_EQ(answeredStatus(), 307) << "others still answer";
 }
 
-TEST_F(OperatorCallsTest, LeavingItFinishesWhatItHasInHand) {
-    place(true, true);
-    const CallId read = come(get());
-    const CallId write = come(put(0, body(1)));
-    const auto started = only<StartWrite>();
+TEST_F(OperatorCallsTest, FinishesStartedCallsWhileDraining) {
+    setRole(true, true);
+    const CallId read = receive(get());
+    const CallId write = receive(put(0, body(1)));
+    const auto started = onlyAction<StartWrite>();
     ASSERT_TRUE(started);
-    tell(Leaving{});
+    dispatch(DrainStarted{});
     EXPECT_TRUE(actions.empty());
-    tell(BarrierDone{read, true});
-    EXPECT_EQ(answered(), 200);
+    dispatch(ReadBarrierDone{read, true});
+    EXPECT_EQ(answeredStatus(), 200);
     commit(*started);
-    tell(WriteDone{write, WriteResult::committed});
-    EXPECT_EQ(answered(), 200);
-    EXPECT_EQ(calls.inHand(), 0u);
+    dispatch(WriteDone{write, WriteResult::committed});
+    EXPECT_EQ(answeredStatus(), 200);
+    EXPECT_EQ(calls.pendingCalls(), 0u);
 }
 
-// ---- barrier of a read
+// ---- readBarrier, of a read
 
-TEST_F(OperatorCallsTest, AReadIsAnsweredBehindItsBarrierByTheTableOfThatMoment) {
-    place(false, true);
-    start(5);
-    const CallId id = come(get());
-    ASSERT_TRUE(only<StartBarrier>());
-    EXPECT_FALSE(only<StartBarrier>()->emptyBatch);
+TEST_F(OperatorCallsTest, AnswersReadAfterBarrierWithTableOfThatMoment) {
+    setRole(false, true);
+    commitConfiguration(5);
+    const CallId id = receive(get());
+    ASSERT_TRUE(onlyAction<StartReadBarrier>());
+    EXPECT_EQ(onlyAction<StartReadBarrier>()->kind, ReadBarrierKind::heartbeatRound);
     commit({0, {}, {{"meta/version", "6"}}});
-    tell(BarrierDone{id, true});
-    ASSERT_EQ(answered(), 200);
-    EXPECT_TRUE(only<Answer>()->body.starts_with(R"({"revision":6,)"));
+    dispatch(ReadBarrierDone{id, true});
+    ASSERT_EQ(answeredStatus(), 200);
+    EXPECT_TRUE(onlyAction<Answer>()->body.starts_with(R"({"revision":6,)"));
 }
 
-TEST_F(OperatorCallsTest, AReadWhoseBarrierFailsLooksForItsPlaceAgain) {
-    place(false, true);
-    CallId id = come(get());
+TEST_F(OperatorCallsTest, ReevaluatesReadWhenBarrierFails) {
+    setRole(false, true);
+    CallId id = receive(get());
     replica.isTail = false;
-    replica.tail.elsewhere = true;
-    tell(BarrierDone{id, false});
-    EXPECT_EQ(answered(), 307);
-    place(false, true);
-    id = come(get());
-    tell(BarrierDone{id, false});
+    replica.tail.isReachablePeer = true;
+    dispatch(ReadBarrierDone{id, false});
+    EXPECT_EQ(answeredStatus(), 307);
+    setRole(false, true);
+    id = receive(get());
+    dispatch(ReadBarrierDone{id, false});
     EXPECT_TRUE(actions.empty()) << "it would fail again in the same step, without end";
     now += 10;
-    tell(Look{});
+    dispatch(Reevaluate{});
     EXPECT_TRUE(actions.empty());
     now += 20;
-    tell(Look{});
-    EXPECT_TRUE(only<StartBarrier>()) << "still the tail: once more";
-    now += kOperatorWait;
-    tell(BarrierDone{id, false});
-    EXPECT_EQ(answered(), 503);
+    dispatch(Reevaluate{});
+    EXPECT_TRUE(onlyAction<StartReadBarrier>()) << "still the tail: once more";
+    now += kOperatorCallTimeout;
+    dispatch(ReadBarrierDone{id, false});
+    EXPECT_EQ(answeredStatus(), 503);
 }
 
-TEST_F(OperatorCallsTest, AReadIsNotAnsweredWithoutATable) {
-    place(false, true);
-    const CallId id = come(get());
+TEST_F(OperatorCallsTest, DoesNotAnswerReadWithoutTable) {
+    setRole(false, true);
+    const CallId id = receive(get());
     replica = {};
-    tell(BarrierDone{id, true});
+    dispatch(ReadBarrierDone{id, true});
     EXPECT_TRUE(actions.empty());
     EXPECT_TRUE(calls.waiting());
 }
 
 // ---- decided
 
-TEST_F(OperatorCallsTest, AGoodWriteIsCommittedAndAcknowledged) {
-    place(true, false);
-    const CallId id = come(put(0, body(1)));
-    const auto write = only<StartWrite>();
+TEST_F(OperatorCallsTest, CommitsAndAcknowledgesAcceptedWrite) {
+    setRole(true, false);
+    const CallId id = receive(put(0, body(1)));
+    const auto write = onlyAction<StartWrite>();
     ASSERT_TRUE(write);
     EXPECT_EQ(write->base, replica.position);
     commit(*write);
-    tell(WriteDone{id, WriteResult::committed});
-    ASSERT_EQ(answered(), 200);
-    EXPECT_EQ(only<Answer>()->body, R"({"revision":1})");
-    EXPECT_EQ(calls.writesTaken(), 1u);
+    dispatch(WriteDone{id, WriteResult::committed});
+    ASSERT_EQ(answeredStatus(), 200);
+    EXPECT_EQ(onlyAction<Answer>()->body, R"({"revision":1})");
+    EXPECT_EQ(calls.committedWrites(), 1u);
 }
 
-// What would be refused or called taken by this member's table is looked at again behind a barrier.
-TEST_F(OperatorCallsTest, NothingIsRefusedWithoutABarrier) {
-    place(true, false);
-    start(5);
+// What would be rejected or called applied by this member's table is decided again after a read barrier.
+TEST_F(OperatorCallsTest, RejectsNothingWithoutReadBarrier) {
+    setRole(true, false);
+    commitConfiguration(5);
     for (OperatorCall call : {put(7, body(9)), put(5, body(5, 2)), put(5, "{")}) {
-        const CallId id = come(std::move(call));
-        ASSERT_TRUE(only<StartBarrier>());
-        EXPECT_TRUE(only<StartBarrier>()->emptyBatch);
-        tell(BarrierDone{id, false});
+        const CallId id = receive(std::move(call));
+        ASSERT_TRUE(onlyAction<StartReadBarrier>());
+        EXPECT_EQ(onlyAction<StartReadBarrier>()->kind, ReadBarrierKind::emptyBatch);
+        dispatch(ReadBarrierDone{id, false});
         EXPECT_TRUE(actions.empty()) << "not in the same step";
         now += 25;
-        tell(Look{});
-        EXPECT_TRUE(only<StartBarrier>()) << "still the head: once more";
-        tell(BarrierDone{id, true});
-        EXPECT_GE(answered(), 400);
-        EXPECT_LT(answered(), 500);
+        dispatch(Reevaluate{});
+        EXPECT_TRUE(onlyAction<StartReadBarrier>()) << "still the head: once more";
+        dispatch(ReadBarrierDone{id, true});
+        EXPECT_GE(answeredStatus(), 400);
+        EXPECT_LT(answeredStatus(), 500);
     }
-    const CallId id = come(put(0, body(5)));
-    EXPECT_TRUE(only<StartBarrier>()) << "taken already";
-    tell(BarrierDone{id, true});
-    EXPECT_EQ(answered(), 200);
+    const CallId id = receive(put(0, body(5)));
+    EXPECT_TRUE(onlyAction<StartReadBarrier>()) << "already applied";
+    dispatch(ReadBarrierDone{id, true});
+    EXPECT_EQ(answeredStatus(), 200);
 }
 
-TEST_F(OperatorCallsTest, AnOldHeadDoesNotRefuseWhatTheNewOneWouldTake) {
-    place(true, false);
-    start(5);
-    const CallId id = come(put(7, body(9)));  // 7 was acknowledged by others: this member was cut off
-    ASSERT_TRUE(only<StartBarrier>());
-    place(false, false);
-    tell(BarrierDone{id, false});
-    EXPECT_EQ(answered(), 307);
+TEST_F(OperatorCallsTest, RedirectsWriteWhenFormerHeadsBarrierFails) {
+    setRole(true, false);
+    commitConfiguration(5);
+    const CallId id =
+        receive(put(7, body(9)));  // 7 was acknowledged by others: this member was partitioned off
+    ASSERT_TRUE(onlyAction<StartReadBarrier>());
+    setRole(false, false);
+    dispatch(ReadBarrierDone{id, false});
+    EXPECT_EQ(answeredStatus(), 307);
 }
 
 // The barrier's own batch shows a table on which the call is good.
-TEST_F(OperatorCallsTest, BehindTheBarrierItIsDecidedAnew) {
-    place(true, false);
-    start(5);
-    const CallId id = come(put(7, body(9)));
+TEST_F(OperatorCallsTest, DecidesWriteAgainAfterBarrier) {
+    setRole(true, false);
+    commitConfiguration(5);
+    const CallId id = receive(put(7, body(9)));
     commit({0, {}, {{"meta/version", "7"}}});
-    tell(BarrierDone{id, true});
-    EXPECT_TRUE(only<StartWrite>());
+    dispatch(ReadBarrierDone{id, true});
+    EXPECT_TRUE(onlyAction<StartWrite>());
 }
 
-TEST_F(OperatorCallsTest, AcceptedBehindTheBarrierByOneThatIsHeadNoLongerItGoesElsewhere) {
-    place(true, false);
-    start(5);
-    const CallId id = come(put(7, body(9)));
+TEST_F(OperatorCallsTest, RedirectsWriteAcceptedAfterBarrierWhenNoLongerHead) {
+    setRole(true, false);
+    commitConfiguration(5);
+    const CallId id = receive(put(7, body(9)));
     commit({0, {}, {{"meta/version", "7"}}});
-    place(false, false);
-    tell(BarrierDone{id, true});
-    EXPECT_EQ(answered(), 307);
+    setRole(false, false);
+    dispatch(ReadBarrierDone{id, true});
+    EXPECT_EQ(answeredStatus(), 307);
 }
 
-TEST_F(OperatorCallsTest, AVouchDoesNotOutliveItsMoment) {
-    place(true, false);
-    start(5);
-    const CallId id = come(put(7, body(9)));
+TEST_F(OperatorCallsTest, RequiresNewBarrierForLaterDecision) {
+    setRole(true, false);
+    commitConfiguration(5);
+    const CallId id = receive(put(7, body(9)));
     commit({0, {}, {{"meta/version", "7"}}});
     replica.writable = false;
-    tell(BarrierDone{id, true});
+    dispatch(ReadBarrierDone{id, true});
     EXPECT_TRUE(actions.empty());
     commit({0, {}, {{"meta/version", "8"}}});
     replica.writable = true;
-    tell(Look{});
-    EXPECT_TRUE(only<StartBarrier>()) << "refused by a later table: behind a barrier of its own";
+    dispatch(Reevaluate{});
+    EXPECT_TRUE(onlyAction<StartReadBarrier>()) << "rejected by a later table: after a barrier of its own";
 }
 
 // ---- committing
 
-TEST_F(OperatorCallsTest, OneWriteIsInHandAtATimeAndInOrder) {
-    place(true, true);
-    const CallId first = come(put(0, body(1)));
-    const auto write = only<StartWrite>();
+TEST_F(OperatorCallsTest, StartsWritesOneAtATimeInOrder) {
+    setRole(true, true);
+    const CallId first = receive(put(0, body(1)));
+    const auto write = onlyAction<StartWrite>();
     ASSERT_TRUE(write);
-    const CallId second = come(put(0, body(1, 2000)));
+    const CallId second = receive(put(0, body(1, 2000)));
     EXPECT_TRUE(actions.empty());
-    const CallId third = come(evacuation());
+    const CallId third = receive(evacuation());
     EXPECT_TRUE(actions.empty());
-    come(get());
-    EXPECT_TRUE(only<StartBarrier>()) << "reads don't wait for writes";
+    receive(get());
+    EXPECT_TRUE(onlyAction<StartReadBarrier>()) << "reads don't wait for writes";
     commit(*write);
-    tell(WriteDone{first, WriteResult::committed});
-    ASSERT_EQ(actions.size(), 3u);  // a note, the answer, the barrier of the second
+    dispatch(WriteDone{first, WriteResult::committed});
+    ASSERT_EQ(actions.size(), 3u);  // the log event, the answer, the read barrier of the second
     EXPECT_EQ(std::get<Answer>(actions[1]).id, first);
-    EXPECT_EQ(std::get<StartBarrier>(actions[2]).id, second);
-    tell(BarrierDone{second, true});
+    EXPECT_EQ(std::get<StartReadBarrier>(actions[2]).id, second);
+    dispatch(ReadBarrierDone{second, true});
     EXPECT_EQ(std::get<Answer>(actions[1]).status, 412) << "another configuration under the same number";
     EXPECT_EQ(std::get<StartWrite>(actions[2]).id, third);
 }
 
-TEST_F(OperatorCallsTest, SentAgainWhileTheFirstIsInTheChainItIsAcknowledgedOnce) {
-    place(true, true);
-    const CallId first = come(put(0, body(1)));
-    const auto write = only<StartWrite>();
+TEST_F(OperatorCallsTest, AppliesRepeatedWriteOnceWhileFirstIsInFlight) {
+    setRole(true, true);
+    const CallId first = receive(put(0, body(1)));
+    const auto write = onlyAction<StartWrite>();
     ASSERT_TRUE(write);
-    const CallId again = come(put(0, body(1)));
+    const CallId again = receive(put(0, body(1)));
     commit(*write);
-    tell(WriteDone{first, WriteResult::committed});
-    ASSERT_EQ(std::get<StartBarrier>(actions.back()).id, again);
-    tell(BarrierDone{again, true});
-    EXPECT_EQ(answered(), 200);
-    EXPECT_EQ(calls.writesTaken(), 1u);
+    dispatch(WriteDone{first, WriteResult::committed});
+    ASSERT_EQ(std::get<StartReadBarrier>(actions.back()).id, again);
+    dispatch(ReadBarrierDone{again, true});
+    EXPECT_EQ(answeredStatus(), 200);
+    EXPECT_EQ(calls.committedWrites(), 1u);
 }
 
-TEST_F(OperatorCallsTest, WhatIsNotKnownIsSaidSoAndFoundWhenSentAgain) {
+TEST_F(OperatorCallsTest, Answers503OnUnknownOutcomeAndResolvesItOnRetry) {
     for (const bool tookEffect : {false, true}) {
-        place(true, true);
+        setRole(true, true);
         replica.table = std::make_shared<const Table>();
-        const CallId id = come(put(0, body(1)));
-        const auto write = only<StartWrite>();
+        const CallId id = receive(put(0, body(1)));
+        const auto write = onlyAction<StartWrite>();
         ASSERT_TRUE(write);
-        tell(WriteDone{id, WriteResult::unknown});
-        EXPECT_EQ(answered(), 503);
+        dispatch(WriteDone{id, WriteResult::unknown});
+        EXPECT_EQ(answeredStatus(), 503);
         if (tookEffect) commit(*write);
-        const CallId again = come(put(0, body(1)));
+        const CallId again = receive(put(0, body(1)));
         if (tookEffect) {
-            tell(BarrierDone{again, true});
+            dispatch(ReadBarrierDone{again, true});
         } else {
-            ASSERT_TRUE(only<StartWrite>());
-            tell(WriteDone{again, WriteResult::committed});
+            ASSERT_TRUE(onlyAction<StartWrite>());
+            dispatch(WriteDone{again, WriteResult::committed});
         }
-        EXPECT_EQ(answered(), 200);
+        EXPECT_EQ(answeredStatus(), 200);
     }
 }
 
-TEST_F(OperatorCallsTest, OneThatWasNotBegunIsDecidedAnew) {
-    place(true, false);
-    const CallId id = come(put(0, body(1)));
-    ASSERT_TRUE(only<StartWrite>());
+TEST_F(OperatorCallsTest, DecidesWriteAgainWhenNotStarted) {
+    setRole(true, false);
+    const CallId id = receive(put(0, body(1)));
+    ASSERT_TRUE(onlyAction<StartWrite>());
     replica.position.sequence++;
-    tell(WriteDone{id, WriteResult::notStarted});
-    const auto write = only<StartWrite>();
+    dispatch(WriteDone{id, WriteResult::notStarted});
+    const auto write = onlyAction<StartWrite>();
     ASSERT_TRUE(write);
     EXPECT_EQ(write->base, replica.position);
 }
 
-TEST_F(OperatorCallsTest, AClientThatLeavesGetsNoAnswerAndItsWriteKeepsItsPlace) {
-    place(true, true);
-    const CallId id = come(put(0, body(1)));
-    tell(ClientLeft{id});
-    EXPECT_EQ(calls.inHand(), 1u);
-    come(evacuation());
+TEST_F(OperatorCallsTest, KeepsWriteInOrderWithoutAnswerWhenClientDisconnects) {
+    setRole(true, true);
+    const CallId id = receive(put(0, body(1)));
+    dispatch(ClientDisconnected{id});
+    EXPECT_EQ(calls.pendingCalls(), 1u);
+    receive(evacuation());
     EXPECT_TRUE(actions.empty()) << "the first is still in the chain";
-    tell(WriteDone{id, WriteResult::committed});
-    EXPECT_TRUE(only<StartWrite>()) << "no answer to who has gone; the next begins";
+    dispatch(WriteDone{id, WriteResult::committed});
+    EXPECT_TRUE(onlyAction<StartWrite>()) << "no answer to a disconnected client; the next one starts";
 }
 
-TEST_F(OperatorCallsTest, WithoutItsClientNothingIsBegunAfterABarrier) {
-    place(true, false);
-    start(5);
-    const CallId id = come(put(7, body(9)));
-    tell(ClientLeft{id});
+TEST_F(OperatorCallsTest, StartsNothingAfterBarrierWhenClientDisconnected) {
+    setRole(true, false);
+    commitConfiguration(5);
+    const CallId id = receive(put(7, body(9)));
+    dispatch(ClientDisconnected{id});
     commit({0, {}, {{"meta/version", "7"}}});
-    tell(BarrierDone{id, true});
+    dispatch(ReadBarrierDone{id, true});
     EXPECT_TRUE(actions.empty());
-    EXPECT_EQ(calls.inHand(), 0u);
+    EXPECT_EQ(calls.pendingCalls(), 0u);
 }
 
-TEST_F(OperatorCallsTest, EventsOfOthersAndRepeatedOnesChangeNothing) {
-    place(true, false);
-    const CallId id = come(put(0, body(1)));
-    tell(WriteDone{id + 1, WriteResult::committed});
-    tell(BarrierDone{id, true});
-    tell(ClientLeft{id + 1});
+TEST_F(OperatorCallsTest, IgnoresForeignAndRepeatedEvents) {
+    setRole(true, false);
+    const CallId id = receive(put(0, body(1)));
+    dispatch(WriteDone{id + 1, WriteResult::committed});
+    dispatch(ReadBarrierDone{id, true});
+    dispatch(ClientDisconnected{id + 1});
     EXPECT_TRUE(actions.empty());
-    tell(WriteDone{id, WriteResult::committed});
-    EXPECT_EQ(answered(), 200);
-    tell(WriteDone{id, WriteResult::committed});
+    dispatch(WriteDone{id, WriteResult::committed});
+    EXPECT_EQ(answeredStatus(), 200);
+    dispatch(WriteDone{id, WriteResult::committed});
     EXPECT_TRUE(actions.empty());
-    EXPECT_EQ(calls.writesTaken(), 1u);
+    EXPECT_EQ(calls.committedWrites(), 1u);
 }
 
 // ---- bounds
 
-TEST_F(OperatorCallsTest, CallsInHandAreBoundedInNumber) {
-    nowhere();
-    for (std::size_t call = 0; call < kMaxOperatorCalls; call++) come(get());
+TEST_F(OperatorCallsTest, BoundsNumberOfPendingCalls) {
+    leaveViewWithoutPeers();
+    for (std::size_t call = 0; call < kMaxOperatorCalls; call++) receive(get());
     EXPECT_TRUE(actions.empty());
-    come(get());
-    EXPECT_EQ(answered(), 503);
-    tell(ClientLeft{1});
-    come(get());
+    receive(get());
+    EXPECT_EQ(answeredStatus(), 503);
+    dispatch(ClientDisconnected{1});
+    receive(get());
     EXPECT_TRUE(actions.empty());
-    EXPECT_EQ(calls.inHand(), kMaxOperatorCalls);
+    EXPECT_EQ(calls.pendingCalls(), kMaxOperatorCalls);
 }
 
-TEST_F(OperatorCallsTest, CallsInHandAreBoundedInBytes) {
-    nowhere();
-    come(put(0, std::string(kMaxOperatorBytes / 2, ' ')));
-    come(put(0, std::string(kMaxOperatorBytes / 2, ' ')));
+TEST_F(OperatorCallsTest, BoundsBytesOfPendingCalls) {
+    leaveViewWithoutPeers();
+    receive(put(0, std::string(kMaxOperatorBytes / 2, ' ')));
+    receive(put(0, std::string(kMaxOperatorBytes / 2, ' ')));
     EXPECT_TRUE(actions.empty());
-    come(put(0, " "));
-    EXPECT_EQ(answered(), 503);
-    tell(ClientLeft{1});
-    come(put(0, " "));
+    receive(put(0, " "));
+    EXPECT_EQ(answeredStatus(), 503);
+    dispatch(ClientDisconnected{1});
+    receive(put(0, " "));
     EXPECT_TRUE(actions.empty());
 }
 
--- a/tests/control/operator_history.cpp
+++ b/tests/control/operator_history.cpp
@@ -23,14 +23,14 @@
 constexpr Millis kFaultsEnd = 40'000;
 constexpr Millis kEnd = 80'000;
 constexpr Millis kOperatorTimeout = 1000;
-constexpr Millis kLeaving = 200;
-constexpr Millis kMostWait = 10'000;  // for a clear answer, once faults are over
-constexpr int kRedirects = 2;
+constexpr Millis kDrainTime = 200;
+constexpr Millis kCallEndTimeout = 10'000;  // for a clear answer, once faults are over
+constexpr int kMaxRedirects = 2;
 constexpr std::size_t kMaxViolations = 20;
 
-// ---- The rules, written a second time and simply
+// ---- The model: the rules of the API, written a second time and simply
 
-enum class Fault { none, cutShort, noTimeout, unknownService };
+enum class Fault { none, truncated, noTimeout, unknownService };
 
 struct Order {
     OperatorCall call;
@@ -102,7 +102,7 @@
         text = fmt::format(R"({{"revision":{},"upsert":{{"routes":[{}]}},"remove":{{"routes":[{}]}}}})",
                            order.revision, routes, removed);
     }
-    if (order.fault == Fault::cutShort) text.resize(text.size() - 1);
+    if (order.fault == Fault::truncated) text.resize(text.size() - 1);
     return text;
 }
 
@@ -116,9 +116,9 @@
     }
 };
 
-struct Served {
+struct ReceivedCall {
     Order order;
-    Millis began = 0;
+    Millis receivedAt = 0;
     std::size_t logAtBegin = 0;  // entries in the log when it came
     std::size_t operatorNumber = 0;
     std::uint64_t attempt = 0;
@@ -128,10 +128,14 @@
     OperatorCalls calls;
     View view;
     std::size_t known = 0;  // entry of the log that its committed table is
-    bool installed = false, inFlight = false, cut = false, frozen = false, down = false;
+    bool installed = false;
+    bool inFlight = false;
+    bool partitioned = false;
+    bool frozen = false;
+    bool down = false;
     std::uint64_t start = 1;
-    std::deque<std::function<void()>> held;  // while it is frozen
-    std::map<CallId, Served> served;
+    std::deque<std::function<void()>> deferred;  // while it is frozen
+    std::map<CallId, ReceivedCall> received;
 };
 
 struct InFlight {
@@ -146,8 +150,8 @@
     std::uint64_t attempt = 0;  // answers to earlier ones are not looked at
     std::uint64_t version = 0;
     std::vector<Order> past;
-    Millis since = 0;      // when the order in hand was begun
-    bool closing = false;  // sends what was taken again, and stops
+    Millis since = 0;      // when the order in hand was started
+    bool closing = false;  // sends what was applied again, and stops
     std::size_t next = 0;
 };
 
@@ -156,7 +160,7 @@
     explicit World(std::uint64_t seed) : random_(seed) {
         log_.push_back({0, std::make_shared<const Table>(), {}, ""});
         changeView({0, 1, 2});
-        for (std::size_t each = 0; each < kOperators; ++each) think(each);
+        for (std::size_t each = 0; each < kOperators; ++each) beginNextOrder(each);
         at(2000 * random_(), [this] { beginFault(); });
     }
 
@@ -167,9 +171,9 @@
             event.mapped()();
         }
         for (std::size_t each = 0; each < kOperators; ++each)
-            if (operators_[each].order && kEnd - operators_[each].since > kMostWait)
+            if (operators_[each].order && kEnd - operators_[each].since > kCallEndTimeout)
                 violate(fmt::format("a call never ended: {}", operators_[each].order->key));
-        report_.taken = inLog_.size();
+        report_.applied = inLog_.size();
         return std::move(report_);
     }
 
@@ -178,7 +182,7 @@
 
     void at(Millis after, std::function<void()> action) { events_.emplace(now_ + after, std::move(action)); }
     Millis between(Millis low, Millis high) { return low + (high - low) * random_(); }
-    bool chance(double peerUpdate) { return random_() < peerUpdate; }
+    bool chance(double probability) { return random_() < probability; }
     bool faultsOver() const { return now_ >= kFaultsEnd; }
 
     void violate(std::string what) {
@@ -186,13 +190,13 @@
             report_.violations.push_back(fmt::format("{:.0f} ms: {}", now_, what));
     }
 
-    // Runs at the member unless it was started anew meanwhile; after its freeze where it is frozen.
+    // Runs at the member unless it was restarted meanwhile; after its freeze where it is frozen.
     void atMember(std::size_t member, Millis after, std::function<void()> action) {
         at(after, [this, member, start = members_[member].start, action = std::move(action)]() mutable {
             Member& here = members_[member];
             if (here.down || here.start != start) return;
             if (here.frozen)
-                here.held.push_back(std::move(action));
+                here.deferred.push_back(std::move(action));
             else
                 action();
         });
@@ -200,75 +204,76 @@
 
     // ---- Members
 
-    bool real(std::size_t member) const {
+    // Whether the member can take part in the view in force.
+    bool takesPart(std::size_t member) const {
         const Member& here = members_[member];
-        return !here.down && !here.cut && !here.frozen && here.installed && here.view.epoch == view_.epoch &&
-               view_.has(member);
+        return !here.down && !here.partitioned && !here.frozen && here.installed &&
+               here.view.epoch == view_.epoch && view_.has(member);
     }
 
     ReplicaState stateOf(std::size_t member) const {
         const Member& here = members_[member];
         ReplicaState state;
-        const auto holder = [&](std::size_t other) {
-            const bool silent = members_[other].down || members_[other].cut || here.cut;
-            return RoleHolder{std::to_string(other), other != member && !silent};
+        const auto chainEnd = [&](std::size_t other) {
+            const bool unreachable = members_[other].down || members_[other].partitioned || here.partitioned;
+            return ChainEnd{std::to_string(other), other != member && !unreachable};
         };
         state.inView = here.view.has(member);
         state.isHead = state.inView && here.view.order.front() == member;
         state.isTail = state.inView && here.view.order.back() == member;
         state.writable = state.isHead && here.installed && !here.inFlight;
         if (!here.view.order.empty()) {
-            state.head = holder(here.view.order.front());
-            state.tail = holder(here.view.order.back());
+            state.head = chainEnd(here.view.order.front());
+            state.tail = chainEnd(here.view.order.back());
         }
         state.position = {here.view.epoch, here.known};
         state.table = log_[here.known].table;
         return state;
     }
 
-    void tell(std::size_t member, OperatorEvent event) {
+    void dispatch(std::size_t member, OperatorEvent event) {
         std::vector<OperatorAction> actions;
         members_[member].calls.handle(now_, stateOf(member), std::move(event), actions);
         for (OperatorAction& action : actions)
             std::visit([&](auto& what) { carryOut(member, what); }, action);
-        if (members_[member].calls.waiting()) lookLater(member);
+        if (members_[member].calls.waiting()) reevaluateLater(member);
     }
 
-    void lookLater(std::size_t member) {
-        if (!looks_.insert({member, members_[member].start}).second) return;
+    void reevaluateLater(std::size_t member) {
+        if (!reevaluations_.insert({member, members_[member].start}).second) return;
         atMember(member, 25, [this, member] {
-            looks_.erase({member, members_[member].start});
-            tell(member, Look{});
+            reevaluations_.erase({member, members_[member].start});
+            dispatch(member, Reevaluate{});
         });
     }
 
-    void carryOut(std::size_t, const Note&) {}
+    void carryOut(std::size_t, const LogEvent&) {}
 
-    void carryOut(std::size_t member, const StartBarrier& action) {
-        if (action.emptyBatch)
+    void carryOut(std::size_t member, const StartReadBarrier& action) {
+        if (action.kind == ReadBarrierKind::emptyBatch)
             return write(member, {}, std::nullopt, [this, member, id = action.id](WriteResult result) {
-                tell(member, BarrierDone{id, result == WriteResult::committed});
+                dispatch(member, ReadBarrierDone{id, result == WriteResult::committed});
             });
-        const bool begun = real(member) && view_.order.back() == member;
+        const bool started = takesPart(member) && view_.order.back() == member;
         const std::uint64_t epoch = view_.epoch;
-        atMember(member, begun ? between(1, 30) : between(200, 1500),
-                 [this, member, id = action.id, begun, epoch] {
-                     const bool ok = begun && real(member) && view_.epoch == epoch;
-                     tell(member, BarrierDone{id, ok});
+        atMember(member, started ? between(1, 30) : between(200, 1500),
+                 [this, member, id = action.id, started, epoch] {
+                     const bool ok = started && takesPart(member) && view_.epoch == epoch;
+                     dispatch(member, ReadBarrierDone{id, ok});
                  });
     }
 
     void carryOut(std::size_t member, StartWrite& action) {
         if (action.base != stateOf(member).position)
-            return tell(member, WriteDone{action.id, WriteResult::notStarted});
-        const Order order = members_[member].served.at(action.id).order;
+            return dispatch(member, WriteDone{action.id, WriteResult::notStarted});
+        const Order order = members_[member].received.at(action.id).order;
         write(member, std::move(action.changes), order, [this, member, id = action.id](WriteResult result) {
             report_.unknown += result == WriteResult::unknown ? 1 : 0;
-            tell(member, WriteDone{id, result});
+            dispatch(member, WriteDone{id, result});
         });
     }
 
-    // A batch goes down the chain to the tail, which commits it, and the news comes back to the head.
+    // A batch goes down the chain to the tail, which commits it, and the acknowledgement comes back to the head.
     void write(std::size_t member, std::vector<Change> changes, std::optional<Order> order,
                std::function<void(WriteResult)> done) {
         members_[member].inFlight = true;
@@ -282,7 +287,7 @@
         const auto giveUp = [this, member, finish] {
             atMember(member, between(100, 3000), [finish] { finish(WriteResult::unknown); });
         };
-        if (!real(member) || view_.order.front() != member) return giveUp();
+        if (!takesPart(member) || view_.order.front() != member) return giveUp();
         inFlight_ = InFlight{member, token, std::move(changes), std::move(order)};
         at(between(2, 250), [this, member, token, finish, giveUp] {
             if (!inFlight_ || inFlight_->token != token) return giveUp();
@@ -290,7 +295,7 @@
             const std::uint64_t epoch = view_.epoch;
             const std::size_t entry = log_.size() - 1;
             at(between(1, 30), [this, member, epoch, entry, finish, giveUp] {
-                if (!real(member) || view_.epoch != epoch) return giveUp();
+                if (!takesPart(member) || view_.epoch != epoch) return giveUp();
                 for (const std::size_t each : view_.order) learn(each, entry);
                 finish(WriteResult::committed);
             });
@@ -298,7 +303,7 @@
     }
 
     void learn(std::size_t member, std::size_t entry) {
-        if (real(member)) members_[member].known = std::max(members_[member].known, entry);
+        if (takesPart(member)) members_[member].known = std::max(members_[member].known, entry);
     }
 
     void commitInFlight() {
@@ -332,18 +337,18 @@
         view_ = {view_.epoch + 1, std::move(order)};
         for (std::size_t member = 0; member < kMembers; ++member) {
             Member& here = members_[member];
-            if (here.down || here.cut || here.frozen) continue;
+            if (here.down || here.partitioned || here.frozen) continue;
             here.view = view_;
             here.installed = false;
             if (!view_.has(member)) continue;
             atMember(member, between(20, 300), [this, member, epoch = view_.epoch] {
-                Member& settling = members_[member];
-                if (settling.view.epoch != epoch || view_.epoch != epoch || settling.cut) return;
-                settling.installed = true;
-                settling.known = log_.size() - 1;
-                tell(member, Look{});
+                Member& installing = members_[member];
+                if (installing.view.epoch != epoch || view_.epoch != epoch || installing.partitioned) return;
+                installing.installed = true;
+                installing.known = log_.size() - 1;
+                dispatch(member, Reevaluate{});
             });
-            tell(member, Look{});
+            dispatch(member, Reevaluate{});
         }
     }
 
@@ -353,8 +358,8 @@
         const Millis length = chance(0.2) ? between(50, 900) : between(1200, 12'000);
         switch (random_.below(4)) {
             case 0:
-                members_[member].cut = true;
-                at(length, [this, member] { members_[member].cut = false; });
+                members_[member].partitioned = true;
+                at(length, [this, member] { members_[member].partitioned = false; });
                 break;
             case 1:
                 members_[member].frozen = true;
@@ -364,21 +369,22 @@
                 restart(member, length);
                 break;
             default:
-                atMember(member, 0, [this, member] { tell(member, Leaving{}); });
-                at(kLeaving, [this, member, length] { restart(member, std::max(length - kLeaving, 1.0)); });
+                atMember(member, 0, [this, member] { dispatch(member, DrainStarted{}); });
+                at(kDrainTime,
+                   [this, member, length] { restart(member, std::max(length - kDrainTime, 1.0)); });
                 break;
         }
-        constexpr Millis kNoticed = 1000;
-        if (length > kNoticed) at(kNoticed, [this, member] { leaveOut(member); });
-        at(length + between(300, 900), [this, member] { bringBack(member); });
+        constexpr Millis kSuspectedAfter = 1000;
+        if (length > kSuspectedAfter) at(kSuspectedAfter, [this, member] { removeFromView(member); });
+        at(length + between(300, 900), [this, member] { addToView(member); });
         at(length + 1000 + between(0, 3000), [this] { beginFault(); });
     }
 
     void thaw(std::size_t member) {
         members_[member].frozen = false;
-        auto held = std::move(members_[member].held);
-        members_[member].held.clear();
-        for (auto& action : held) action();
+        auto deferred = std::move(members_[member].deferred);
+        members_[member].deferred.clear();
+        for (auto& action : deferred) action();
     }
 
     void restart(std::size_t member, Millis length) {
@@ -389,13 +395,13 @@
         at(length, [this, member] { members_[member].down = false; });
     }
 
-    void leaveOut(std::size_t member) {
+    void removeFromView(std::size_t member) {
         std::vector<std::size_t> order = view_.order;
         std::erase(order, member);
         changeView(std::move(order));
     }
 
-    void bringBack(std::size_t member) {
+    void addToView(std::size_t member) {
         std::vector<std::size_t> order = view_.order;
         std::erase(order, member);
         order.insert(chance(0.5) ? order.begin() : order.end(), member);
@@ -404,17 +410,17 @@
 
     // ---- Operators
 
-    void think(std::size_t number) {
+    void beginNextOrder(std::size_t number) {
         at(faultsOver() ? 1 : between(5, 700), [this, number] {
             Operator& one = operators_[number];
             if (faultsOver()) one.closing = true;
             one.since = now_;
-            one.order = one.closing ? nextToCheck(one) : draw(one);
+            one.order = one.closing ? nextToRepeat(one) : draw(one);
             if (one.order) attempt(number, random_.below(kMembers), 0);
         });
     }
 
-    std::optional<Order> nextToCheck(Operator& one) {
+    std::optional<Order> nextToRepeat(Operator& one) {
         if (one.next >= one.past.size()) return std::nullopt;
         return one.past[one.next++];
     }
@@ -439,15 +445,15 @@
 
     // Small numbers and few contents, so that operators pick the same ones.
     void drawChange(const Operator& one, Order& order) {
-        const bool whole = chance(0.6);
+        const bool replacesAll = chance(0.6);
         order.ifMatch = one.version - std::min<std::uint64_t>(one.version, chance(0.15) ? 2 : 0);
         order.revision = order.ifMatch + (chance(0.1) ? 0 : 1 + random_.below(3));
-        order.call = parseOperatorCall(whole ? "PUT" : "PATCH", "/configuration",
+        order.call = parseOperatorCall(replacesAll ? "PUT" : "PATCH", "/configuration",
                                        fmt::format("{0}{1}{0}", chance(0.5) ? "\"" : "", order.ifMatch))
                          .value();
         order.routes["r"] = static_cast<int>(1 + random_.below(2));
         if (chance(0.5)) order.routes["q"] = static_cast<int>(1 + random_.below(2));
-        if (!whole && chance(0.3)) order.removed.insert("p");
+        if (!replacesAll && chance(0.3)) order.removed.insert("p");
         if (chance(0.15)) order.fault = static_cast<Fault>(1 + random_.below(3));
         order.call.body = bodyOf(order);
     }
@@ -457,9 +463,10 @@
         const std::uint64_t attempt = ++one.attempt;
         const Order order = *one.order;
         send(number, attempt, member, order, between(1, 20));
-        if (chance(0.05)) send(number, attempt, random_.below(kMembers), order, between(1, 4000));  // strays
+        if (chance(0.05))
+            send(number, attempt, random_.below(kMembers), order, between(1, 4000));  // duplicates
         at(kOperatorTimeout, [this, number, attempt] {
-            if (operators_[number].attempt == attempt) again(number);
+            if (operators_[number].attempt == attempt) retry(number);
         });
         redirects_[number] = redirects;
     }
@@ -470,45 +477,46 @@
             Member& here = members_[member];
             const CallId id = ++lastId_;
             report_.atStaleMember += here.view.epoch != view_.epoch ? 1 : 0;
-            here.served[id] = {order, now_, log_.size(), number, attempt};
-            tell(member, CallCame{id, order.call});
+            here.received[id] = {order, now_, log_.size(), number, attempt};
+            dispatch(member, CallReceived{id, order.call});
             if (chance(0.7))
-                atMember(member, kOperatorTimeout, [this, member, id] { tell(member, ClientLeft{id}); });
+                atMember(member, kOperatorTimeout,
+                         [this, member, id] { dispatch(member, ClientDisconnected{id}); });
         });
     }
 
-    void again(std::size_t number) {
+    void retry(std::size_t number) {
         operators_[number].attempt++;
         at(between(50, 400), [this, number] { attempt(number, random_.below(kMembers), 0); });
     }
 
     void carryOut(std::size_t member, const Answer& answer) {
-        auto node = members_[member].served.extract(answer.id);
+        auto node = members_[member].received.extract(answer.id);
         if (node.empty()) return violate("a call was answered twice");
-        const Served served = std::move(node.mapped());
+        const ReceivedCall received = std::move(node.mapped());
         report_.answers++;
-        check(served, answer);
+        check(received, answer);
         if (chance(faultsOver() ? 0 : 0.25)) return;  // lost
-        at(between(1, 20), [this, served, answer] { receive(served, answer); });
+        at(between(1, 20), [this, received, answer] { receive(received, answer); });
     }
 
-    void receive(const Served& served, const Answer& answer) {
-        const std::size_t number = served.operatorNumber;
+    void receive(const ReceivedCall& received, const Answer& answer) {
+        const std::size_t number = received.operatorNumber;
         Operator& one = operators_[number];
-        if (one.attempt != served.attempt || !one.order) return;
-        if (answer.status == 307 && redirects_[number] < kRedirects) {
+        if (one.attempt != received.attempt || !one.order) return;
+        if (answer.status == 307 && redirects_[number] < kMaxRedirects) {
             const std::size_t colon = answer.headers.find("//");
             return attempt(number, static_cast<std::size_t>(answer.headers.at(colon + 2) - '0'),
                            redirects_[number] + 1);
         }
-        if (answer.status >= 500 || answer.status == 307) return again(number);
-        if (served.order.changes() && answer.status == 200) one.version = served.order.revision;
-        if (served.order.call.kind == OperatorCallKind::read)
-            one.version = log_[served.logAtBegin - 1].state.revision;
+        if (answer.status >= 500 || answer.status == 307) return retry(number);
+        if (received.order.changes() && answer.status == 200) one.version = received.order.revision;
+        if (received.order.call.kind == OperatorCallKind::read)
+            one.version = log_[received.logAtBegin - 1].state.revision;
         if (answer.status == 412) one.version = log_.back().state.revision;
         one.attempt++;
         one.order.reset();
-        think(number);
+        beginNextOrder(number);
     }
 
     // ---- What must hold
@@ -516,7 +524,7 @@
     void checkBatch(const Order& order, const State& before) {
         if (!order.changes()) return;
         if (inLog_.contains(order.key)) violate("entered the log twice: " + order.key);
-        if (order.fault != Fault::none) violate("a bad one entered the log: " + order.key);
+        if (order.fault != Fault::none) violate("an invalid change entered the log: " + order.key);
         if (order.ifMatch != before.revision || order.revision <= before.revision)
             violate(fmt::format("on version {} entered the log: {}", before.revision, order.key));
     }
@@ -541,45 +549,45 @@
     }
 
     // Whether something holds of the log at a moment between the call's coming and now.
-    bool atSomeMoment(const Served& served, const std::function<bool(const Entry&)>& holds) const {
-        return std::any_of(log_.begin() + static_cast<std::ptrdiff_t>(served.logAtBegin) - 1, log_.end(),
+    bool atSomeMoment(const ReceivedCall& received, const std::function<bool(const Entry&)>& holds) const {
+        return std::any_of(log_.begin() + static_cast<std::ptrdiff_t>(received.logAtBegin) - 1, log_.end(),
                            holds);
     }
 
-    void check(const Served& served, const Answer& answer) {
+    void check(const ReceivedCall& received, const Answer& answer) {
         if (answer.status == 307 || answer.status == 503) return;
-        const Order& order = served.order;
-        if (answer.status == 200) return checkSuccess(served, answer);
-        report_.refused++;
+        const Order& order = received.order;
+        if (answer.status == 200) return checkSuccess(received, answer);
+        report_.rejected++;
         const std::string what = fmt::format("{} to {}", answer.status, order.key);
-        if (!order.changes()) return violate("refused: " + what);
-        if (inLog_.contains(order.key)) violate("refused though taken: " + what);
-        const bool called = atSomeMoment(served, [&](const Entry& entry) {
+        if (!order.changes()) return violate("an evacuation or read was rejected: " + what);
+        if (inLog_.contains(order.key)) violate("rejected though applied: " + what);
+        const bool justified = atSomeMoment(received, [&](const Entry& entry) {
             const std::uint64_t version = entry.state.revision;
             if (answer.status == 412) return order.ifMatch != version;
             const bool noService = order.call.kind == OperatorCallKind::patch && version == 0;
             return answer.status == 400 &&
                    (order.fault != Fault::none || noService || order.revision <= version);
         });
-        if (!called) violate("nothing called for " + what);
+        if (!justified) violate("rejected without cause: " + what);
     }
 
-    void checkSuccess(const Served& served, const Answer& answer) {
-        const Order& order = served.order;
+    void checkSuccess(const ReceivedCall& received, const Answer& answer) {
+        const Order& order = received.order;
         if (order.changes()) {
             if (!inLog_.contains(order.key)) return violate("acknowledged and not in the log: " + order.key);
-            const auto begin = log_.begin() + static_cast<std::ptrdiff_t>(served.logAtBegin);
-            report_.takenAgain +=
+            const auto begin = log_.begin() + static_cast<std::ptrdiff_t>(received.logAtBegin);
+            report_.appliedAgain +=
                 std::any_of(log_.begin(), begin, [&](const Entry& entry) { return entry.key == order.key; });
             return;
         }
         const bool read = order.call.kind == OperatorCallKind::read;
         report_.reads += read ? 1 : 0;
-        const bool held = atSomeMoment(served, [&](const Entry& entry) {
+        const bool wasTrue = atSomeMoment(received, [&](const Entry& entry) {
             if (read) return answer.body == configuration::renderConfiguration(*entry.table);
             return entry.state.evacuated.contains(order.call.zone) == order.evacuates();
         });
-        if (!held) violate("answered by an old state: " + order.key);
+        if (!wasTrue) violate("answered by an outdated state: " + order.key);
     }
 
     SplitMix random_;
@@ -592,7 +600,7 @@
     std::vector<Entry> log_;
     std::set<std::string> inLog_;  // keys of changes
     std::optional<InFlight> inFlight_;
-    std::set<std::pair<std::size_t, std::uint64_t>> looks_;
+    std::set<std::pair<std::size_t, std::uint64_t>> reevaluations_;
     std::uint64_t lastToken_ = 0;
     CallId lastId_ = 0;
     HistoryReport report_;
--- a/tests/control/operator_history_test.cpp
+++ b/tests/control/operator_history_test.cpp
@@ -7,36 +7,36 @@
 
 constexpr std::uint64_t kSeeds = 40;
 
-// Each fault has to be met often, else the histories show nothing.
-TEST(OperatorHistory, KeepsWhatItPromisesThroughFaults) {
+// Each situation has to occur often, else the histories show nothing.
+TEST(OperatorHistory, HoldsGuaranteesThroughFaults) {
     HistoryReport all;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
         const HistoryReport one = playHistory(seed);
         for (const std::string& violation : one.violations)
             ADD_FAILURE() << "seed " << seed << ": " << violation;
         all.answers += one.answers;
-        all.taken += one.taken;
-        all.takenAgain += one.takenAgain;
-        all.refused += one.refused;
+        all.applied += one.applied;
+        all.appliedAgain += one.appliedAgain;
+        all.rejected += one.rejected;
         all.reads += one.reads;
         all.atStaleMember += one.atStaleMember;
         all.unknown += one.unknown;
         all.viewChanges += one.viewChanges;
     }
     RecordProperty("answers", std::to_string(all.answers));
-    EXPECT_GT(all.taken, 10 * kSeeds);
-    EXPECT_GT(all.takenAgain, 15 * kSeeds);
-    EXPECT_GT(all.refused, 30 * kSeeds);
+    EXPECT_GT(all.applied, 10 * kSeeds);
+    EXPECT_GT(all.appliedAgain, 15 * kSeeds);
+    EXPECT_GT(all.rejected, 30 * kSeeds);
     EXPECT_GT(all.reads, 15 * kSeeds);
     EXPECT_GT(all.atStaleMember, 15 * kSeeds);
     EXPECT_GT(all.unknown, kSeeds);
     EXPECT_GT(all.viewChanges, 5 * kSeeds);
 }
 
-TEST(OperatorHistory, OfOneSeedIsTheSameEachTime) {
+TEST(OperatorHistory, IsDeterministicForOneSeed) {
     const HistoryReport first = playHistory(7), second = playHistory(7);
     EXPECT_EQ(first.answers, second.answers);
-    EXPECT_EQ(first.taken, second.taken);
+    EXPECT_EQ(first.applied, second.applied);
 }
 
 }  // namespace
--- a/tests/control/operator_variant_test.cpp
+++ b/tests/control/operator_variant_test.cpp
@@ -1,4 +1,4 @@
-// Linked with a broken variant of the code: the histories must find what it breaks (EXPECTED_VIOLATION), else they show nothing.
+// Linked with a broken variant of the code: the histories must detect what it breaks (EXPECTED_VIOLATION), else they show nothing.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t kSeeds = 40;  // as many as the code itself passes
 
-TEST(OperatorVariant, IsFound) {
+TEST(OperatorVariant, IsDetected) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
         const HistoryReport report = playHistory(seed);
         if (std::any_of(report.violations.begin(), report.violations.end(), [](const std::string& each) {
--- a/tests/control/run_test.cpp
+++ b/tests/control/run_test.cpp
@@ -1,4 +1,4 @@
-// The process of the control role in a thread: starts, serves alone where nothing is to be borne, heeds its signals.
+// The process of the control role in a thread: starts, serves alone where the fault tolerance is 0, handles its signals.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -21,7 +21,7 @@
 
 using Tcp = asio::ip::tcp;
 
-constexpr auto kMost = std::chrono::seconds(20);
+constexpr auto kConditionTimeout = std::chrono::seconds(20);
 
 std::uint16_t freePort(asio::io_context& io) {
     return Tcp::acceptor(io, {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
@@ -78,7 +78,7 @@
         return directoryPort_;
     }
     bool waitFor(const std::function<bool()>& condition) {
-        const auto end = std::chrono::steady_clock::now() + kMost;
+        const auto end = std::chrono::steady_clock::now() + kConditionTimeout;
         while (!condition()) {
             if (std::chrono::steady_clock::now() >= end) return false;
             std::this_thread::yield();
@@ -93,7 +93,7 @@
     std::uint16_t controlPort, readinessPort, internalPort_ = 0, directoryPort_ = 0;
 };
 
-TEST_F(RunTest, ServesAloneReadsItsSettingsAnewAndEndsInOrder) {
+TEST_F(RunTest, ServesAloneReloadsSettingsAndShutsDownGracefully) {
     writeSettings(2);
     int status = -1;
     std::thread process([&] { status = run(path.string(), clock, logger); });
@@ -111,7 +111,7 @@
     EXPECT_EQ(statusOf(io, controlPort, "/configuration"), 0);
 }
 
-TEST_F(RunTest, SettingsThatAreNotSoundEndItAtOnce) {
+TEST_F(RunTest, ExitsAtOnceOnInvalidSettings) {
     EXPECT_EQ(run((folder / "none.toml").string(), clock, logger), 2);
     std::ofstream(path) << "node_name = 7\n";
     EXPECT_EQ(run(path.string(), clock, logger), 2);
--- a/tests/golden/names/operator_refusals_test.cpp
+++ b/tests/golden/names/operator_refusals_test.cpp
@@ -96,7 +96,7 @@
         replica.inView = replica.isHead = replica.isTail = replica.writable = true;
     }
     void come(const std::string& method, const std::string& path) {
-        tell(CallCame{++lastId, parseOperatorCall(method, path, "").value()});
+        tell(CallReceived{++lastId, parseOperatorCall(method, path, "").value()});
     }
     void tell(OperatorEvent event) { calls.handle(now, replica, std::move(event), actions); }
     std::string lastAnswer(std::string_view name) const {
@@ -112,7 +112,7 @@
     CallId lastId = 0;
 };
 
-std::string elsewhere() {
+std::string anotherMemberHasTheRole() {
     MemberScript member;
     member.replica.isHead = member.replica.isTail = false;
     member.replica.head = {"10.0.0.1:8", true};
@@ -126,9 +126,9 @@
     member.replica.writable = false;
     if (inView) member.replica.isTail = true;
     member.come(method, path);
-    if (method == "GET" && inView) member.tell(BarrierDone{member.lastId, false});
-    member.now += kOperatorWait;
-    member.tell(Look{});
+    if (method == "GET" && inView) member.tell(ReadBarrierDone{member.lastId, false});
+    member.now += kOperatorCallTimeout;
+    member.tell(Reevaluate{});
     return member.lastAnswer(
         fmt::format("no place for {} {}", method, inView ? "in the view" : "out of the view"));
 }
@@ -137,7 +137,7 @@
     MemberScript member;
     member.replica.inView = false;
     member.come("GET", "/configuration");
-    member.tell(Leaving{});
+    member.tell(DrainStarted{});
     return member.lastAnswer("leaving");
 }
 
@@ -156,7 +156,7 @@
 }
 
 TEST(GoldenOperatorRefusals, OfAMember) {
-    const Lines lines{elsewhere(),
+    const Lines lines{anotherMemberHasTheRole(),
                       outOfReach("GET", "/configuration", false),
                       outOfReach("POST", "/evacuate/za", false),
                       outOfReach("GET", "/configuration", true),
--- a/tests/operator_client/status_test.cpp
+++ b/tests/operator_client/status_test.cpp
@@ -32,7 +32,7 @@
     status.leaseLength = 3000;
     status.hostList = control::HostListStatus{40, 1500};
     status.pendingLongPolls = 1;
-    status.writesTaken = 2;
+    status.committedWrites = 2;
     return status;
 }
 
--- a/tests/simulation/control_process.cpp
+++ b/tests/simulation/control_process.cpp
@@ -7,7 +7,7 @@
 namespace beechpoint::simulation {
 namespace {
 
-constexpr Millis kHeardLately = 700;
+constexpr Millis kUnresponsiveAfter = 700;
 constexpr Millis kServiceTick = 100;
 constexpr Millis kFreshnessLook = 25;
 constexpr Millis kLookEvery = 25;
@@ -54,7 +54,7 @@
     lookLater();
 }
 
-void ControlProcess::onOperatorLeft(std::uint64_t id) { operators_->onClientLeft(id); }
+void ControlProcess::onOperatorLeft(std::uint64_t id) { operators_->onClientDisconnected(id); }
 
 // ---- The replica
 
@@ -69,9 +69,9 @@
     handle(replica::ReadBarrier{token_});
 }
 
-bool ControlProcess::heardLately(const std::string& internalAddress) const {
+bool ControlProcess::isResponsive(const std::string& internalAddress) const {
     const auto found = heard_.find(internalAddress);
-    return found != heard_.end() && now() - found->second <= kHeardLately;
+    return found != heard_.end() && now() - found->second <= kUnresponsiveAfter;
 }
 
 void ControlProcess::callMember(const std::string& address, std::string bytes, Millis timeout,
@@ -101,13 +101,13 @@
     } else if (std::holds_alternative<replica::Committed>(action) ||
                std::holds_alternative<replica::TableReplaced>(action)) {
         callbacks_.emplace_back([this] { polls_->onTableMoved(); });
-        callbacks_.emplace_back([this] { operators_->look(); });
+        callbacks_.emplace_back([this] { operators_->onReplicaOrTimeChanged(); });
     } else if (const auto* timer = std::get_if<replica::SetTimer>(&action)) {
         arm(timer->at);
     } else if (std::holds_alternative<replica::ViewChanged>(action)) {
         hooks_.viewChanged(*this);
         callbacks_.emplace_back([this] { polls_->onView(); });
-        callbacks_.emplace_back([this] { operators_->look(); });
+        callbacks_.emplace_back([this] { operators_->onReplicaOrTimeChanged(); });
     }
 }
 
@@ -149,7 +149,7 @@
     looking_ = true;
     later(now() + kLookEvery, [this] {
         looking_ = false;
-        operators_->look();
+        operators_->onReplicaOrTimeChanged();
         lookLater();
     });
 }
--- a/tests/simulation/control_process.hpp
+++ b/tests/simulation/control_process.hpp
@@ -41,7 +41,7 @@
     const replica::Replica& replica() const override { return replica_; }
     void write(std::vector<Change> changes, std::function<void(bool)> done) override;
     void readBarrier(std::function<void(bool)> done) override;
-    bool heardLately(const std::string& internalAddress) const override;
+    bool isResponsive(const std::string& internalAddress) const override;
     void callMember(const std::string& address, std::string bytes, Millis timeout,
                     std::function<void(Bytes)> done) override;
 
--- a/tests/simulation/linearizability_test.cpp
+++ b/tests/simulation/linearizability_test.cpp
@@ -135,7 +135,7 @@
 
 TEST(Linearizability, AnUnknownOutcomeTakesEffectOnceAtMost) {
     const StoreOperation unknown{zoneCall(StoreCallKind::evacuate, 1), {}, 0, 0};
-    const StoreOperation back{zoneCall(StoreCallKind::takeBack, 1), done(0), 10, 11};
+    const StoreOperation back{zoneCall(StoreCallKind::cancelEvacuation, 1), done(0), 10, 11};
     EXPECT_EQ(verdictOf({unknown,
                          {StoreCall{}, shownZones(0, 0, 2), 2, 3},
                          back,
@@ -190,7 +190,7 @@
             else if (kind < 0.6)
                 operation.call = zoneCall(StoreCallKind::evacuate, random.below(3));
             else if (kind < 0.7)
-                operation.call = zoneCall(StoreCallKind::takeBack, random.below(3));
+                operation.call = zoneCall(StoreCallKind::cancelEvacuation, random.below(3));
             operation.invokedAt = time + 0.1 * random();
             operation.returnedAt = time + 0.5 + 0.3 * random();
             const bool lost = operation.call.versioned() && random() < 0.1;
--- a/tests/simulation/operator_process.cpp
+++ b/tests/simulation/operator_process.cpp
@@ -80,7 +80,7 @@
     }
     if (network_.chance(0.12)) {
         StoreCall call;
-        call.kind = network_.chance(0.5) ? StoreCallKind::evacuate : StoreCallKind::takeBack;
+        call.kind = network_.chance(0.5) ? StoreCallKind::evacuate : StoreCallKind::cancelEvacuation;
         call.zone = settings_.number * 2 + network_.below(2);
         return call;
     }
@@ -216,7 +216,7 @@
                     patchBody(call.revision, call.item, call.document[call.item])};
         case StoreCallKind::evacuate:
             return {"POST", "/evacuate/" + zoneName(call.zone), "", ""};
-        case StoreCallKind::takeBack:
+        case StoreCallKind::cancelEvacuation:
             return {"DELETE", "/evacuate/" + zoneName(call.zone), "", ""};
         case StoreCallKind::read:
             break;
--- a/tests/simulation/operator_service.cpp
+++ b/tests/simulation/operator_service.cpp
@@ -33,13 +33,13 @@
         if (!call) return respond({control::statusOfCallError(call.error()), "", "", {}, {}});
         call.value().body = request.body;
         waiting_.emplace(id, std::move(respond));
-        tell(control::CallCame{id, std::move(call.value())});
+        tell(control::CallReceived{id, std::move(call.value())});
     }
 
-    void onClientLeft(std::uint64_t id) override {
-        if (waiting_.erase(id) != 0) tell(control::ClientLeft{id});
+    void onClientDisconnected(std::uint64_t id) override {
+        if (waiting_.erase(id) != 0) tell(control::ClientDisconnected{id});
     }
-    void look() override { tell(control::Look{}); }
+    void onReplicaOrTimeChanged() override { tell(control::Reevaluate{}); }
     bool waiting() const override { return calls_.waiting(); }
 
 private:
@@ -56,7 +56,7 @@
         control::OperatorEvent event = std::move(events_.front());
         events_.pop_front();
         const control::ReplicaState state = control::replicaStateOf(
-            &port_.replica(), [this](const std::string& address) { return port_.heardLately(address); });
+            &port_.replica(), [this](const std::string& address) { return port_.isResponsive(address); });
         std::vector<control::OperatorAction> actions;
         calls_.handle(port_.now(), state, std::move(event), actions);
         for (control::OperatorAction& action : actions)
@@ -70,9 +70,9 @@
             throw std::runtime_error("the operators' calls go round without time going on");
     }
 
-    void carryOut(const control::StartBarrier& action) {
-        auto done = [this, id = action.id](bool ok) { tell(control::BarrierDone{id, ok}); };
-        if (action.emptyBatch)
+    void carryOut(const control::StartReadBarrier& action) {
+        auto done = [this, id = action.id](bool ok) { tell(control::ReadBarrierDone{id, ok}); };
+        if (action.kind == control::ReadBarrierKind::emptyBatch)
             port_.write({}, std::move(done));
         else
             port_.readBarrier(std::move(done));
@@ -80,7 +80,7 @@
 
     void carryOut(control::StartWrite& action) {
         if (!waiting_.contains(action.id)) {
-            events_.emplace_back(control::ClientLeft{action.id});
+            events_.emplace_back(control::ClientDisconnected{action.id});
             return tell(control::WriteDone{action.id, control::WriteResult::notStarted});
         }
         if (port_.replica().committedPosition() != action.base)
@@ -96,7 +96,7 @@
         if (!node.empty()) node.mapped()({action.status, action.body, locationIn(action.headers), {}, {}});
     }
 
-    void carryOut(const control::Note&) {}
+    void carryOut(const control::LogEvent&) {}
 
     ReplicaPort& port_;
     control::OperatorCalls calls_;
--- a/tests/simulation/services.hpp
+++ b/tests/simulation/services.hpp
@@ -20,7 +20,7 @@
     virtual const replica::Replica& replica() const = 0;
     virtual void write(std::vector<Change> changes, std::function<void(bool committed)> done) = 0;
     virtual void readBarrier(std::function<void(bool ok)> done) = 0;
-    virtual bool heardLately(const std::string& internalAddress) const = 0;
+    virtual bool isResponsive(const std::string& internalAddress) const = 0;
     virtual void callMember(const std::string& address, std::string bytes, Millis timeout,
                             std::function<void(Bytes)> done) = 0;
 };
@@ -30,9 +30,9 @@
     using Respond = std::function<void(OperatorAnswer)>;
     virtual ~OperatorService() = default;
     virtual void onCall(std::uint64_t id, const OperatorRequest& request, Respond respond) = 0;
-    virtual void onClientLeft(std::uint64_t id) = 0;
-    virtual void look() = 0;
-    virtual bool waiting() const = 0;  // look() is wanted often
+    virtual void onClientDisconnected(std::uint64_t id) = 0;
+    virtual void onReplicaOrTimeChanged() = 0;
+    virtual bool waiting() const = 0;  // onReplicaOrTimeChanged() is wanted often
 };
 
 class PollService {
--- a/tests/simulation/store_specification.hpp
+++ b/tests/simulation/store_specification.hpp
@@ -19,7 +19,7 @@
 // The configuration as far as the runs change it: one number for each of a few routes.
 using Document = std::array<std::uint32_t, kDocumentItems>;
 
-enum class StoreCallKind { read, put, patch, evacuate, takeBack };
+enum class StoreCallKind { read, put, patch, evacuate, cancelEvacuation };
 
 struct StoreCall {
     StoreCallKind kind = StoreCallKind::read;
--- a/tests/simulation/variant_test.cpp
+++ b/tests/simulation/variant_test.cpp
@@ -20,7 +20,7 @@
     return {};
 }
 
-TEST(SimulationVariant, IsFound) {
+TEST(SimulationVariant, IsDetected) {
     const std::string failure = firstFailure();
     EXPECT_NE(failure.find(EXPECTED_FAILURE), std::string::npos) << "found: " << failure;
     RecordProperty("failure", failure);
