--- a/src/control/callback_queue.hpp
+++ b/src/control/callback_queue.hpp
@@ -13,6 +13,8 @@
     void add(std::function<void()> callback);
     /// Runs all in order, also those added meanwhile. Called from within a callback it does nothing: the outer call goes on.
     void run();
+    /// Whether run() is under way.
+    [[nodiscard]] bool running() const { return running_; }
     /// Those that have not begun are dropped.
     void clear() { callbacks_.clear(); }
 
--- a/tests/simulation/control_process.cpp
+++ b/tests/simulation/control_process.cpp
@@ -7,17 +7,16 @@
 namespace beechpoint::simulation {
 namespace {
 
-constexpr Millis kUnresponsiveAfter = 700;
 constexpr Millis kServiceTick = 100;
-constexpr Millis kFreshnessLook = 25;
-constexpr Millis kLookEvery = 25;
+constexpr Millis kFreshnessTick = 25;
+constexpr Millis kReevaluateEvery = 25;
 
 }  // namespace
 
-ControlProcess::ControlProcess(VirtualNetwork& network, Wires& wires, VirtualDisk& disk, const Hooks& hooks,
-                               Machine machine, replica::Settings settings)
+ControlProcess::ControlProcess(VirtualNetwork& network, Transport& transport, VirtualDisk& disk,
+                               const Hooks& hooks, Machine machine, replica::Settings settings)
     : Process(network, machine),
-      wires_(wires),
+      transport_(transport),
       disk_(disk),
       hooks_(hooks),
       replica_(std::move(settings), disk.contents(), network.bits(), network.now()),
@@ -32,7 +31,7 @@
 // ---- What comes in
 
 void ControlProcess::onReplicaMessage(const replica::Message& message) {
-    heard_[message.from.internalAddress] = now();
+    responsiveMembers_.onMessage(message.from.internalAddress, now());
     handle(replica::MessageReceived{message});
 }
 
@@ -51,32 +50,31 @@
         respond(std::move(answer));
     };
     operators_->onCall(id, request, std::move(showZones));
-    lookLater();
+    reevaluateLater();
 }
 
-void ControlProcess::onOperatorLeft(std::uint64_t id) { operators_->onClientDisconnected(id); }
+void ControlProcess::onOperatorDisconnected(std::uint64_t id) { operators_->onClientDisconnected(id); }
 
 // ---- The replica
 
 void ControlProcess::write(std::vector<Change> changes, std::function<void(bool)> done) {
-    writes_.emplace(++token_, std::move(done));
+    writes_.add(++token_, std::move(done));
     hooks_.wrote();
     handle(replica::ClientWrite{token_, std::move(changes)});
 }
 
 void ControlProcess::readBarrier(std::function<void(bool)> done) {
-    reads_.emplace(++token_, std::move(done));
+    readBarriers_.add(++token_, std::move(done));
     handle(replica::ReadBarrier{token_});
 }
 
 bool ControlProcess::isResponsive(const std::string& internalAddress) const {
-    const auto found = heard_.find(internalAddress);
-    return found != heard_.end() && now() - found->second <= kUnresponsiveAfter;
+    return responsiveMembers_.isResponsive(internalAddress, now());
 }
 
 void ControlProcess::callMember(const std::string& address, std::string bytes, Millis timeout,
                                 std::function<void(Bytes)> done) {
-    wires_.call(*this, address, std::move(bytes), timeout, std::move(done));
+    transport_.call(*this, address, std::move(bytes), timeout, std::move(done));
 }
 
 void ControlProcess::handle(const replica::Event& event) {
@@ -84,49 +82,42 @@
     replica_.handle(now(), event, actions);
     for (const replica::Action& action : actions) carryOut(action);
     hooks_.stepped(*this);
-    notify();
+    runCallbacks();
 }
 
 void ControlProcess::carryOut(const replica::Action& action) {
     if (const auto* send = std::get_if<replica::Send>(&action)) {
         hooks_.sent(send->message.body);
-        wires_.sendReplicaMessage(*this, send->address, send->message);
+        transport_.sendReplicaMessage(*this, send->address, send->message);
     } else if (const auto* persist = std::get_if<replica::Persist>(&action)) {
         disk_.persist(persist->update,
                       guarded([this, token = persist->token] { handle(replica::Persisted{token}); }));
     } else if (const auto* wrote = std::get_if<replica::WriteDone>(&action)) {
         finish(writes_, wrote->token, wrote->outcome == replica::WriteOutcome::committed);
     } else if (const auto* read = std::get_if<replica::ReadDone>(&action)) {
-        finish(reads_, read->token, read->ok);
+        finish(readBarriers_, read->token, read->ok);
     } else if (std::holds_alternative<replica::Committed>(action) ||
                std::holds_alternative<replica::TableReplaced>(action)) {
-        callbacks_.emplace_back([this] { polls_->onTableMoved(); });
-        callbacks_.emplace_back([this] { operators_->onReplicaOrTimeChanged(); });
+        callbacks_.add([this] { polls_->onTableChanged(); });
+        callbacks_.add([this] { operators_->onReplicaOrTimeChanged(); });
     } else if (const auto* timer = std::get_if<replica::SetTimer>(&action)) {
         arm(timer->at);
     } else if (std::holds_alternative<replica::ViewChanged>(action)) {
         hooks_.viewChanged(*this);
-        callbacks_.emplace_back([this] { polls_->onView(); });
-        callbacks_.emplace_back([this] { operators_->onReplicaOrTimeChanged(); });
+        callbacks_.add([this] { polls_->onViewChanged(); });
+        callbacks_.add([this] { operators_->onReplicaOrTimeChanged(); });
     }
 }
 
-void ControlProcess::finish(Waiting& waiting, std::uint64_t token, bool result) {
-    auto node = waiting.extract(token);
-    if (node.empty()) return;
-    callbacks_.emplace_back([done = std::move(node.mapped()), result] { done(result); });
+void ControlProcess::finish(control::PendingOperations& operations, std::uint64_t token, bool succeeded) {
+    auto done = operations.take(token);
+    if (done) callbacks_.add([done = std::move(done), succeeded] { done(succeeded); });
 }
 
-void ControlProcess::notify() {
-    if (notifying_) return;
-    notifying_ = true;
-    while (!callbacks_.empty()) {
-        const auto callback = std::move(callbacks_.front());
-        callbacks_.pop_front();
-        callback();
-    }
-    notifying_ = false;
-    lookLater();
+void ControlProcess::runCallbacks() {
+    if (callbacks_.running()) return;
+    callbacks_.run();
+    reevaluateLater();
 }
 
 void ControlProcess::arm(Millis time) {
@@ -141,16 +132,16 @@
 void ControlProcess::tick() {
     polls_->tick();
     hooks_.stepped(*this);
-    later(now() + (polls_->waitsForFreshness() ? kFreshnessLook : kServiceTick), [this] { tick(); });
+    later(now() + (polls_->waitsForFreshness() ? kFreshnessTick : kServiceTick), [this] { tick(); });
 }
 
-void ControlProcess::lookLater() {
-    if (looking_ || !operators_->waiting()) return;
-    looking_ = true;
-    later(now() + kLookEvery, [this] {
-        looking_ = false;
+void ControlProcess::reevaluateLater() {
+    if (reevaluationArmed_ || !operators_->waiting()) return;
+    reevaluationArmed_ = true;
+    later(now() + kReevaluateEvery, [this] {
+        reevaluationArmed_ = false;
         operators_->onReplicaOrTimeChanged();
-        lookLater();
+        reevaluateLater();
     });
 }
 
--- a/tests/simulation/control_process.hpp
+++ b/tests/simulation/control_process.hpp
@@ -1,14 +1,16 @@
-// A control member's process: the real replica on a virtual disk and network, with its services.
+/// A control member's process: the real replica on a virtual disk and network, with its services. Drives them as
+/// control/replica_driver.cpp and control/control.cpp do.
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <functional>
-#include <map>
 #include <memory>
 #include <string>
 #include <vector>
 
+#include "control/callback_queue.hpp"
+#include "control/pending_operations.hpp"
+#include "control/responsive_members.hpp"
 #include "process.hpp"
 #include "replica/replica.hpp"
 #include "services.hpp"
@@ -25,7 +27,7 @@
         std::function<void()> wrote;  // a change was given to the chain
     };
 
-    ControlProcess(VirtualNetwork& network, Wires& wires, VirtualDisk& disk, const Hooks& hooks,
+    ControlProcess(VirtualNetwork& network, Transport& transport, VirtualDisk& disk, const Hooks& hooks,
                    Machine machine, replica::Settings settings);
     void start();
 
@@ -33,7 +35,7 @@
     void onCall(const std::string& bytes, std::function<void(std::string)> respond);
     void onOperatorCall(std::uint64_t id, const OperatorRequest& request,
                         std::function<void(OperatorAnswer)> respond);
-    void onOperatorLeft(std::uint64_t id);
+    void onOperatorDisconnected(std::uint64_t id);
     bool writeInFlight() const { return !writes_.empty(); }
 
     // ---- ReplicaPort
@@ -46,27 +48,27 @@
                     std::function<void(Bytes)> done) override;
 
 private:
-    using Waiting = std::map<std::uint64_t, std::function<void(bool)>>;
     void handle(const replica::Event& event);
     void carryOut(const replica::Action& action);
-    void finish(Waiting& waiting, std::uint64_t token, bool result);
-    void notify();
+    void finish(control::PendingOperations& operations, std::uint64_t token, bool succeeded);
+    void runCallbacks();
     void arm(Millis time);
     void tick();
-    void lookLater();
+    void reevaluateLater();
 
-    Wires& wires_;
+    Transport& transport_;
     VirtualDisk& disk_;
     const Hooks& hooks_;
     replica::Replica replica_;
     std::unique_ptr<OperatorService> operators_;
     std::unique_ptr<PollService> polls_;
     std::uint64_t token_ = 0;
-    Waiting writes_, reads_;
-    std::deque<std::function<void()>> callbacks_;
-    bool notifying_ = false, looking_ = false;
+    control::PendingOperations writes_;
+    control::PendingOperations readBarriers_;
+    control::CallbackQueue callbacks_;
+    control::ResponsiveMembers responsiveMembers_;
+    bool reevaluationArmed_ = false;
     Millis timer_ = 0;
-    std::map<std::string, Millis> heard_;
 };
 
 }  // namespace beechpoint::simulation
--- a/tests/simulation/episodes.cpp
+++ b/tests/simulation/episodes.cpp
@@ -12,11 +12,11 @@
 namespace beechpoint::simulation {
 namespace {
 
-constexpr Millis kFounding = 6'000;
-constexpr Millis kMoment = 4'000;    // to wait for the moment of a fault
-constexpr Millis kNextYes = 15'000;  // operators try members that are silent for 2 s each
-constexpr Millis kReturn = 10'000;
-constexpr Millis kCutLow = 15'000, kCutHigh = 22'000;
+constexpr Millis kFirstView = 6'000;
+constexpr Millis kFaultMoment = 4'000;           // to wait for the moment of a fault
+constexpr Millis kNextAcknowledgement = 15'000;  // operators wait 2 s for each unresponsive member
+constexpr Millis kRecovery = 10'000;
+constexpr Millis kMinPartition = 15'000, kMaxPartition = 22'000;
 
 using Members = std::vector<std::size_t>;
 
@@ -42,66 +42,69 @@
     return members;
 }
 
-// Strikes now, as a write is under way, right after an acknowledgement, or as a view comes.
-void strike(World& world, Episode episode, std::function<void()> fault) {
+// Injects the fault now, as a write is under way, right after an acknowledgement, or as a view comes.
+void injectFault(World& world, Episode episode, std::function<void()> fault) {
     const auto done = std::make_shared<bool>(false);
     auto once = [&world, episode, fault = std::move(fault), done] {
         if (std::exchange(*done, true) || world.failed()) return;
-        world.strike(nameOf(episode));
+        world.countFault(nameOf(episode));
         fault();
     };
-    const bool afterYes = episode == Episode::killAfterYes || episode == Episode::wipeAfterYes;
+    const bool afterAcknowledgement =
+        episode == Episode::killAfterAcknowledgement || episode == Episode::diskLossAfterAcknowledgement;
     const double moment = world.network().draw(0, 1);
-    if (afterYes || moment < 0.25)
-        world.onNextYes(once);
+    if (afterAcknowledgement || moment < 0.25)
+        world.onNextAcknowledgement(once);
     else if (moment < 0.75)
         world.onNextWrite(once);
     else
         world.network().at(world.now(), once);
-    if (!world.network().runUntil(kMoment, [&] { return *done; })) once();
-    world.onNextYes(nullptr);
+    if (!world.network().runUntil(kFaultMoment, [&] { return *done; })) once();
+    world.onNextAcknowledgement(nullptr);
     world.onNextWrite(nullptr);
 }
 
-void requireNextYes(World& world) {
+void requireNextAcknowledgement(World& world) {
     const std::uint64_t before = world.acknowledged();
     const Millis began = world.now();
-    if (!world.network().runUntil(kNextYes, [&] { return world.acknowledged() > before; })) {
+    if (!world.network().runUntil(kNextAcknowledgement, [&] { return world.acknowledged() > before; })) {
         if (!world.failed()) world.fail("no change is acknowledged any more");
         return;
     }
-    world.counters().slowestNextYes = std::max(world.counters().slowestNextYes, world.now() - began);
+    world.counters().slowestNextAcknowledgement =
+        std::max(world.counters().slowestNextAcknowledgement, world.now() - began);
 }
 
-void requireWhole(World& world) {
+void requireRecovery(World& world) {
     const Millis began = world.now();
-    if (!world.network().runUntil(kReturn, [&] { return world.whole(); })) {
+    if (!world.network().runUntil(kRecovery, [&] { return world.allMembersFresh(); })) {
         if (!world.failed()) world.fail("not all members came back");
         return;
     }
-    world.counters().slowestReturn = std::max(world.counters().slowestReturn, world.now() - began);
+    world.counters().slowestRecovery = std::max(world.counters().slowestRecovery, world.now() - began);
 }
 
 // ---- Losses
 
 void stopAndStart(World& world, Episode episode, std::size_t member, const std::function<void()>& stop) {
-    strike(world, episode, stop);
+    injectFault(world, episode, stop);
     world.network().runFor(world.network().draw(30, 2'500));
     world.start(member);
 }
 
-void freezeAWhile(World& world) {
+void freezeForAWhile(World& world) {
     const std::size_t member = victim(world);
-    strike(world, Episode::freeze, [&world, member] { world.freeze(member); });
-    world.network().runFor(world.network().chance(0.2) ? world.network().draw(kCutLow, kCutHigh)
+    injectFault(world, Episode::freeze, [&world, member] { world.freeze(member); });
+    world.network().runFor(world.network().chance(0.2) ? world.network().draw(kMinPartition, kMaxPartition)
                                                        : world.network().draw(100, 4'000));
     world.thaw(member);
 }
 
-void loseDuringRepair(World& world) {
+void loseDuringRecovery(World& world) {
     const std::size_t first = victim(world);
-    strike(world, Episode::lossDuringRepair,
-           [&world, first] { world.network().chance(0.5) ? world.wipe(first) : world.losePower(first); });
+    injectFault(world, Episode::lossDuringRecovery, [&world, first] {
+        world.network().chance(0.5) ? world.eraseDisk(first) : world.losePower(first);
+    });
     world.network().at(world.now() + world.network().draw(50, 1'500),
                        [&world, first] { world.start(first); });
     Members stopped;
@@ -110,7 +113,7 @@
         const auto done = std::make_shared<bool>(false);
         const auto stop = [&world, next, done] {
             if (std::exchange(*done, true)) return;
-            world.strike(nameOf(Episode::lossDuringRepair));
+            world.countFault(nameOf(Episode::lossDuringRecovery));
             world.network().chance(0.5) ? world.kill(next) : world.losePower(next);
         };
         world.network().chance(0.5) ? world.onNextView(stop) : world.onNextVote(stop);
@@ -128,11 +131,11 @@
 
 void stopAll(World& world) {
     const bool power = world.network().chance(0.6);
-    const std::size_t wiped = world.network().chance(0.4) ? anyMember(world) : world.members();
+    const std::size_t erased = world.network().chance(0.4) ? anyMember(world) : world.members();
     const Members all = world.present();
-    strike(world, Episode::allAtOnce, [&world, all, power, wiped] {
+    injectFault(world, Episode::allAtOnce, [&world, all, power, erased] {
         for (const std::size_t member : all)
-            member == wiped ? world.wipe(member) : power ? world.losePower(member) : world.kill(member);
+            member == erased ? world.eraseDisk(member) : power ? world.losePower(member) : world.kill(member);
     });
     for (const std::size_t member : all)
         world.network().at(world.now() + world.network().draw(50, 1'500),
@@ -140,35 +143,36 @@
     world.network().runFor(1'500);
 }
 
-// ---- Cuts
+// ---- Partitions
 
-enum class Way { both, in, out };
+enum class Direction { both, in, out };
 
-void cutBetween(World& world, Machine inside, Machine outside, Way way) {
-    if (way != Way::out) world.network().cut(outside, inside);
-    if (way != Way::in) world.network().cut(inside, outside);
+void partitionBetween(World& world, Machine inside, Machine outside, Direction direction) {
+    if (direction != Direction::out) world.network().partition(outside, inside);
+    if (direction != Direction::in) world.network().partition(inside, outside);
 }
 
-void cutMembers(World& world, const Members& inside, Way way) {
+void partitionMembers(World& world, const Members& inside, Direction direction) {
     const std::set<std::size_t> in(inside.begin(), inside.end());
     for (const std::size_t one : inside)
         for (const std::size_t other : world.present())
-            if (!in.contains(other)) cutBetween(world, world.machineOf(one), world.machineOf(other), way);
+            if (!in.contains(other))
+                partitionBetween(world, world.machineOf(one), world.machineOf(other), direction);
 }
 
-void cutFromGateways(World& world, const Members& members, const std::function<bool(std::size_t)>& concerns,
-                     Way way) {
+void partitionFromGateways(World& world, const Members& members,
+                           const std::function<bool(std::size_t)>& concerns, Direction direction) {
     for (const std::size_t member : members)
         for (std::size_t gateway = 0; gateway < world.gateways(); ++gateway)
             if (concerns(gateway))
-                cutBetween(world, world.machineOf(member), world.gatewayMachine(gateway), way);
+                partitionBetween(world, world.machineOf(member), world.gatewayMachine(gateway), direction);
 }
 
-void cutFromOperators(World& world, const Members& members, Machine only) {
+void partitionFromOperators(World& world, const Members& members, Machine only) {
     for (const std::size_t member : members)
         for (Machine operatorMachine = 0; operatorMachine < kOperators; ++operatorMachine)
             if (only == kOperators || operatorMachine == only)
-                cutBetween(world, world.machineOf(member), operatorMachine, Way::both);
+                partitionBetween(world, world.machineOf(member), operatorMachine, Direction::both);
 }
 
 Members others(World& world, const Members& members) {
@@ -178,67 +182,72 @@
     return rest;
 }
 
-// While it lasts, changes go on at the others.
-void endureCut(World& world, const Members& inside) {
-    const Millis until = world.now() + world.network().draw(kCutLow, kCutHigh);
-    requireNextYes(world);
-    if (world.network().chance(0.3)) {  // a process may restart behind the cut
+// While the partition lasts, changes go on at the others.
+void runPartitioned(World& world, const Members& inside) {
+    const Millis until = world.now() + world.network().draw(kMinPartition, kMaxPartition);
+    requireNextAcknowledgement(world);
+    if (world.network().chance(0.3)) {  // a process may restart inside the partition
         world.network().runFor(world.network().draw(500, 5'000));
         world.kill(inside.front());
         world.network().runFor(world.network().draw(100, 2'000));
         world.start(inside.front());
     }
     world.network().runFor(std::max(0.0, until - world.now()));
-    world.network().joinAll();
+    world.network().healAll();
 }
 
-void cutAlone(World& world) {
+void partitionOneMember(World& world) {
     const Members inside{victim(world)};
-    const double direction = world.network().draw(0, 1);
-    const Way way = direction < 0.5 ? Way::both : direction < 0.75 ? Way::in : Way::out;
+    const double choice = world.network().draw(0, 1);
+    Direction direction = Direction::both;
+    if (choice >= 0.75)
+        direction = Direction::out;
+    else if (choice >= 0.5)
+        direction = Direction::in;
     const bool gateways = world.network().chance(0.4), operators = world.network().chance(0.4);
-    strike(world, Episode::cutAlone, [&world, inside, way, gateways, operators] {
-        cutMembers(world, inside, way);
+    injectFault(world, Episode::partitionOneMember, [&world, inside, direction, gateways, operators] {
+        partitionMembers(world, inside, direction);
         if (gateways)
-            cutFromGateways(
-                world, inside, [](std::size_t) { return true; }, way);
-        if (operators) cutFromOperators(world, inside, kOperators);
+            partitionFromGateways(
+                world, inside, [](std::size_t) { return true; }, direction);
+        if (operators) partitionFromOperators(world, inside, kOperators);
     });
-    endureCut(world, inside);
+    runPartitioned(world, inside);
 }
 
-// Every other gateway is on the cut members' side, and sometimes one operator.
-void cutGroup(World& world, Episode episode) {
-    const bool withSeeds = episode == Episode::cutWithSeeds;
+// Every other gateway is on the partitioned members' side, and sometimes one operator.
+void partitionMinority(World& world, Episode episode) {
+    const bool withSeeds = episode == Episode::partitionMinorityWithSeeds;
     const Members inside = minority(world, withSeeds);
     const bool anOperator = world.network().chance(0.3);
     const bool partOfGateways = !withSeeds || world.network().chance(0.6);
-    strike(world, episode, [&world, inside, anOperator, partOfGateways] {
+    injectFault(world, episode, [&world, inside, anOperator, partOfGateways] {
         const Members outside = others(world, inside);
         const auto isInside = [](std::size_t gateway) { return gateway % 2 == 0; };
-        cutMembers(world, inside, Way::both);
+        partitionMembers(world, inside, Direction::both);
         if (partOfGateways) {
-            cutFromGateways(world, outside, isInside, Way::both);
-            cutFromGateways(world, inside, std::not_fn(isInside), Way::both);
+            partitionFromGateways(world, outside, isInside, Direction::both);
+            partitionFromGateways(world, inside, std::not_fn(isInside), Direction::both);
         }
-        if (anOperator) cutFromOperators(world, outside, 0);
+        if (anOperator) partitionFromOperators(world, outside, 0);
     });
     if (withSeeds) {
         world.network().runFor(world.network().draw(200, 3'000));
         for (std::size_t gateway = 0; gateway < world.gateways(); gateway += 2) world.restartGateway(gateway);
     }
-    endureCut(world, inside);
+    runPartitioned(world, inside);
 }
 
-void loseDiskBehindCut(World& world) {
+void loseDiskOutsidePartition(World& world) {
     const Members inside = minority(world, false);
     const Members rest = others(world, inside);
-    strike(world, Episode::diskLostBehind, [&world, inside] { cutMembers(world, inside, Way::both); });
-    requireNextYes(world);
+    injectFault(world, Episode::diskLossOutsidePartition,
+                [&world, inside] { partitionMembers(world, inside, Direction::both); });
+    requireNextAcknowledgement(world);
     world.network().runFor(world.network().draw(200, 3'000));
     const std::size_t lost = rest[world.network().below(rest.size())];
-    for (const std::size_t member : rest) member == lost ? world.wipe(member) : world.losePower(member);
-    world.network().joinAll();
+    for (const std::size_t member : rest) member == lost ? world.eraseDisk(member) : world.losePower(member);
+    world.network().healAll();
     world.network().runFor(world.network().draw(50, 1'500));
     world.start(lost);
     world.network().runFor(world.network().draw(50, 3'000));
@@ -253,10 +262,10 @@
     const Episode episode = planned ? Episode::replacePlanned : Episode::replaceLost;
     if (planned) {
         world.start(world.addMember(world.zoneOf(old)));
-        requireWhole(world);
-        strike(world, episode, [&world, old] { world.retire(old); });
+        requireRecovery(world);
+        injectFault(world, episode, [&world, old] { world.retire(old); });
     } else {
-        strike(world, episode, [&world, old] {
+        injectFault(world, episode, [&world, old] {
             world.losePower(old);
             world.retire(old);
         });
@@ -269,64 +278,73 @@
     const std::size_t member = victim(world);
     switch (episode) {
         case Episode::kill:
-        case Episode::killAfterYes:
+        case Episode::killAfterAcknowledgement:
             return stopAndStart(world, episode, member, [&world, member] { world.kill(member); });
-        case Episode::power:
+        case Episode::powerLoss:
             return stopAndStart(world, episode, member, [&world, member] { world.losePower(member); });
-        case Episode::wipe:
-        case Episode::wipeAfterYes:
-            return stopAndStart(world, episode, member, [&world, member] { world.wipe(member); });
+        case Episode::diskLoss:
+        case Episode::diskLossAfterAcknowledgement:
+            return stopAndStart(world, episode, member, [&world, member] { world.eraseDisk(member); });
         case Episode::freeze:
-            return freezeAWhile(world);
-        case Episode::cutAlone:
-            return cutAlone(world);
-        case Episode::cutWithGateways:
-        case Episode::cutWithSeeds:
-            return cutGroup(world, episode);
+            return freezeForAWhile(world);
+        case Episode::partitionOneMember:
+            return partitionOneMember(world);
+        case Episode::partitionMinority:
+        case Episode::partitionMinorityWithSeeds:
+            return partitionMinority(world, episode);
         case Episode::replacePlanned:
             return replace(world, true);
         case Episode::replaceLost:
             return replace(world, false);
-        case Episode::lossDuringRepair:
-            return loseDuringRepair(world);
+        case Episode::lossDuringRecovery:
+            return loseDuringRecovery(world);
         case Episode::allAtOnce:
             return stopAll(world);
-        case Episode::diskLostBehind:
-            return loseDiskBehindCut(world);
+        case Episode::diskLossOutsidePartition:
+            return loseDiskOutsidePartition(world);
     }
 }
 
 }  // namespace
 
 std::string nameOf(Episode episode) {
-    static constexpr std::array<const char*, kEpisodes> kNames{
-        "kill",          "power loss",        "wipe",           "freeze",
-        "cut alone",     "cut with gateways", "cut with seeds", "replaced planned",
-        "replaced lost", "kill after yes",    "wipe after yes", "loss during repair",
-        "all at once",   "disk lost behind"};
+    static constexpr std::array<const char*, kEpisodes> kNames{"kill",
+                                                               "power loss",
+                                                               "disk loss",
+                                                               "freeze",
+                                                               "partition of one member",
+                                                               "partition of a minority",
+                                                               "partition of a minority with the seeds",
+                                                               "planned replacement",
+                                                               "replacement of a lost member",
+                                                               "kill after an acknowledgement",
+                                                               "disk loss after an acknowledgement",
+                                                               "loss during recovery",
+                                                               "loss of all at once",
+                                                               "disk loss outside a partition"};
     return kNames.at(static_cast<std::size_t>(episode));
 }
 
 void playEpisodes(World& world, const std::vector<Episode>& episodes) {
     for (const Episode episode : episodes) {
         if (world.failed()) return;
-        world.note("episode: " + nameOf(episode));
+        world.traceEvent("episode: " + nameOf(episode));
         play(world, episode);
-        requireNextYes(world);
-        requireWhole(world);
+        requireNextAcknowledgement(world);
+        requireRecovery(world);
         world.network().runFor(world.network().draw(0, 1'500));
     }
 }
 
 void playRun(World& world, const std::vector<Episode>& episodes) {
     VirtualNetwork& network = world.network();
-    if (!network.runUntil(kFounding, [&] { return world.whole(); }) && !world.failed())
-        world.fail("no founding");
-    network.trouble() = {network.draw(0, 0.01), network.draw(0, 15), network.draw(0, 0.04)};
+    if (!network.runUntil(kFirstView, [&] { return world.allMembersFresh(); }) && !world.failed())
+        world.fail("the first view was not formed");
+    network.faults() = {network.draw(0, 0.01), network.draw(0, 15), network.draw(0, 0.04)};
     world.startOperators();
     network.runFor(1'000);
     playEpisodes(world, episodes);
-    network.trouble() = {};
+    network.faults() = {};
     network.runFor(2'000);
     world.stopOperators();
     if (!network.runUntil(30'000, [&] { return world.operatorsIdle(); }) && !world.failed())
--- a/tests/simulation/gateway_process.cpp
+++ b/tests/simulation/gateway_process.cpp
@@ -6,8 +6,9 @@
 
 namespace beechpoint::simulation {
 
-GatewayProcess::GatewayProcess(VirtualNetwork& network, Wires& wires, Machine machine, std::string name,
-                               std::vector<std::string> seeds, std::function<void(GatewayProcess&)> moved)
+GatewayProcess::GatewayProcess(VirtualNetwork& network, Transport& transport, Machine machine,
+                               std::string name, std::vector<std::string> seeds,
+                               std::function<void(GatewayProcess&)> moved)
     : Process(network, machine),
       name_(std::move(name)),
       session_(network.bits()),
@@ -15,9 +16,9 @@
       link_(makeGatewayLink(
           name_, network.bits(),
           {[this] { return request(); }, [this](const control::PollReply& reply) { onReply(reply); },
-           [this, &wires](const std::string& address, std::string bytes, Millis timeout,
-                          std::function<void(Bytes)> done) {
-               wires.call(*this, address, std::move(bytes), timeout, std::move(done));
+           [this, &transport](const std::string& address, std::string bytes, Millis timeout,
+                              std::function<void(Bytes)> done) {
+               transport.call(*this, address, std::move(bytes), timeout, std::move(done));
            },
            [&network] { return network.now(); },
            [this](Millis time, std::function<void()> step) { later(time, std::move(step)); }})) {
--- a/tests/simulation/gateway_process.hpp
+++ b/tests/simulation/gateway_process.hpp
@@ -32,7 +32,7 @@
 
 class GatewayProcess : public Process {
 public:
-    GatewayProcess(VirtualNetwork& network, Wires& wires, Machine machine, std::string name,
+    GatewayProcess(VirtualNetwork& network, Transport& transport, Machine machine, std::string name,
                    std::vector<std::string> seeds, std::function<void(GatewayProcess&)> moved);
     void start();
     const routing::RoutingTable& table() const { return *copy_.current(); }
--- a/tests/simulation/linearizability.hpp
+++ b/tests/simulation/linearizability.hpp
@@ -1,9 +1,9 @@
 // Whether a history of calls is linearizable: whether each call can be thought to take effect at one moment between its begin and its
 // end so that all answers are those of a sequential specification.
 //
-// The search is that of Wing and Gong (1993) with the cache of (state, set of taken calls) of Lowe (2017). It goes through the history
-// by time and breadth first, with calls taken only where the end of some call asks for it ("just in time"). What is kept at each moment
-// is the set of distinct configurations: a state, and which of the open calls are not yet taken. So a moment without open calls
+// The search is that of Wing and Gong (1993) with the cache of (state, set of linearized calls) of Lowe (2017). It goes through the history
+// by time and breadth first, with calls linearized only where the end of some call asks for it ("just in time"). What is kept at each moment
+// is the set of distinct configurations: a state, and which of the open calls are not yet linearized. So a moment without open calls
 // leaves nothing but the states that are possible there, and the work grows with the length of the history, not with its square.
 //
 // A call without an answer is open to the end: it takes effect once or never.
@@ -12,7 +12,7 @@
 //   std::size_t hash(const State&)
 //   std::optional<State> step(const State&, const Call&, const std::optional<Answer>&)   the state after the call; nothing where the
 //                                                                                       call could not have got that answer there
-//   bool spent(const State&, const Call&)   a call without an answer can change nothing, in this state and in all that may follow
+//   bool cannotTakeEffect(const State&, const Call&)   a call without an answer can change nothing, in this state and in all that may follow
 #pragma once
 
 #include <algorithm>
@@ -32,7 +32,7 @@
     typename Specification::Call call;
     std::optional<typename Specification::Answer> answer;  // nothing: the outcome is not known
     Millis invokedAt = 0;
-    Millis returnedAt = 0;  // of no account without an answer
+    Millis returnedAt = 0;  // meaningless without an answer
 };
 
 enum class Verdict { linearizable, notLinearizable, undecided };
@@ -40,11 +40,11 @@
 struct LinearizabilityResult {
     Verdict verdict = Verdict::linearizable;
     std::size_t operation = 0;       // by whose end no configuration was left, or the bound was reached
-    std::size_t configurations = 0;  // looked at, over the whole search
+    std::size_t configurations = 0;  // examined, over the complete search
     std::size_t widest = 0;          // kept at one moment, at most
 };
 
-inline constexpr std::size_t kMaxConfigurations = 500'000;  // looked at in one search
+inline constexpr std::size_t kMaxConfigurations = 500'000;  // examined in one search
 
 template <class Specification>
 class LinearizabilityChecker {
@@ -61,7 +61,7 @@
         for (const Event& event : events()) {
             if (!event.returns) {
                 invoke(event.operation);
-            } else if (!takeByReturn(event.operation)) {
+            } else if (!linearizeByReturn(event.operation)) {
                 result_.operation = event.operation;
                 return result_;
             }
@@ -78,7 +78,7 @@
     };
     struct Configuration {
         State state;
-        std::vector<std::uint32_t> open;  // begun and not taken, by number
+        std::vector<std::uint32_t> open;  // invoked and not linearized, by number
         bool operator==(const Configuration&) const = default;
     };
     struct Hash {
@@ -109,44 +109,44 @@
             configuration.open.push_back(static_cast<std::uint32_t>(operation));
     }
 
-    // Keeps the configurations in which the call is taken, after those calls that had to be taken before it.
-    bool takeByReturn(std::size_t operation) {
+    // Keeps the configurations in which the call is linearized, after those calls that had to be linearized before it.
+    bool linearizeByReturn(std::size_t operation) {
         Cache seen(configurations_.size(), Hash{&specification_});
-        std::vector<Configuration> waiting = std::move(configurations_);
-        std::vector<Configuration> kept;
-        while (!waiting.empty()) {
-            const Configuration configuration = std::move(waiting.back());
-            waiting.pop_back();
+        std::vector<Configuration> pending = std::move(configurations_);
+        std::vector<Configuration> linearizedConfigurations;
+        while (!pending.empty()) {
+            const Configuration configuration = std::move(pending.back());
+            pending.pop_back();
             if (!seen.insert(configuration).second) continue;
             if (++result_.configurations > bound_) {
                 result_.verdict = Verdict::undecided;
                 return false;
             }
             if (isOpen(configuration, operation))
-                expand(configuration, waiting);
+                expand(configuration, pending);
             else
-                kept.push_back(configuration);
+                linearizedConfigurations.push_back(configuration);
         }
-        configurations_ = std::move(kept);
+        configurations_ = std::move(linearizedConfigurations);
         if (configurations_.empty()) result_.verdict = Verdict::notLinearizable;
         return !configurations_.empty();
     }
 
     void expand(const Configuration& configuration, std::vector<Configuration>& next) const {
         for (const std::uint32_t operation : configuration.open) {
-            const auto& taken = operations_[operation];
-            auto state = specification_.step(configuration.state, taken.call, taken.answer);
+            const auto& linearized = operations_[operation];
+            auto state = specification_.step(configuration.state, linearized.call, linearized.answer);
             if (!state) continue;
             Configuration after{std::move(*state), configuration.open};
             std::erase_if(after.open, [&](std::uint32_t other) {
-                return other == operation || isSpent(after.state, operations_[other]);
+                return other == operation || cannotTakeEffect(after.state, operations_[other]);
             });
             next.push_back(std::move(after));
         }
     }
 
-    bool isSpent(const State& state, const Operation<Specification>& operation) const {
-        return !operation.answer && specification_.spent(state, operation.call);
+    bool cannotTakeEffect(const State& state, const Operation<Specification>& operation) const {
+        return !operation.answer && specification_.cannotTakeEffect(state, operation.call);
     }
 
     static bool isOpen(const Configuration& configuration, std::size_t operation) {
--- a/tests/simulation/linearizability_test.cpp
+++ b/tests/simulation/linearizability_test.cpp
@@ -1,4 +1,4 @@
-// The checker itself: histories that are linearizable, and such that are not.
+// The checker itself: histories that are linearizable, and histories that are not.
 #include "linearizability.hpp"
 
 #include <gtest/gtest.h>
@@ -56,9 +56,9 @@
     return answer;
 }
 
-TEST(Linearizability, AnEmptyHistoryIs) { EXPECT_EQ(verdictOf({}), Verdict::linearizable); }
+TEST(Linearizability, AcceptsEmptyHistory) { EXPECT_EQ(verdictOf({}), Verdict::linearizable); }
 
-TEST(Linearizability, CallsOneAfterAnotherAre) {
+TEST(Linearizability, AcceptsSequentialCalls) {
     EXPECT_EQ(verdictOf({{put(0, 1, 5), done(1), 0, 1},
                          {StoreCall{}, shown(1, 5), 2, 3},
                          {put(1, 2, 6), done(2), 4, 5},
@@ -66,44 +66,44 @@
               Verdict::linearizable);
 }
 
-TEST(Linearizability, AReadBesideAChangeMayShowEither) {
+TEST(Linearizability, AcceptsEitherStateForConcurrentRead) {
     for (const StoreAnswer& answer : {shown(0, 0), shown(1, 5)})
         EXPECT_EQ(verdictOf({{put(0, 1, 5), done(1), 0, 10}, {StoreCall{}, answer, 2, 3}}),
                   Verdict::linearizable);
 }
 
-TEST(Linearizability, AStaleReadIsNot) {
+TEST(Linearizability, RejectsStaleRead) {
     EXPECT_EQ(verdictOf({{put(0, 1, 5), done(1), 0, 1}, {StoreCall{}, shown(0, 0), 2, 3}}),
               Verdict::notLinearizable);
 }
 
-TEST(Linearizability, ReadsThatGoBackAreNot) {
+TEST(Linearizability, RejectsReadsThatGoBack) {
     EXPECT_EQ(verdictOf({{put(0, 1, 5), done(1), 0, 10},
                          {StoreCall{}, shown(1, 5), 2, 3},
                          {StoreCall{}, shown(0, 0), 4, 5}}),
               Verdict::notLinearizable);
 }
 
-TEST(Linearizability, TwoOperatorsConfirmedUnderOneNumberAreNot) {
+TEST(Linearizability, RejectsTwoChangesAcknowledgedUnderOneRevision) {
     EXPECT_EQ(verdictOf({{put(0, 1, 5), done(1), 0, 10}, {put(0, 1, 6), done(1), 1, 9}}),
               Verdict::notLinearizable);
     EXPECT_EQ(verdictOf({{put(0, 1, 5), done(1), 0, 10}, {put(0, 1, 6), conflict(), 1, 9}}),
               Verdict::linearizable);
 }
 
-TEST(Linearizability, ARefusalWithoutCauseIsNot) {
+TEST(Linearizability, RejectsRefusalWithoutCause) {
     EXPECT_EQ(verdictOf({{put(0, 1, 5), conflict(), 0, 1}}), Verdict::notLinearizable);
     EXPECT_EQ(verdictOf({{put(0, 0, 5), invalid(), 0, 1}}), Verdict::linearizable);
     EXPECT_EQ(verdictOf({{put(0, 1, 5), invalid(), 0, 1}}), Verdict::notLinearizable);
 }
 
-// Sent once, taken, its answer lost, sent again and then refused: its change is there and nobody made it.
-TEST(Linearizability, ARefusedRetryIsNot) {
+// Sent once, applied, its answer lost, sent again and then rejected: its change is there and nobody made it.
+TEST(Linearizability, RejectsRefusedRetryOfAppliedChange) {
     EXPECT_EQ(verdictOf({{put(0, 1, 5), conflict(), 0, 5}, {StoreCall{}, shown(1, 5), 6, 7}}),
               Verdict::notLinearizable);
 }
 
-TEST(Linearizability, AnEqualCallIsKnownAgain) {
+TEST(Linearizability, AcceptsRepeatedCallAsAlreadyApplied) {
     StoreCall call = put(0, 1, 5);
     call.identity = 7;
     const StoreOperation between{put(1, 2, 6), done(2), 2, 3};
@@ -114,7 +114,7 @@
               Verdict::linearizable);
 }
 
-TEST(Linearizability, AnAcknowledgedChangeThatIsLostIsNot) {
+TEST(Linearizability, RejectsLossOfAcknowledgedChange) {
     EXPECT_EQ(verdictOf({{put(0, 1, 5), done(1), 0, 1}, {put(0, 1, 6), done(1), 2, 3}}),
               Verdict::notLinearizable);
     EXPECT_EQ(
@@ -123,7 +123,7 @@
         Verdict::notLinearizable);
 }
 
-TEST(Linearizability, AnUnknownOutcomeIsOpenBothWaysAndForLong) {
+TEST(Linearizability, AcceptsEitherOutcomeOfUnknownCallAtAnyTime) {
     const StoreOperation unknown{put(0, 1, 5), {}, 0, 0};
     EXPECT_EQ(verdictOf({unknown, {StoreCall{}, shown(0, 0), 50, 51}}), Verdict::linearizable);
     EXPECT_EQ(verdictOf({unknown, {StoreCall{}, shown(1, 5), 50, 51}}), Verdict::linearizable);
@@ -133,7 +133,7 @@
               Verdict::notLinearizable);
 }
 
-TEST(Linearizability, AnUnknownOutcomeTakesEffectOnceAtMost) {
+TEST(Linearizability, RejectsUnknownCallTakingEffectTwice) {
     const StoreOperation unknown{zoneCall(StoreCallKind::evacuate, 1), {}, 0, 0};
     const StoreOperation back{zoneCall(StoreCallKind::cancelEvacuation, 1), done(0), 10, 11};
     EXPECT_EQ(verdictOf({unknown,
@@ -149,7 +149,7 @@
 }
 
 // Its first answer was lost; the second names the version that had come meanwhile.
-TEST(Linearizability, AnEvacuationSentAgainMayNameALaterVersionAndNoEarlierOne) {
+TEST(Linearizability, AcceptsLaterButNotEarlierVersionForRepeatedEvacuation) {
     const StoreOperation change{put(0, 1, 5), done(1), 2, 3};
     const StoreOperation read{StoreCall{}, shownZones(0, 0, 2), 1, 1.5};
     EXPECT_EQ(verdictOf({{zoneCall(StoreCallKind::evacuate, 1), done(1), 0, 5}, read, change}),
@@ -158,7 +158,7 @@
               Verdict::notLinearizable);
 }
 
-TEST(Linearizability, APatchKeepsWhatItDoesNotName) {
+TEST(Linearizability, RequiresPatchToKeepUnnamedItems) {
     StoreAnswer answer = shown(2, 5);
     (*answer.document)[3] = 9;
     EXPECT_EQ(
@@ -213,7 +213,7 @@
     return history;
 }
 
-TEST(Linearizability, HistoriesOfThousandsOfCallsAreDecidedInBoundedWork) {
+TEST(Linearizability, DecidesHistoriesOfThousandsOfCallsInBoundedWork) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         const History history = longHistory(seed, 2'000);
         const LinearizabilityResult result = resultOf(history);
@@ -222,7 +222,7 @@
     }
 }
 
-TEST(Linearizability, OneWrongReadInALongHistoryIsFound) {
+TEST(Linearizability, DetectsOneWrongReadInLongHistory) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         History history = longHistory(seed, 800);
         for (std::size_t index = history.size() - 100; index < history.size(); ++index) {
@@ -234,7 +234,7 @@
     }
 }
 
-TEST(Linearizability, ASearchThatWouldNotEndIsSaidToBeUndecided) {
+TEST(Linearizability, ReportsUndecidedWhenSearchExceedsBound) {
     History history;
     for (std::size_t zone = 0; zone < 30; ++zone)
         history.push_back({zoneCall(StoreCallKind::evacuate, zone), {}, 0, 0});
--- a/tests/simulation/observed_state.cpp
+++ b/tests/simulation/observed_state.cpp
@@ -15,10 +15,10 @@
 constexpr std::string_view kValueKey = "\"timeout_ms\":";
 
 std::uint64_t numberAfter(std::string_view text, std::string_view key) {
-    const std::size_t place = text.find(key);
-    if (place == std::string_view::npos) return 0;
+    const std::size_t found = text.find(key);
+    if (found == std::string_view::npos) return 0;
     std::uint64_t number = 0;
-    std::from_chars(text.data() + place + key.size(), text.data() + text.size(), number);
+    std::from_chars(text.data() + found + key.size(), text.data() + text.size(), number);
     return number;
 }
 
@@ -76,9 +76,9 @@
     ObservedState state;
     state.revision = numberAfter(rendered, "\"revision\":");
     for (std::size_t item = 0; item < kDocumentItems; ++item) {
-        const std::size_t place = rendered.find(fmt::format("\"name\":\"{}\"", itemName(item)));
-        if (place != std::string_view::npos)
-            state.document[item] = static_cast<std::uint32_t>(numberAfter(rendered.substr(place), kValueKey));
+        const std::size_t found = rendered.find(fmt::format("\"name\":\"{}\"", itemName(item)));
+        if (found != std::string_view::npos)
+            state.document[item] = static_cast<std::uint32_t>(numberAfter(rendered.substr(found), kValueKey));
     }
     return state;
 }
--- a/tests/simulation/observed_state.hpp
+++ b/tests/simulation/observed_state.hpp
@@ -1,4 +1,4 @@
-// What the runs compare of a table, however it is held: revision, document, evacuated zones.
+/// What the runs compare of a table, in whichever form it is: revision, document, evacuated zones.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace beechpoint::simulation {
 
-inline constexpr std::size_t kZones = 4;  // that are evacuated and taken back
+inline constexpr std::size_t kZones = 4;  // whose evacuation is begun and cancelled
 
 struct ObservedState {
     std::uint64_t revision = 0;
--- a/tests/simulation/operator_process.cpp
+++ b/tests/simulation/operator_process.cpp
@@ -11,14 +11,14 @@
 namespace beechpoint::simulation {
 namespace {
 
-constexpr Millis kShortestPause = 10;
-constexpr Millis kLongestPause = 120;
+constexpr Millis kMinPause = 10;
+constexpr Millis kMaxPause = 120;
 constexpr Millis kPlanTotal = 10'000;
-constexpr int kMostPlans = 8;     // of one call that gets no clear answer
-constexpr double kGivesUp = 0.1;  // with no clear answer, after one plan
-constexpr double kDuel = 0.15;
-constexpr double kMadeAgain = 0.04;  // an earlier change, byte by byte
-constexpr double kWrongNumber = 0.02;
+constexpr int kMaxPlans = 8;     // of one call that gets no clear answer
+constexpr double kGiveUp = 0.1;  // with no clear answer, after one plan
+constexpr double kConcurrentChange = 0.15;
+constexpr double kRepetition = 0.04;  // an earlier change, byte by byte
+constexpr double kStaleRevision = 0.02;
 
 }  // namespace
 
@@ -49,10 +49,10 @@
 
 // ---- Which call
 
-OperatorProcess::OperatorProcess(VirtualNetwork& network, Wires& wires, History& history,
+OperatorProcess::OperatorProcess(VirtualNetwork& network, Transport& transport, History& history,
                                  OperatorCounters& counters, Settings settings)
     : Process(network, settings.number),
-      wires_(wires),
+      transport_(transport),
       history_(history),
       counters_(counters),
       settings_(std::move(settings)) {}
@@ -63,7 +63,7 @@
 }
 
 void OperatorProcess::pause() {
-    later(network_.now() + network_.draw(kShortestPause, kLongestPause), [this] {
+    later(network_.now() + network_.draw(kMinPause, kMaxPause), [this] {
         if (!busy_) next();
     });
 }
@@ -74,8 +74,8 @@
 
 StoreCall OperatorProcess::draw() {
     if (settings_.reads || std::exchange(mustRead_, false) || network_.chance(0.15)) return {};
-    if (earlier_ && network_.chance(kMadeAgain)) {
-        ++counters_.known;
+    if (earlier_ && network_.chance(kRepetition)) {
+        ++counters_.repetitions;
         return *earlier_;
     }
     if (network_.chance(0.12)) {
@@ -90,10 +90,10 @@
 StoreCall OperatorProcess::drawChange() {
     StoreCall call;
     call.identity = network_.bits() | 1;
-    call.ifMatch = believed_;
-    call.revision = believed_ + (network_.chance(0.9) ? 1 : 1 + network_.below(3));
-    if (network_.chance(kWrongNumber)) call.revision = believed_;
-    call.kind = believed_ == 0 || network_.chance(0.3) ? StoreCallKind::put : StoreCallKind::patch;
+    call.ifMatch = believedVersion_;
+    call.revision = believedVersion_ + (network_.chance(0.9) ? 1 : 1 + network_.below(3));
+    if (network_.chance(kStaleRevision)) call.revision = believedVersion_;
+    call.kind = believedVersion_ == 0 || network_.chance(0.3) ? StoreCallKind::put : StoreCallKind::patch;
     const auto value = static_cast<std::uint32_t>(1 + history_.all().size());
     for (std::uint32_t& item : call.document) item = value;
     call.item = network_.below(kDocumentItems);
@@ -102,7 +102,7 @@
 
 void OperatorProcess::changeAtOnce(std::uint64_t version) {
     if (busy_ || !running_ || settings_.reads) return;
-    believed_ = version;
+    believedVersion_ = version;
     begin(drawChange());
 }
 
@@ -113,9 +113,9 @@
     call_ = std::move(call);
     beganAt_ = network_.now();
     plans_ = 0;
-    maybeTaken_ = false;
+    maybeApplied_ = false;
     operation_ = history_.begin(call_, network_.now());
-    if (call_.versioned() && network_.chance(kDuel)) settings_.duel(call_.ifMatch);
+    if (call_.versioned() && network_.chance(kConcurrentChange)) settings_.changeConcurrently(call_.ifMatch);
     plan();
 }
 
@@ -140,19 +140,19 @@
     } else if (const auto* wait = std::get_if<operator_client::Pause>(&step)) {
         later(network_.now() + wait->length, [this] { follow(plan_->onPauseOver(network_.now())); });
     } else {
-        over(std::get<operator_client::Over>(step).ending);
+        onPlanEnded(std::get<operator_client::Over>(step).ending);
     }
 }
 
 void OperatorProcess::send(const operator_client::Send& send) {
     ++counters_.attempts;
-    if (maybeTaken_) ++counters_.again;
-    wires_.callOperators(
+    if (maybeApplied_) ++counters_.retries;
+    transport_.callOperators(
         *this, send.address, requestOf(call_), send.timeout,
         [this, attempt = ++attempt_](const std::optional<OperatorAnswer>& answer, bool sent) {
             if (attempt != attempt_) return;
             if (answer) return onAnswer(*answer);
-            maybeTaken_ = maybeTaken_ || sent;
+            maybeApplied_ = maybeApplied_ || sent;
             follow(plan_->onFailure(network_.now(), sent));
         });
 }
@@ -160,11 +160,11 @@
 void OperatorProcess::onAnswer(const OperatorAnswer& answer) {
     last_ = answer;
     if (answer.status == 307) ++counters_.redirects;
-    if (answer.status >= 500) maybeTaken_ = true;
+    if (answer.status >= 500) maybeApplied_ = true;
     follow(plan_->onAnswer(network_.now(), answer.status, answer.location));
 }
 
-void OperatorProcess::over(operator_client::Ending ending) {
+void OperatorProcess::onPlanEnded(operator_client::Ending ending) {
     using operator_client::Ending;
     if (ending == Ending::done) {
         const ObservedState shown = observedState(last_.body);
@@ -178,9 +178,9 @@
     if (ending == Ending::refused)
         return finish(
             {last_.status == 412 ? StoreAnswerKind::conflict : StoreAnswerKind::invalid, 0, {}, {}});
-    if (plans_ < kMostPlans && running_ && !network_.chance(kGivesUp)) return plan();
+    if (plans_ < kMaxPlans && running_ && !network_.chance(kGiveUp)) return plan();
     // Nothing was sent in the last plan; an earlier one may have reached a member.
-    const bool unknown = maybeTaken_ || ending == Ending::unknown;
+    const bool unknown = maybeApplied_ || ending == Ending::unknown;
     ++(unknown ? counters_.unknown : counters_.notSent);
     if (!unknown) history_.drop(operation_);
     if (unknown && call_.versioned()) earlier_ = call_;
@@ -191,16 +191,18 @@
 
 void OperatorProcess::finish(const StoreAnswer& answer) {
     history_.end(operation_, answer, network_.now());
-    const bool yes = answer.kind == StoreAnswerKind::done;
+    const bool acknowledged = answer.kind == StoreAnswerKind::done;
     if (!call_.changes()) {
         ++counters_.reads;
     } else {
-        ++(yes ? counters_.yes : counters_.no);
-        if (yes) counters_.slowestYes = std::max(counters_.slowestYes, network_.now() - beganAt_);
+        ++(acknowledged ? counters_.acknowledged : counters_.rejected);
+        if (acknowledged)
+            counters_.slowestAcknowledgement =
+                std::max(counters_.slowestAcknowledgement, network_.now() - beganAt_);
     }
-    if (yes) believed_ = std::max(believed_, answer.revision);
-    if (!yes) mustRead_ = true;
-    if (yes && call_.versioned() && network_.chance(0.3)) earlier_ = call_;
+    if (acknowledged) believedVersion_ = std::max(believedVersion_, answer.revision);
+    if (!acknowledged) mustRead_ = true;
+    if (acknowledged && call_.versioned() && network_.chance(0.3)) earlier_ = call_;
     settings_.answered(call_, answer, last_.position);
     busy_ = false;
     pause();
--- a/tests/simulation/operator_process.hpp
+++ b/tests/simulation/operator_process.hpp
@@ -1,5 +1,5 @@
-// An operator: makes one call after another by the real operator_client::CallPlan, builds on the version that it believes in force, and
-// writes down what it called and was told.
+/// An operator: makes one call after another by the real operator_client::CallPlan, builds on the version that it believes in force, and
+/// records its calls and their answers in the History.
 #pragma once
 
 #include <cstdint>
@@ -32,11 +32,16 @@
 };
 
 struct OperatorCounters {
-    std::uint64_t yes = 0, no = 0, unknown = 0, notSent = 0, reads = 0;
-    std::uint64_t attempts = 0, redirects = 0,
-                  again = 0;  // again: sent again unchanged after no clear answer
-    std::uint64_t known = 0;  // equal calls made anew
-    Millis slowestYes = 0;
+    std::uint64_t acknowledged = 0;
+    std::uint64_t rejected = 0;
+    std::uint64_t unknown = 0;
+    std::uint64_t notSent = 0;
+    std::uint64_t reads = 0;
+    std::uint64_t attempts = 0;
+    std::uint64_t redirects = 0;
+    std::uint64_t retries = 0;      // sent again unchanged after no clear answer
+    std::uint64_t repetitions = 0;  // earlier changes made again, equal byte by byte
+    Millis slowestAcknowledgement = 0;
 };
 
 class OperatorProcess : public Process {
@@ -46,10 +51,11 @@
         std::size_t number = 0;  // of this operator and its machine; says whose zones it may touch
         std::function<std::vector<std::string>()> members;  // control addresses as settings have them
         std::function<void(const StoreCall&, const StoreAnswer&, Position shown)> answered;
-        std::function<void(std::uint64_t version)> duel;  // the other is to change the same version now
+        std::function<void(std::uint64_t version)>
+            changeConcurrently;  // the other is to change the same version now
     };
-    OperatorProcess(VirtualNetwork& network, Wires& wires, History& history, OperatorCounters& counters,
-                    Settings settings);
+    OperatorProcess(VirtualNetwork& network, Transport& transport, History& history,
+                    OperatorCounters& counters, Settings settings);
     void start();
     void stop() { running_ = false; }
     bool idle() const { return !busy_; }
@@ -65,12 +71,12 @@
     void plan();
     void follow(const operator_client::Step& step);
     void send(const operator_client::Send& send);
-    void over(operator_client::Ending ending);
+    void onPlanEnded(operator_client::Ending ending);
     void onAnswer(const OperatorAnswer& answer);
     void finish(const StoreAnswer& answer);
     OperatorRequest requestOf(const StoreCall& call) const;
 
-    Wires& wires_;
+    Transport& transport_;
     History& history_;
     OperatorCounters& counters_;
     Settings settings_;
@@ -79,12 +85,14 @@
     StoreCall call_;
     std::size_t operation_ = 0;
     std::uint64_t attempt_ = 0;  // answers to earlier ones are not for this call
-    std::uint64_t believed_ = 0;
+    std::uint64_t believedVersion_ = 0;
     Millis beganAt_ = 0;
     OperatorAnswer last_;
     int plans_ = 0;
-    bool busy_ = false, running_ = false, mustRead_ = false;
-    bool maybeTaken_ = false;  // some attempt of the call got no clear answer
+    bool busy_ = false;
+    bool running_ = false;
+    bool mustRead_ = false;
+    bool maybeApplied_ = false;  // some attempt of the call got no clear answer
 };
 
 }  // namespace beechpoint::simulation
--- a/tests/simulation/operator_service.cpp
+++ b/tests/simulation/operator_service.cpp
@@ -13,14 +13,14 @@
 namespace beechpoint::simulation {
 namespace {
 
-constexpr int kMostEventsAtOnce = 2'000;  // at one moment of virtual time; more would block the member's loop
+constexpr int kMaxEventsAtOnce = 2'000;  // at one moment of virtual time; more would block the member's loop
 constexpr std::string_view kLocation = "Location: ";
 constexpr std::string_view kLineEnd = "\r\n";
 
 std::string locationIn(std::string_view headers) {
-    const std::size_t place = headers.find(kLocation);
-    if (place == std::string_view::npos) return {};
-    headers.remove_prefix(place + kLocation.size());
+    const std::size_t found = headers.find(kLocation);
+    if (found == std::string_view::npos) return {};
+    headers.remove_prefix(found + kLocation.size());
     return std::string(headers.substr(0, headers.find(kLineEnd)));
 }
 
@@ -32,26 +32,26 @@
         auto call = control::parseOperatorCall(request.method, request.path, request.ifMatch);
         if (!call) return respond({control::statusOfCallError(call.error()), "", "", {}, {}});
         call.value().body = request.body;
-        waiting_.emplace(id, std::move(respond));
-        tell(control::CallReceived{id, std::move(call.value())});
+        unanswered_.emplace(id, std::move(respond));
+        dispatch(control::CallReceived{id, std::move(call.value())});
     }
 
     void onClientDisconnected(std::uint64_t id) override {
-        if (waiting_.erase(id) != 0) tell(control::ClientDisconnected{id});
+        if (unanswered_.erase(id) != 0) dispatch(control::ClientDisconnected{id});
     }
-    void onReplicaOrTimeChanged() override { tell(control::Reevaluate{}); }
+    void onReplicaOrTimeChanged() override { dispatch(control::Reevaluate{}); }
     bool waiting() const override { return calls_.waiting(); }
 
 private:
-    void tell(control::OperatorEvent event) {
+    void dispatch(control::OperatorEvent event) {
         events_.push_back(std::move(event));
-        if (running_) return;
-        running_ = true;
-        while (!events_.empty()) runOne();
-        running_ = false;
+        if (dispatching_) return;
+        dispatching_ = true;
+        while (!events_.empty()) handleNextEvent();
+        dispatching_ = false;
     }
 
-    void runOne() {
+    void handleNextEvent() {
         countEvent();
         control::OperatorEvent event = std::move(events_.front());
         events_.pop_front();
@@ -66,12 +66,12 @@
     void countEvent() {
         if (port_.now() != eventsAt_) eventsAtOnce_ = 0;
         eventsAt_ = port_.now();
-        if (++eventsAtOnce_ > kMostEventsAtOnce)
+        if (++eventsAtOnce_ > kMaxEventsAtOnce)
             throw std::runtime_error("the operators' calls go round without time going on");
     }
 
     void carryOut(const control::StartReadBarrier& action) {
-        auto done = [this, id = action.id](bool ok) { tell(control::ReadBarrierDone{id, ok}); };
+        auto done = [this, id = action.id](bool ok) { dispatch(control::ReadBarrierDone{id, ok}); };
         if (action.kind == control::ReadBarrierKind::emptyBatch)
             port_.write({}, std::move(done));
         else
@@ -79,20 +79,20 @@
     }
 
     void carryOut(control::StartWrite& action) {
-        if (!waiting_.contains(action.id)) {
+        if (!unanswered_.contains(action.id)) {
             events_.emplace_back(control::ClientDisconnected{action.id});
-            return tell(control::WriteDone{action.id, control::WriteResult::notStarted});
+            return dispatch(control::WriteDone{action.id, control::WriteResult::notStarted});
         }
         if (port_.replica().committedPosition() != action.base)
-            return tell(control::WriteDone{action.id, control::WriteResult::notStarted});
+            return dispatch(control::WriteDone{action.id, control::WriteResult::notStarted});
         port_.write(std::move(action.changes), [this, id = action.id](bool committed) {
             const auto result = committed ? control::WriteResult::committed : control::WriteResult::unknown;
-            tell(control::WriteDone{id, result});
+            dispatch(control::WriteDone{id, result});
         });
     }
 
     void carryOut(const control::Answer& action) {
-        auto node = waiting_.extract(action.id);
+        auto node = unanswered_.extract(action.id);
         if (!node.empty()) node.mapped()({action.status, action.body, locationIn(action.headers), {}, {}});
     }
 
@@ -100,11 +100,11 @@
 
     ReplicaPort& port_;
     control::OperatorCalls calls_;
-    std::map<std::uint64_t, Respond> waiting_;
+    std::map<std::uint64_t, Respond> unanswered_;
     std::deque<control::OperatorEvent> events_;
     Millis eventsAt_ = 0;
     int eventsAtOnce_ = 0;
-    bool running_ = false;
+    bool dispatching_ = false;
 };
 
 }  // namespace
--- a/tests/simulation/poll_service.cpp
+++ b/tests/simulation/poll_service.cpp
@@ -44,8 +44,8 @@
         perform(state_.onPoll(port_.now(), &table_, std::move(request.value()), lastTicket_));
     }
 
-    void onTableMoved() override { perform(state_.onTableMoved(port_.now(), &table_)); }
-    void onView() override { perform(state_.onView(port_.now(), &table_)); }
+    void onTableChanged() override { perform(state_.onTableMoved(port_.now(), &table_)); }
+    void onViewChanged() override { perform(state_.onView(port_.now(), &table_)); }
     void tick() override { perform(state_.tick(port_.now(), &table_)); }
     bool waitsForFreshness() const override { return state_.waitsForFreshness(); }
 
--- a/tests/simulation/process.hpp
+++ b/tests/simulation/process.hpp
@@ -1,4 +1,4 @@
-// A process of the run: steps for it wait while it is frozen, and are void once it has ended.
+/// A process of the run: steps for it are deferred while it is frozen, and dropped once it has ended.
 #pragma once
 
 #include <deque>
@@ -26,7 +26,7 @@
     void thaw() {
         frozen_ = false;
         const auto self = shared_from_this();
-        for (std::deque<std::function<void()>> steps = std::exchange(waiting_, {}); !steps.empty();
+        for (std::deque<std::function<void()>> steps = std::exchange(deferred_, {}); !steps.empty();
              steps.pop_front())
             if (!ended_) steps.front()();
     }
@@ -36,7 +36,7 @@
     void enter(std::function<void()> step) {
         if (ended_) return;
         if (frozen_)
-            waiting_.push_back(std::move(step));
+            deferred_.push_back(std::move(step));
         else
             step();
     }
@@ -55,7 +55,7 @@
 private:
     Machine machine_;
     bool frozen_ = false, ended_ = false;
-    std::deque<std::function<void()>> waiting_;
+    std::deque<std::function<void()>> deferred_;
 };
 
 // An operator's call and its answer, as they go over the network.
@@ -75,10 +75,10 @@
 
 using Bytes = std::optional<std::string>;  // nothing: no answer
 
-// What processes say to each other, by address.
-class Wires {
+/// The messages between processes, by address.
+class Transport {
 public:
-    virtual ~Wires() = default;
+    virtual ~Transport() = default;
     virtual void sendReplicaMessage(const Process& from, const std::string& address,
                                     const replica::Message& message) = 0;
     virtual void call(Process& from, const std::string& address, std::string bytes, Millis timeout,
--- a/tests/simulation/runs.hpp
+++ b/tests/simulation/runs.hpp
@@ -1,4 +1,4 @@
-// Which run a seed stands for.
+/// Which run a seed stands for.
 #pragma once
 
 #include <cstdint>
--- a/tests/simulation/services.hpp
+++ b/tests/simulation/services.hpp
@@ -1,4 +1,4 @@
-// The parts of a control member beside its replica, behind interfaces: the operators' calls and the gateways' polls.
+/// The parts of a control member beside its replica, behind interfaces: the operators' calls and the gateways' polls.
 #pragma once
 
 #include <cstdint>
@@ -40,8 +40,8 @@
     using Respond = std::function<void(std::string)>;
     virtual ~PollService() = default;
     virtual void onRequest(const std::string& bytes, Respond respond) = 0;
-    virtual void onTableMoved() = 0;
-    virtual void onView() = 0;
+    virtual void onTableChanged() = 0;
+    virtual void onViewChanged() = 0;
     virtual void tick() = 0;
     virtual bool waitsForFreshness() const = 0;
 };
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/simulation/simulation_test.cpp
@@ -1,4 +1,4 @@
-// The whole control side under faults drawn from a seed. SIMULATION_SEEDS: runs of each mix (the long form: 2,000 each, 10,000
+// The complete control side under faults drawn from a seed. SIMULATION_SEEDS: runs of each mix (the long form: 2,000 each, 10,000
 // together); SIMULATION_FIRST_SEED: the first of them; SIMULATION_TRACE: what happened in a run that failed.
 #include <gtest/gtest.h>
 
@@ -29,50 +29,52 @@
         ++runs;
         calls += world.history().all().size();
         OperatorCounters& sum = counters.operators;
-        sum.yes += operators.yes;
-        sum.no += operators.no;
+        sum.acknowledged += operators.acknowledged;
+        sum.rejected += operators.rejected;
         sum.unknown += operators.unknown;
         sum.notSent += operators.notSent;
         sum.reads += operators.reads;
         sum.attempts += operators.attempts;
-        sum.again += operators.again;
-        sum.known += operators.known;
+        sum.retries += operators.retries;
+        sum.repetitions += operators.repetitions;
         sum.redirects += operators.redirects;
-        sum.slowestYes = std::max(sum.slowestYes, operators.slowestYes);
+        sum.slowestAcknowledgement = std::max(sum.slowestAcknowledgement, operators.slowestAcknowledgement);
         for (const auto& [kind, met] : run.faults) {
-            FaultMeetings& all = counters.faults[kind];
+            FaultCoincidences& all = counters.faults[kind];
             all.faults += met.faults;
             all.vote += met.vote;
             all.viewChange += met.viewChange;
             all.write += met.write;
-            all.handOver += met.handOver;
+            all.stateTransfer += met.stateTransfer;
         }
         counters.views += run.views;
         counters.polls += run.polls;
-        counters.refusedPolls += run.refusedPolls;
+        counters.rejectedPolls += run.rejectedPolls;
         counters.lostAnswers += run.lostAnswers;
-        counters.slowestSpread = std::max(counters.slowestSpread, run.slowestSpread);
+        counters.slowestPropagation = std::max(counters.slowestPropagation, run.slowestPropagation);
         counters.slowestFirstTable = std::max(counters.slowestFirstTable, run.slowestFirstTable);
-        counters.slowestReturn = std::max(counters.slowestReturn, run.slowestReturn);
-        counters.slowestNextYes = std::max(counters.slowestNextYes, run.slowestNextYes);
+        counters.slowestRecovery = std::max(counters.slowestRecovery, run.slowestRecovery);
+        counters.slowestNextAcknowledgement =
+            std::max(counters.slowestNextAcknowledgement, run.slowestNextAcknowledgement);
     }
 
     void print(const std::string& name) const {
         const OperatorCounters& operators = counters.operators;
-        std::cout << name << ": " << runs << " runs, " << calls << " calls: " << operators.yes << " yes, "
-                  << operators.no << " no, " << operators.unknown << " unknown, " << operators.notSent
-                  << " not sent, " << operators.reads << " reads; " << operators.attempts << " attempts, "
-                  << operators.again << " again after no clear answer, " << operators.known
-                  << " equal calls, " << operators.redirects << " redirects, " << counters.lostAnswers
-                  << " answers lost; " << counters.views << " views, " << counters.polls << " polls, "
-                  << counters.refusedPolls << " refused; slowest acknowledgement " << operators.slowestYes
-                  << " ms, after a fault " << counters.slowestNextYes << " ms, spread "
-                  << counters.slowestSpread << " ms, first table " << counters.slowestFirstTable
-                  << " ms, return " << counters.slowestReturn << " ms\n";
+        std::cout << name << ": " << runs << " runs, " << calls << " calls: " << operators.acknowledged
+                  << " acknowledged, " << operators.rejected << " rejected, " << operators.unknown
+                  << " unknown, " << operators.notSent << " not sent, " << operators.reads << " reads; "
+                  << operators.attempts << " attempts, " << operators.retries
+                  << " retries after no clear answer, " << operators.repetitions << " repeated calls, "
+                  << operators.redirects << " redirects, " << counters.lostAnswers << " answers lost; "
+                  << counters.views << " views, " << counters.polls << " polls, " << counters.rejectedPolls
+                  << " rejected; slowest acknowledgement " << operators.slowestAcknowledgement
+                  << " ms, after a fault " << counters.slowestNextAcknowledgement << " ms, propagation "
+                  << counters.slowestPropagation << " ms, first table " << counters.slowestFirstTable
+                  << " ms, recovery " << counters.slowestRecovery << " ms\n";
         for (const auto& [kind, met] : counters.faults)
-            std::cout << "  " << kind << ": " << met.faults << ", met a vote " << met.vote
-                      << ", a view change " << met.viewChange << ", a write " << met.write << ", a hand-over "
-                      << met.handOver << "\n";
+            std::cout << "  " << kind << ": " << met.faults << ", during a vote " << met.vote
+                      << ", a view change " << met.viewChange << ", a write " << met.write
+                      << ", a state transfer " << met.stateTransfer << "\n";
     }
 };
 
@@ -88,34 +90,39 @@
         total.add(world);
     }
     total.print(name);
-    EXPECT_GT(total.counters.operators.yes, 0u);
+    EXPECT_GT(total.counters.operators.acknowledged, 0u);
 }
 
-TEST(Simulation, MembersThatStop) {
+TEST(Simulation, HoldsInvariantsWhenMembersStop) {
     play("members that stop",
-         {Episode::kill, Episode::power, Episode::wipe, Episode::freeze, Episode::killAfterYes,
-          Episode::wipeAfterYes},
+         {Episode::kill, Episode::powerLoss, Episode::diskLoss, Episode::freeze,
+          Episode::killAfterAcknowledgement, Episode::diskLossAfterAcknowledgement},
          8, 1);
 }
 
-TEST(Simulation, MembersThatAreCutOff) {
-    play("members that are cut off", {Episode::cutAlone, Episode::cutWithGateways}, 2, 2);
+TEST(Simulation, HoldsInvariantsWhenMembersArePartitioned) {
+    play("members that are partitioned off", {Episode::partitionOneMember, Episode::partitionMinority}, 2, 2);
 }
 
-TEST(Simulation, ADiskLostWhileOthersAreAway) {
-    play("a disk lost while others are away", {Episode::diskLostBehind, Episode::wipe, Episode::power}, 3, 6);
+TEST(Simulation, HoldsInvariantsWhenDiskIsLostWhileOthersAreAway) {
+    play("a disk lost while others are away",
+         {Episode::diskLossOutsidePartition, Episode::diskLoss, Episode::powerLoss}, 3, 6);
 }
 
-TEST(Simulation, SeedsInAMinority) { play("seeds in a minority", {Episode::cutWithSeeds}, 2, 3); }
+TEST(Simulation, HoldsInvariantsWhenSeedsAreInPartitionedMinority) {
+    play("seeds in a minority", {Episode::partitionMinorityWithSeeds}, 2, 3);
+}
 
-TEST(Simulation, MembersThatAreReplaced) {
-    play("members that are replaced",
-         {Episode::replacePlanned, Episode::replaceLost, Episode::wipeAfterYes, Episode::kill}, 6, 4);
+TEST(Simulation, HoldsInvariantsWhenMembersAreReplaced) {
+    play(
+        "members that are replaced",
+        {Episode::replacePlanned, Episode::replaceLost, Episode::diskLossAfterAcknowledgement, Episode::kill},
+        6, 4);
 }
 
-TEST(Simulation, LossesDuringRepairAndAllAtOnce) {
+TEST(Simulation, HoldsInvariantsWhenMembersFailDuringRecoveryAndAllAtOnce) {
     play("losses during repair and all at once",
-         {Episode::lossDuringRepair, Episode::allAtOnce, Episode::wipe, Episode::replacePlanned}, 6, 5);
+         {Episode::lossDuringRecovery, Episode::allAtOnce, Episode::diskLoss, Episode::replacePlanned}, 6, 5);
 }
 
 }  // namespace
--- a/tests/simulation/store_specification.cpp
+++ b/tests/simulation/store_specification.cpp
@@ -14,9 +14,9 @@
     return fits(answer, StoreAnswerKind::done) && (!answer || answer->revision == revision);
 }
 
-std::optional<std::uint64_t> takenUnder(const StoreState& state, const StoreCall& call) {
+std::optional<std::uint64_t> appliedRevision(const StoreState& state, const StoreCall& call) {
     if (call.identity == 0) return std::nullopt;
-    for (const auto& [identity, revision] : state.taken)
+    for (const auto& [identity, revision] : state.applied)
         if (identity == call.identity) return revision;
     return std::nullopt;
 }
@@ -36,7 +36,7 @@
 std::size_t StoreSpecification::hash(const State& state) const {
     std::size_t hash = state.revision * 1'000'003 ^ state.evacuated;
     for (const std::uint32_t value : state.document) hash = hash * 1'099'511'628'211ULL ^ value;
-    return hash * 31 + state.taken.size();
+    return hash * 31 + state.applied.size();
 }
 
 std::optional<StoreState> StoreSpecification::step(const State& state, const Call& call,
@@ -48,7 +48,7 @@
 
 std::optional<StoreState> StoreSpecification::change(const State& state, const Call& call,
                                                      const std::optional<Answer>& answer) const {
-    if (const auto revision = takenUnder(state, call))
+    if (const auto revision = appliedRevision(state, call))
         return unchangedIf(isDoneUnder(answer, *revision), state);
     if (call.ifMatch != state.revision) return unchangedIf(fits(answer, StoreAnswerKind::conflict), state);
     if (call.revision <= state.revision) return unchangedIf(fits(answer, StoreAnswerKind::invalid), state);
@@ -59,7 +59,7 @@
         after.document = call.document;
     else
         after.document[call.item] = call.document[call.item];
-    if (call.identity != 0) after.taken.emplace_back(call.identity, call.revision);
+    if (call.identity != 0) after.applied.push_back({call.identity, call.revision});
     return after;
 }
 
@@ -78,9 +78,9 @@
 }
 
 // Revisions only grow, so that a call on an older version is refused from then on.
-bool StoreSpecification::spent(const State& state, const Call& call) const {
+bool StoreSpecification::cannotTakeEffect(const State& state, const Call& call) const {
     if (!call.changes()) return true;
-    return call.versioned() && (call.ifMatch < state.revision || takenUnder(state, call));
+    return call.versioned() && (call.ifMatch < state.revision || appliedRevision(state, call));
 }
 
 }  // namespace beechpoint::simulation
--- a/tests/simulation/store_specification.hpp
+++ b/tests/simulation/store_specification.hpp
@@ -1,6 +1,6 @@
-// What an operator may expect of the configuration, as a sequential machine: a register of (revision, document) with changes by If-Match,
-// calls that are known again when they are sent unchanged, and the set of evacuated zones. It is written from the rules of the API and
-// shares no code with src/configuration.
+/// What an operator may expect of the configuration, as a sequential machine: a register of (revision, document) with changes by If-Match,
+/// calls that are recognized when they are sent again unchanged, and the set of evacuated zones. It is written from the rules of the API and
+/// shares no code with src/configuration.
 #pragma once
 
 #include <array>
@@ -46,11 +46,18 @@
     std::optional<std::uint32_t> evacuated;  // of a read that shows the zones, one bit each
 };
 
+// A change that may be sent again.
+struct AppliedCall {
+    std::uint64_t identity = 0;
+    std::uint64_t revision = 0;
+    bool operator==(const AppliedCall&) const = default;
+};
+
 struct StoreState {
     std::uint64_t revision = 0;
     Document document{};
     std::uint32_t evacuated = 0;
-    std::vector<std::pair<std::uint64_t, std::uint64_t>> taken;  // identity and revision, of repeated calls
+    std::vector<AppliedCall> applied;  // of calls that are made more than once
     bool operator==(const StoreState&) const = default;
 };
 
@@ -63,7 +70,7 @@
     std::size_t hash(const State& state) const;
     std::optional<State> step(const State& state, const Call& call,
                               const std::optional<Answer>& answer) const;
-    bool spent(const State& state, const Call& call) const;
+    bool cannotTakeEffect(const State& state, const Call& call) const;
 
 private:
     std::optional<State> change(const State& state, const Call& call,
--- a/tests/simulation/variant_test.cpp
+++ b/tests/simulation/variant_test.cpp
@@ -1,4 +1,4 @@
-// A broken variant of the program's code, compiled in, is found by the runs of the short form.
+// A broken variant of the program's code, compiled in, is detected by the runs of the short form.
 #include <gtest/gtest.h>
 
 #include <string>
--- a/tests/simulation/virtual_disk.cpp
+++ b/tests/simulation/virtual_disk.cpp
@@ -13,8 +13,8 @@
     if (busy_ || queue_.empty()) return;
     busy_ = true;
     const Millis span = queue_.front().update.force ? network_.draw(1, slowest_) : network_.draw(0.05, 0.3);
-    network_.at(network_.now() + span, [this, life = life_] {
-        if (life != life_) return;
+    network_.at(network_.now() + span, [this, processNumber = processNumber_] {
+        if (processNumber != processNumber_) return;
         const Queued queued = std::move(queue_.front());
         queue_.pop_front();
         busy_ = false;
@@ -32,7 +32,7 @@
     }
     queue_.clear();
     busy_ = false;
-    ++life_;
+    ++processNumber_;
 }
 
 void VirtualDisk::losePower() {
--- a/tests/simulation/virtual_disk.hpp
+++ b/tests/simulation/virtual_disk.hpp
@@ -1,4 +1,5 @@
-// A member's disk: carries out updates in order after a while, and knows what a loss of power leaves of them.
+/// A member's disk: carries out updates in order after a drawn time, and knows what a loss of power leaves of them. Outlives the
+/// processes that use it.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +17,10 @@
 
     // `done` is called once it is carried out, unless the process ends before.
     void persist(replica::DurableUpdate update, std::function<void()> done);
-    // The update on its way may or may not have got there.
+    // The update under way may or may not have been written.
     void endProcess();
     void losePower();
-    void wipe() { written_ = synced_ = replica::DurableState{}; }
+    void eraseDisk() { written_ = synced_ = replica::DurableState{}; }
     const replica::DurableState& contents() const { return written_; }
     void slowest(Millis time) { slowest_ = time; }  // of a forced write
 
@@ -34,7 +35,7 @@
     replica::DurableState written_;  // what the operating system has
     replica::DurableState synced_;   // what a loss of power leaves
     std::deque<Queued> queue_;
-    std::uint64_t life_ = 0;
+    std::uint64_t processNumber_ = 0;
     bool busy_ = false;
     Millis slowest_ = 4;
 };
--- a/tests/simulation/virtual_network.cpp
+++ b/tests/simulation/virtual_network.cpp
@@ -31,7 +31,7 @@
 }
 
 void VirtualNetwork::send(Machine from, Machine to, std::function<void()> arrival) {
-    const Millis delay = draw(0.5, 6) + draw(0, trouble_.extraDelay);
+    const Millis delay = draw(0.5, 6) + draw(0, faults_.extraDelay);
     at(now_ + delay, [this, from, to, arrival = std::move(arrival)] {
         if (linked(from, to)) arrival();
     });
--- a/tests/simulation/virtual_network.hpp
+++ b/tests/simulation/virtual_network.hpp
@@ -1,4 +1,4 @@
-// One clock, one queue of steps and one network for all processes of a run. Everything is drawn from the seed.
+/// One clock, one queue of steps and one network for all processes of a run. Everything is drawn from the seed; one thread.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 
 using Machine = std::size_t;
 
-struct NetworkTrouble {
+struct NetworkFaults {
     double loss = 0;         // of the members' own messages
     Millis extraDelay = 0;   // at most, drawn for each message
     double lostAnswers = 0;  // of answers to operators and gateways
@@ -34,13 +34,13 @@
     void stop() { stopped_ = true; }
 
     // ---- Links, each of one direction
-    void cut(Machine from, Machine to) { cuts_.insert({from, to}); }
-    void joinAll() { cuts_.clear(); }
-    bool linked(Machine from, Machine to) const { return !cuts_.contains({from, to}); }
+    void partition(Machine from, Machine to) { partitioned_.insert({from, to}); }
+    void healAll() { partitioned_.clear(); }
+    bool linked(Machine from, Machine to) const { return !partitioned_.contains({from, to}); }
     bool linkedBothWays(Machine one, Machine other) const { return linked(one, other) && linked(other, one); }
-    // Arrives after a delay, unless the link is cut then.
+    // Arrives after a drawn delay, unless the link is partitioned by then.
     void send(Machine from, Machine to, std::function<void()> arrival);
-    NetworkTrouble& trouble() { return trouble_; }
+    NetworkFaults& faults() { return faults_; }
 
     // ---- Draws
     bool chance(double odds) { return random_() < odds; }
@@ -62,8 +62,8 @@
     Millis now_ = 1'000'000;
     std::uint64_t order_ = 0;
     std::vector<Step> steps_;  // a heap, earliest first
-    std::set<std::pair<Machine, Machine>> cuts_;
-    NetworkTrouble trouble_;
+    std::set<std::pair<Machine, Machine>> partitioned_;
+    NetworkFaults faults_;
     bool stopped_ = false;
 };
 
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -36,13 +36,13 @@
         settings.answered = [this](const StoreCall& call, const StoreAnswer& answer, Position shown) {
             onAnswered(call, answer, shown);
         };
-        settings.duel = [this, number](std::uint64_t version) {
+        settings.changeConcurrently = [this, number](std::uint64_t version) {
             network_.at(now(), [this, number, version] { operators_[1 - number]->changeAtOnce(version); });
         };
         operators_.push_back(std::make_shared<OperatorProcess>(network_, *this, history_, counters_.operators,
                                                                std::move(settings)));
     }
-    lookAround();
+    checkPeriodically();
 }
 
 World::~World() = default;
@@ -54,8 +54,8 @@
         lastViewAt_ = now();
         std::string names;
         for (const replica::Member& member : process.replica().view().members) names += " " + member.name;
-        note(fmt::format("{} is in view {}:{}", process.replica().self().name, process.replica().view().epoch,
-                         names));
+        traceEvent(fmt::format("{} is in view {}:{}", process.replica().self().name,
+                               process.replica().view().epoch, names));
         if (afterView_) network_.at(now() + network_.draw(0, 60), std::exchange(afterView_, nullptr));
     };
     hooks_.sent = [this](const replica::Body& body) {
@@ -89,7 +89,7 @@
 std::vector<std::size_t> World::present() const {
     std::vector<std::size_t> present;
     for (std::size_t member = 0; member < members_.size(); ++member)
-        if (!members_[member]->gone) present.push_back(member);
+        if (!members_[member]->retired) present.push_back(member);
     return present;
 }
 
@@ -111,17 +111,17 @@
 
 void World::start(std::size_t index, bool bootstrap) {
     Member& member = *members_[index];
-    if (member.process || member.gone) return;
+    if (member.process || member.retired) return;
     replica::Settings settings;
     settings.self = member.self;
     settings.seeds = seeds();
     settings.bootstrap = bootstrap;
     member.powered = true;
     member.shown = {};
-    member.partedSince = 0;
+    member.partitionedSince = 0;
     member.process = std::make_shared<ControlProcess>(network_, *this, member.disk, hooks_, machineOf(index),
                                                       std::move(settings));
-    note(fmt::format("start {}", index));
+    traceEvent(fmt::format("start {}", index));
     member.process->start();
 }
 
@@ -136,37 +136,37 @@
 }
 
 void World::kill(std::size_t index) {
-    note(fmt::format("kill {}", index));
+    traceEvent(fmt::format("kill {}", index));
     endProcess(index);
 }
 
 void World::losePower(std::size_t index) {
-    note(fmt::format("power {}", index));
+    traceEvent(fmt::format("power loss {}", index));
     members_[index]->powered = false;
     endProcess(index);
     members_[index]->disk.losePower();
 }
 
-void World::wipe(std::size_t index) {
+void World::eraseDisk(std::size_t index) {
     losePower(index);
-    note(fmt::format("wipe {}", index));
-    members_[index]->disk.wipe();
+    traceEvent(fmt::format("erase disk {}", index));
+    members_[index]->disk.eraseDisk();
 }
 
 void World::retire(std::size_t index) {
     kill(index);
-    members_[index]->gone = true;
+    members_[index]->retired = true;
     members_[index]->powered = false;
 }
 
 void World::freeze(std::size_t index) {
-    note(fmt::format("freeze {}", index));
+    traceEvent(fmt::format("freeze {}", index));
     if (up(index)) members_[index]->process->freeze();
 }
 
 void World::thaw(std::size_t index) {
     if (!up(index) || !members_[index]->process->frozen()) return;
-    note(fmt::format("thaw {}", index));
+    traceEvent(fmt::format("thaw {}", index));
     const auto process = members_[index]->process;
     process->thaw();
 }
@@ -189,7 +189,7 @@
     gateway.seeds = {seeds.begin(), seeds.end()};
     gateway.process = std::make_shared<GatewayProcess>(
         network_, *this, gatewayMachine(index), fmt::format("gateway-{}", index), seeds,
-        [this](GatewayProcess& process) { onGatewayMoved(process); });
+        [this](GatewayProcess& process) { onGatewayTableChanged(process); });
     gateway.process->start();
 }
 
@@ -203,7 +203,7 @@
     return std::ranges::all_of(operators_, [](const auto& each) { return each->idle(); });
 }
 
-// ---- Wires
+// ---- Transport
 
 World::Member* World::memberAt(const std::string& address) {
     for (const auto& member : members_)
@@ -215,7 +215,7 @@
 void World::sendReplicaMessage(const Process& from, const std::string& address,
                                const replica::Message& message) {
     Member* member = memberAt(address);
-    if (!member || network_.chance(network_.trouble().loss)) return;
+    if (!member || network_.chance(network_.faults().loss)) return;
     network_.send(from.machine(), member->machine, [member, message] {
         if (!member->process) return;
         const auto process = member->process;
@@ -249,7 +249,7 @@
         process->enter([this, raw = process.get(), back, bytes] {
             raw->onCall(bytes, [this, raw, back](const std::string& answer) {
                 onPollAnswer(*raw, answer);
-                if (!network_.chance(network_.trouble().lostAnswers)) return back(answer);
+                if (!network_.chance(network_.faults().lostAnswers)) return back(answer);
                 ++counters_.lostAnswers;
             });
         });
@@ -273,7 +273,7 @@
         end(std::nullopt, true);
         network_.send(here, there, [member, id] {  // the connection is closed
             if (const auto process = member->process)
-                process->enter([raw = process.get(), id] { raw->onOperatorLeft(id); });
+                process->enter([raw = process.get(), id] { raw->onOperatorDisconnected(id); });
         });
     });
     network_.send(here, there, [this, member, here, there, id, end, request = std::move(request)] {
@@ -284,7 +284,7 @@
         const auto process = member->process;
         process->enter([this, raw = process.get(), here, there, id, end, request] {
             raw->onOperatorCall(id, request, [this, here, there, end](const OperatorAnswer& answer) {
-                const bool lost = network_.chance(network_.trouble().lostAnswers);
+                const bool lost = network_.chance(network_.faults().lostAnswers);
                 if (lost) ++counters_.lostAnswers;
                 if (lost && network_.chance(0.5)) return;  // silence; else the connection is reset
                 network_.send(there, here,
@@ -296,7 +296,7 @@
 
 // ---- States
 
-bool World::whole() const {
+bool World::allMembersFresh() const {
     const std::vector<std::size_t> all = present();
     return std::ranges::all_of(all, [&](std::size_t member) {
         return up(member) && !members_[member]->process->frozen() && replica(member).fresh(now()) &&
@@ -304,32 +304,33 @@
     });
 }
 
-void World::strike(const std::string& kind) {
-    FaultMeetings& meetings = counters_.faults[kind];
-    bool write = false, handOver = false;
+void World::countFault(const std::string& kind) {
+    FaultCoincidences& coincidences = counters_.faults[kind];
+    bool write = false, stateTransfer = false;
     for (const auto& member : members_) {
         if (!member->process) continue;
         const replica::Replica& replica = member->process->replica();
         write = write || member->process->writeInFlight();
-        handOver = handOver || (replica.inView() && !replica.updateSince(replica.committedPosition()));
+        stateTransfer =
+            stateTransfer || (replica.inView() && !replica.updateSince(replica.committedPosition()));
     }
-    ++meetings.faults;
-    if (now() - lastVoteAt_ < 20) ++meetings.vote;
-    if (lastPrepareAt_ > lastViewAt_ && now() - lastPrepareAt_ < 1'500) ++meetings.viewChange;
-    if (write) ++meetings.write;
-    if (handOver) ++meetings.handOver;
-    note("strikes: " + kind);
+    ++coincidences.faults;
+    if (now() - lastVoteAt_ < 20) ++coincidences.vote;
+    if (lastPrepareAt_ > lastViewAt_ && now() - lastPrepareAt_ < 1'500) ++coincidences.viewChange;
+    if (write) ++coincidences.write;
+    if (stateTransfer) ++coincidences.stateTransfer;
+    traceEvent("fault: " + kind);
 }
 
 // ---- Findings
 
 void World::fail(const std::string& text) {
-    note("FAILED " + text);
+    traceEvent("FAILED " + text);
     if (failure_.empty()) failure_ = fmt::format("at {:.1f}: {}", now(), text);
     network_.stop();
 }
 
-void World::note(const std::string& text) {
+void World::traceEvent(const std::string& text) {
     trace_.push_back(fmt::format("{:.1f} {}", now(), text));
     if (trace_.size() > kTraceLines) trace_.pop_front();
 }
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -1,5 +1,5 @@
-// The control side of one run: members with their disks, gateways, two operators and a reader on one network, and what they do to each
-// other checked after every step.
+/// The control side of one run: members with their disks, gateways, two operators and a reader on one virtual network. World owns all
+/// of them and checks the invariants after every step (world_checks.cpp). One thread; everything is drawn from the seed.
 #pragma once
 
 #include <deque>
@@ -32,23 +32,23 @@
     std::size_t gateways = 4;
 };
 
-// How often a fault met a state of the system.
-struct FaultMeetings {
-    std::uint64_t faults = 0, vote = 0, viewChange = 0, write = 0, handOver = 0;
+// How often a fault coincided with a state of the system.
+struct FaultCoincidences {
+    std::uint64_t faults = 0, vote = 0, viewChange = 0, write = 0, stateTransfer = 0;
 };
 
 struct WorldCounters {
     OperatorCounters operators;
-    std::map<std::string, FaultMeetings> faults;  // by kind
-    std::uint64_t views = 0, polls = 0, refusedPolls = 0, lostAnswers = 0, spreads = 0;
-    Millis slowestSpread =
+    std::map<std::string, FaultCoincidences> faults;  // by kind
+    std::uint64_t views = 0, polls = 0, rejectedPolls = 0, lostAnswers = 0, propagations = 0;
+    Millis slowestPropagation =
         0;  // of an acknowledged table to a gateway that could reach a majority, at the checks
-    Millis slowestFirstTable = 0;  // from a gateway's start, whatever is in its way
-    Millis slowestReturn = 0;      // from the end of a fault until all members are in the view and vouch
-    Millis slowestNextYes = 0;     // from a fault to the next acknowledged change
+    Millis slowestFirstTable = 0;  // from a gateway's start, through whatever faults
+    Millis slowestRecovery = 0;    // from the end of a fault until all members are in the view and fresh
+    Millis slowestNextAcknowledgement = 0;  // from a fault to the next acknowledged change
 };
 
-class World : public Wires {
+class World : public Transport {
 public:
     explicit World(WorldOptions options);
     ~World() override;
@@ -57,16 +57,16 @@
     Millis now() const { return network_.now(); }
     const WorldOptions& options() const { return options_; }
 
-    // ---- Members. A member that is gone never comes back.
+    // ---- Members. A retired member never comes back.
     std::size_t members() const { return members_.size(); }
     bool up(std::size_t member) const { return members_[member]->process != nullptr; }
-    bool gone(std::size_t member) const { return members_[member]->gone; }
+    bool retired(std::size_t member) const { return members_[member]->retired; }
     Machine machineOf(std::size_t member) const { return kFirstMember + member; }
     const replica::Replica& replica(std::size_t member) const { return members_[member]->process->replica(); }
     void start(std::size_t member, bool bootstrap = false);
     void kill(std::size_t member);       // the machine stays up and refuses connections
-    void losePower(std::size_t member);  // the machine is silent
-    void wipe(std::size_t member);       // loses power and its disk
+    void losePower(std::size_t member);  // the machine is unresponsive
+    void eraseDisk(std::size_t member);  // loses power and its disk
     void freeze(std::size_t member);
     void thaw(std::size_t member);
     void retire(std::size_t member);  // for good
@@ -84,11 +84,11 @@
     bool operatorsIdle() const;
 
     // ---- States
-    // Every member that is not gone is up, listed in one view of just these, and vouches for its table.
-    bool whole() const;
-    std::uint64_t acknowledged() const { return counters_.operators.yes; }
-    void strike(const std::string& kind);  // counts a fault and what it meets
-    void onNextYes(std::function<void()> action) { afterYes_ = std::move(action); }
+    // Every member that is not retired is up, listed in one view of just these, and fresh.
+    bool allMembersFresh() const;
+    std::uint64_t acknowledged() const { return counters_.operators.acknowledged; }
+    void countFault(const std::string& kind);  // counts a fault and what it coincides with
+    void onNextAcknowledgement(std::function<void()> action) { afterAcknowledgement_ = std::move(action); }
     void onNextWrite(std::function<void()> action) { afterWrite_ = std::move(action); }
     void onNextView(std::function<void()> action) { afterView_ = std::move(action); }
     void onNextVote(std::function<void()> action) { afterVote_ = std::move(action); }
@@ -98,9 +98,9 @@
     bool failed() const { return !failure_.empty(); }
     const std::string& failure() const { return failure_; }
     void fail(const std::string& text);
-    void note(const std::string& text);
+    void traceEvent(const std::string& text);
     std::string trace() const;
-    // At the end, with all healed and the operators idle: the history, and what is kept.
+    // At the end, with all healed and the operators idle: the history, and what is durable.
     void checkAtEnd();
     const History& history() const { return history_; }
 
@@ -112,28 +112,29 @@
         VirtualDisk disk;
         std::shared_ptr<ControlProcess> process;
         bool powered = true;
-        bool gone = false;
-        Position shown;                 // last seen in this life
-        Millis partedSince = 0;         // from a majority of its view, without a break; 0: it is not
-        std::uint64_t partedEpoch = 0;  // of that view
+        bool retired = false;
+        Position shown;  // last seen of this process
+        Millis partitionedSince =
+            0;  // from a majority of its view, without a break; 0: it is not partitioned
+        std::uint64_t partitionedEpoch = 0;  // of that view
     };
     struct Gateway {
         std::shared_ptr<GatewayProcess> process;
         Position shown;
         std::set<std::string> seeds;  // internal addresses that it was started with
         Millis startedAt = 0;
-        Millis reachesSince = 0;  // a majority of members that vouch
+        Millis reachesSince = 0;  // a majority of fresh members
     };
     struct Acknowledged {
         Millis at;
         Position position;
     };
-    struct Canon {
+    struct CommittedState {
         Position position;
         ObservedState state;
     };
 
-    // ---- Wires
+    // ---- Transport
     void sendReplicaMessage(const Process& from, const std::string& address,
                             const replica::Message& message) override;
     void call(Process& from, const std::string& address, std::string bytes, Millis timeout,
@@ -156,10 +157,10 @@
     void checkContact(Member& member);
     void checkFresh(const Member& member);
     void onPollAnswer(ControlProcess& process, const std::string& bytes);
-    void onGatewayMoved(GatewayProcess& gateway);
+    void onGatewayTableChanged(GatewayProcess& gateway);
     void onAnswered(const StoreCall& call, const StoreAnswer& answer, Position shown);
-    void lookAround();
-    void checkSpread(Gateway& gateway);
+    void checkPeriodically();
+    void checkPropagation(Gateway& gateway);
     bool reachesMajority(const Gateway& gateway) const;
     void checkHistory();
     void checkRefusedAreAbsent();
@@ -175,11 +176,11 @@
     WorldCounters counters_;
     std::uint64_t callId_ = 0;
 
-    std::map<std::uint64_t, Canon> canon_;  // by sequence: the one history
+    std::map<std::uint64_t, CommittedState> committed_;  // by sequence: the one history
     std::deque<Acknowledged> acknowledged_;
     Position newestAcknowledged_;
     Millis lastVoteAt_ = 0, lastPrepareAt_ = 0, lastViewAt_ = 0;
-    std::function<void()> afterYes_, afterWrite_, afterView_, afterVote_;
+    std::function<void()> afterAcknowledgement_, afterWrite_, afterView_, afterVote_;
     std::string failure_;
     std::deque<std::string> trace_;
 };
--- a/tests/simulation/world_checks.cpp
+++ b/tests/simulation/world_checks.cpp
@@ -13,12 +13,12 @@
 namespace beechpoint::simulation {
 namespace {
 
-constexpr Millis kLookAround = 50;
-// A member that vouches shows all that was acknowledged so long ago.
+constexpr Millis kCheckEvery = 50;
+// A member that is fresh holds all that was acknowledged so long ago.
 constexpr Millis kFreshLag = 1'300;
-// A gateway that reaches a majority of members that vouch has what was acknowledged so long ago: a poll that it sent while it was cut off
-// may have to run out (2.4 s at most for a member that has not answered yet, 1.5 s for one that holds it), with the pauses between.
-constexpr Millis kSpreadBound = 4'000;
+// A gateway that reaches a majority of fresh members has what was acknowledged so long ago: a poll that it sent while it was partitioned off
+// may have to time out (2.4 s at most for a member that has not answered yet, 1.5 s for one that holds it), with the backoff between.
+constexpr Millis kPropagationBound = 4'000;
 
 constexpr std::size_t kShownCalls = 24;  // of a history that is not linearizable
 
@@ -67,9 +67,9 @@
     checkFresh(member);
 }
 
-// One history: at each sequence one position and one state, whoever shows it.
+// One history: at each sequence one position and one state, whoever holds it.
 void World::checkState(const std::string& who, Position position, const ObservedState& state) {
-    const auto [entry, added] = canon_.try_emplace(position.sequence, Canon{position, state});
+    const auto [entry, added] = committed_.try_emplace(position.sequence, CommittedState{position, state});
     if (added) return;
     if (entry->second.position != position || entry->second.state != state)
         fail(fmt::format("{} shows {} {} where {} {} was committed", who, text(position),
@@ -91,20 +91,21 @@
     return reached >= view.majority();
 }
 
-// Without contact to a majority for longer than its bound it does not vouch.
+// Without contact to a majority for longer than its bound it is not fresh.
 void World::checkContact(Member& member) {
     if (!member.process || member.process->frozen()) return;
     const std::uint64_t epoch = member.process->replica().view().epoch;
-    if (hasContact(member) || epoch != member.partedEpoch) {
-        member.partedSince = hasContact(member) ? 0 : now();
-        member.partedEpoch = epoch;
+    if (hasContact(member) || epoch != member.partitionedEpoch) {
+        member.partitionedSince = hasContact(member) ? 0 : now();
+        member.partitionedEpoch = epoch;
         return;
     }
-    if (member.partedSince == 0) member.partedSince = now();
-    const Millis parted = now() - member.partedSince;
-    if (parted > replica::kFreshFor && member.process->replica().fresh(now()))
-        fail(fmt::format("{} vouches for its table {:.0f} ms after it lost contact with the majority",
-                         member.self.name, parted));
+    if (member.partitionedSince == 0) member.partitionedSince = now();
+    const Millis partitioned = now() - member.partitionedSince;
+    if (partitioned > replica::kFreshFor && member.process->replica().fresh(now()))
+        fail(
+            fmt::format("{} claims freshness for its table {:.0f} ms after it lost contact with the majority",
+                        member.self.name, partitioned));
 }
 
 void World::checkFresh(const Member& member) {
@@ -112,7 +113,7 @@
     const auto late = std::find_if(acknowledged_.rbegin(), acknowledged_.rend(),
                                    [&](const Acknowledged& each) { return each.at < now() - kFreshLag; });
     if (late != acknowledged_.rend() && late->position > member.shown)
-        fail(fmt::format("{} vouches for {} though {} was acknowledged long ago", member.self.name,
+        fail(fmt::format("{} claims freshness for {} though {} was acknowledged long ago", member.self.name,
                          text(member.shown), text(late->position)));
 }
 
@@ -120,20 +121,21 @@
     const auto reply = control::decodePollReply(bytes);
     if (!reply || failed()) return;
     if (reply.value().status != control::PollStatus::ok) {
-        ++counters_.refusedPolls;
+        ++counters_.rejectedPolls;
         return;
     }
     ++counters_.polls;
     Member& member = memberOf(process);
     if (member.process.get() != &process) return;
     checkContact(member);
-    if (member.partedSince != 0 && now() - member.partedSince > replica::kFreshFor && !hasContact(member))
-        fail(fmt::format("{} answered a poll though it is cut off", member.self.name));
+    if (member.partitionedSince != 0 && now() - member.partitionedSince > replica::kFreshFor &&
+        !hasContact(member))
+        fail(fmt::format("{} answered a poll though it is partitioned off", member.self.name));
 }
 
 // ---- Gateways
 
-void World::onGatewayMoved(GatewayProcess& process) {
+void World::onGatewayTableChanged(GatewayProcess& process) {
     Gateway& gateway = gateways_[process.machine() - kFirstGateway];
     if (failed() || gateway.process.get() != &process) return;
     if (process.position() <= gateway.shown)
@@ -143,7 +145,7 @@
         counters_.slowestFirstTable = std::max(counters_.slowestFirstTable, now() - gateway.startedAt);
     gateway.shown = process.position();
     if (process.table().unreadable() != 0) fail(process.name() + " can't read its table");
-    if (!canon_.contains(process.position().sequence))
+    if (!committed_.contains(process.position().sequence))
         fail(fmt::format("{} holds {} that no member committed", process.name(), text(process.position())));
     checkState(process.name(), process.position(), observedState(process.table()));
 }
@@ -163,12 +165,12 @@
             gateway.shown != Position{} || gateway.seeds.contains(member->self.internalAddress);
         if (known && replica.fresh(now()) && network_.linkedBothWays(here, member->machine)) ++reached;
     }
-    // Before its first answer it knows its seeds alone: one of them that vouches is enough.
+    // Before its first answer it knows its seeds alone: one of them that is fresh is enough.
     if (gateway.shown == Position{}) return reached > 0;
     return needed != 0 && reached >= needed;
 }
 
-void World::checkSpread(Gateway& gateway) {
+void World::checkPropagation(Gateway& gateway) {
     if (!gateway.process) return;
     if (!reachesMajority(gateway)) {
         gateway.reachesSince = now();
@@ -178,33 +180,34 @@
         std::ranges::upper_bound(acknowledged_, gateway.shown, std::less<>{}, &Acknowledged::position);
     if (missing == acknowledged_.end()) return;
     const Millis late = now() - std::max(missing->at, gateway.reachesSince);
-    ++counters_.spreads;
-    counters_.slowestSpread = std::max(counters_.slowestSpread, late);
-    if (late > kSpreadBound)
+    ++counters_.propagations;
+    counters_.slowestPropagation = std::max(counters_.slowestPropagation, late);
+    if (late > kPropagationBound)
         fail(fmt::format("{} has {} {:.0f} ms after {} was acknowledged, in reach of a majority",
                          gateway.process->name(), text(gateway.shown), late, text(missing->position)));
 }
 
-void World::lookAround() {
+void World::checkPeriodically() {
     if (failed()) return;
     for (const auto& member : members_) checkContact(*member);
-    for (Gateway& gateway : gateways_) checkSpread(gateway);
-    // What all gateways have is of no more account, beyond the newest.
+    for (Gateway& gateway : gateways_) checkPropagation(gateway);
+    // What all gateways have is not needed any more, but for the newest.
     while (acknowledged_.size() > 1 && acknowledged_.front().at < now() - 60'000) acknowledged_.pop_front();
-    network_.at(now() + kLookAround, [this] { lookAround(); });
+    network_.at(now() + kCheckEvery, [this] { checkPeriodically(); });
 }
 
 // ---- Operators
 
 void World::onAnswered(const StoreCall& call, const StoreAnswer& answer, Position shown) {
-    note(fmt::format("answered: kind {} on {} to {} zone {}: {} {}", static_cast<int>(call.kind),
-                     call.ifMatch, call.revision, call.zone, static_cast<int>(answer.kind), answer.revision));
+    traceEvent(fmt::format("answered: kind {} on {} to {} zone {}: {} {}", static_cast<int>(call.kind),
+                           call.ifMatch, call.revision, call.zone, static_cast<int>(answer.kind),
+                           answer.revision));
     if (!call.changes() || answer.kind != StoreAnswerKind::done) return;
     if (shown > newestAcknowledged_) {
         newestAcknowledged_ = shown;
         acknowledged_.push_back({now(), shown});
     }
-    if (afterYes_) network_.at(now(), std::exchange(afterYes_, nullptr));
+    if (afterAcknowledgement_) network_.at(now(), std::exchange(afterAcknowledgement_, nullptr));
 }
 
 // ---- At the end
@@ -215,10 +218,10 @@
     if (!failed()) checkHistory();
 }
 
-// All that is kept is read back: the newest state of the one history, on every member and gateway.
+// What is durable is read back: the newest state of the one history, on every member and gateway.
 void World::checkFinalState() {
-    if (canon_.empty()) return fail("nothing was committed");
-    const Canon& newest = canon_.rbegin()->second;
+    if (committed_.empty()) return fail("nothing was committed");
+    const CommittedState& newest = committed_.rbegin()->second;
     if (newest.position < newestAcknowledged_) fail("an acknowledged change is missing in the end");
     for (const std::size_t member : present())
         if (up(member) && observedState(replica(member).committedTable()) != newest.state)
@@ -243,12 +246,12 @@
         (no ? refused : possible)
             .insert({operation.call.revision, operation.call.document[operation.call.item]});
     }
-    for (const auto& [sequence, canon] : canon_) {
-        for (const std::uint32_t value : canon.state.document) {
-            const std::pair<std::uint64_t, std::uint32_t> shown{canon.state.revision, value};
+    for (const auto& [sequence, committed] : committed_) {
+        for (const std::uint32_t value : committed.state.document) {
+            const std::pair<std::uint64_t, std::uint32_t> shown{committed.state.revision, value};
             if (refused.contains(shown) && !possible.contains(shown))
                 return fail(fmt::format("{} holds value {} of a call that was refused",
-                                        simulation::text(canon.state), value));
+                                        simulation::text(committed.state), value));
         }
     }
 }
