--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -60,11 +60,12 @@
             return Error{ErrorKind::invalid, "data_directory", "the control role needs a disk",
                          "run it on machines that have one"};
         }
-        server_.onRequest(
-            [this](std::string bytes, rpc::Reply reply) { memberRequests_.handle(bytes, std::move(reply)); });
-        const auto internal = listenInternally();
+        server_.onRequest([this](const std::string& bytes, rpc::Reply reply) {
+            memberRequests_.handle(bytes, std::move(reply));
+        });
+        auto internal = listenInternally();
         if (!internal) return internal;
-        const auto listening = listeners_.listen(settings_);
+        auto listening = listeners_.listen(settings_);
         if (!listening) return listening;
         openStore();
         onTick();
--- a/src/control/http_listeners.cpp
+++ b/src/control/http_listeners.cpp
@@ -43,9 +43,9 @@
 }
 
 Result<void> HttpListeners::listen(const settings::ProcessSettings& settings) {
-    const auto operators = listenOn(operators_, settings.listenAddresses.control, "control");
+    auto operators = listenOn(operators_, settings.listenAddresses.control, "control");
     if (!operators) return operators;
-    const auto directory = listenOn(directoryClients_, settings.listenAddresses.directory, "directory");
+    auto directory = listenOn(directoryClients_, settings.listenAddresses.directory, "directory");
     if (!directory) return directory;
     return listenOn(readinessChecks_, settings.listenAddresses.readiness, "readiness");
 }
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -27,7 +27,7 @@
 
 class ReplicaDriver;
 
-inline constexpr std::size_t kMaxOperatorBody = 8 * 1024 * 1024;  ///< bytes of one call
+inline constexpr std::size_t kMaxOperatorBody = std::size_t{8} * 1024 * 1024;  ///< bytes of one call
 
 /// Life cycle: serves from its construction on; after startDraining() it finishes what it has begun and answers the rest 503. Its
 /// destruction ends it silently: answers that were still to come are dropped.
--- a/src/control/operator_calls.hpp
+++ b/src/control/operator_calls.hpp
@@ -61,7 +61,7 @@
 
 inline constexpr std::size_t kMaxOperatorCalls = 64;  ///< unanswered; one more gets 503
 inline constexpr std::size_t kMaxOperatorBytes =
-    32 * 1024 * 1024;  ///< bodies of the unanswered calls, together
+    std::size_t{32} * 1024 * 1024;  ///< bodies of the unanswered calls, together
 /// From a call's coming until it has found a member that may carry it out. Operators move on after a second without an answer.
 inline constexpr Millis kOperatorCallTimeout = 850;
 
--- a/src/control/replica_driver.cpp
+++ b/src/control/replica_driver.cpp
@@ -146,7 +146,7 @@
         OutgoingMessages outgoing(reply);
         for (replica::Action& action : actions)
             std::visit([&](auto& what) { carryOut(what, outgoing); }, action);
-        for (MessageBatch& batch : outgoing.takeBatches()) send(std::move(batch));
+        for (const MessageBatch& batch : outgoing.takeBatches()) send(batch);
         runCallbacks();
     }
 
@@ -157,7 +157,7 @@
     }
     void carryOut(replica::Persist& action, OutgoingMessages&) {
         store_->write(storeUpdate(action.update), [weak = weak_from_this(), generation = generation_,
-                                                   token = action.token](Result<void> result) {
+                                                   token = action.token](const Result<void>& result) {
             const auto self = weak.lock();
             if (self && generation == self->generation_) self->onPersisted(token, result);
         });
@@ -200,7 +200,7 @@
 
     // ---- Network
 
-    void send(MessageBatch batch) {
+    void send(const MessageBatch& batch) {
         std::string bytes(1, static_cast<char>(RequestKind::replica));
         bytes += encodeMessages(batch.messages);
         client_.call(batch.address, std::move(bytes), kCallTimeout,
--- a/tests/simulation/linearizability_test.cpp
+++ b/tests/simulation/linearizability_test.cpp
@@ -171,6 +171,29 @@
               Verdict::notLinearizable);
 }
 
+// A call at about `time` by an operator that believes `version` in force.
+StoreOperation drawOperation(SplitMix& random, Millis time, std::uint64_t version, std::uint32_t& value) {
+    StoreOperation operation;
+    const double kind = random();
+    if (kind < 0.5)
+        operation.call = put(version, version + 1, ++value);
+    else if (kind < 0.6)
+        operation.call = zoneCall(StoreCallKind::evacuate, random.below(3));
+    else if (kind < 0.7)
+        operation.call = zoneCall(StoreCallKind::cancelEvacuation, random.below(3));
+    operation.invokedAt = time + 0.1 * random();
+    operation.returnedAt = time + 0.5 + 0.3 * random();
+    return operation;
+}
+
+StoreAnswer correctAnswer(const StoreCall& call, const StoreState& state) {
+    if (call.versioned()) return call.ifMatch == state.revision ? done(call.revision) : conflict();
+    if (call.changes()) return done(state.revision);
+    StoreAnswer answer = shownZones(state.revision, 0, state.evacuated);
+    answer.document = state.document;
+    return answer;
+}
+
 // A long history of overlapping calls with unknown outcomes, made by carrying it out: the search stays narrow.
 History longHistory(std::uint64_t seed, std::size_t calls) {
     SplitMix random(seed);
@@ -183,30 +206,14 @@
         time += 1;
         const std::uint64_t version = state.revision;
         for (int client = 0; client < 4; ++client) {
-            StoreOperation operation;
-            const double kind = random();
-            if (kind < 0.5)
-                operation.call = put(version, version + 1, ++value);
-            else if (kind < 0.6)
-                operation.call = zoneCall(StoreCallKind::evacuate, random.below(3));
-            else if (kind < 0.7)
-                operation.call = zoneCall(StoreCallKind::cancelEvacuation, random.below(3));
-            operation.invokedAt = time + 0.1 * random();
-            operation.returnedAt = time + 0.5 + 0.3 * random();
+            StoreOperation operation = drawOperation(random, time, version, value);
             const bool lost = operation.call.versioned() && random() < 0.1;
-            if (lost && random() < 0.5) {  // never got there
-                history.push_back(operation);
-                continue;
+            const bool neverArrived = lost && random() < 0.5;
+            if (!neverArrived) {
+                const StoreAnswer answer = correctAnswer(operation.call, state);
+                state = *specification.step(state, operation.call, answer);
+                if (!lost) operation.answer = answer;
             }
-            StoreAnswer answer = shownZones(state.revision, 0, state.evacuated);
-            answer.document = state.document;
-            if (operation.call.versioned())
-                answer =
-                    operation.call.ifMatch == state.revision ? done(operation.call.revision) : conflict();
-            else if (operation.call.changes())
-                answer = done(state.revision);
-            state = *specification.step(state, operation.call, answer);
-            if (!lost) operation.answer = answer;
             history.push_back(operation);
         }
     }
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -259,41 +259,65 @@
 void World::callOperators(Process& from, const std::string& address, OperatorRequest request, Millis timeout,
                           std::function<void(std::optional<OperatorAnswer>, bool)> done) {
     Member* member = memberAt(address);
-    if (!member) return done(std::nullopt, false);
-    const Machine here = from.machine(), there = member->machine;
+    if (!member) {
+        done(std::nullopt, false);
+        return;
+    }
+    const Machine client = from.machine();
     const std::uint64_t id = ++callId_;
     const auto over = std::make_shared<bool>(false);
-    const auto end = [weak = from.weak_from_this(), over, done = std::move(done)](
-                         const std::optional<OperatorAnswer>& answer, bool sent) {
+    const EndOperatorCall end = [weak = from.weak_from_this(), over, done = std::move(done)](
+                                    const std::optional<OperatorAnswer>& answer, bool sent) {
         const auto process = weak.lock();
-        if (process && !std::exchange(*over, true)) done(answer, sent);
+        if (!process || *over) return;
+        *over = true;
+        done(answer, sent);
     };
-    network_.at(now() + timeout, [this, member, end, over, here, there, id] {
+    network_.at(now() + timeout, [this, member, end, over, client, id] {
         if (*over) return;
         end(std::nullopt, true);
-        network_.send(here, there, [member, id] {  // the connection is closed
-            if (const auto process = member->process)
-                process->enter([raw = process.get(), id] { raw->onOperatorDisconnected(id); });
-        });
+        closeOperatorConnection(client, *member, id);
     });
-    network_.send(here, there, [this, member, here, there, id, end, request = std::move(request)] {
-        if (!member->process) {
-            if (member->powered) network_.send(there, here, [end] { end(std::nullopt, false); });
-            return;
-        }
-        const auto process = member->process;
-        process->enter([this, raw = process.get(), here, there, id, end, request] {
-            raw->onOperatorCall(id, request, [this, here, there, end](const OperatorAnswer& answer) {
-                const bool lost = network_.chance(network_.faults().lostAnswers);
-                if (lost) ++counters_.lostAnswers;
-                if (lost && network_.chance(0.5)) return;  // silence; else the connection is reset
-                network_.send(there, here,
-                              [end, answer, lost] { lost ? end(std::nullopt, true) : end(answer, true); });
-            });
+    network_.send(client, member->machine, [this, member, client, id, end, request = std::move(request)] {
+        deliverOperatorCall(*member, client, id, request, end);
+    });
+}
+
+void World::closeOperatorConnection(Machine client, Member& member, std::uint64_t id) {
+    network_.send(client, member.machine, [&member, id] {
+        const auto process = member.process;
+        if (process) process->enter([raw = process.get(), id] { raw->onOperatorDisconnected(id); });
+    });
+}
+
+void World::deliverOperatorCall(Member& member, Machine client, std::uint64_t id,
+                                const OperatorRequest& request, const EndOperatorCall& end) {
+    const Machine server = member.machine;
+    if (!member.process) {
+        if (member.powered) network_.send(server, client, [end] { end(std::nullopt, false); });  // refused
+        return;
+    }
+    const auto process = member.process;
+    process->enter([this, raw = process.get(), client, server, id, end, request] {
+        raw->onOperatorCall(id, request, [this, client, server, end](const OperatorAnswer& answer) {
+            sendOperatorAnswer(server, client, answer, end);
         });
     });
 }
 
+void World::sendOperatorAnswer(Machine server, Machine client, const OperatorAnswer& answer,
+                               const EndOperatorCall& end) {
+    const bool lost = network_.chance(network_.faults().lostAnswers);
+    if (lost) ++counters_.lostAnswers;
+    if (lost && network_.chance(0.5)) return;  // nothing comes; else the connection is reset
+    network_.send(server, client, [end, answer, lost] {
+        if (lost)
+            end(std::nullopt, true);
+        else
+            end(answer, true);
+    });
+}
+
 // ---- States
 
 bool World::allMembersFresh() const {
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -141,6 +141,12 @@
               std::function<void(Bytes)> done) override;
     void callOperators(Process& from, const std::string& address, OperatorRequest request, Millis timeout,
                        std::function<void(std::optional<OperatorAnswer>, bool)> done) override;
+    using EndOperatorCall = std::function<void(const std::optional<OperatorAnswer>&, bool sent)>;
+    void closeOperatorConnection(Machine client, Member& member, std::uint64_t id);
+    void deliverOperatorCall(Member& member, Machine client, std::uint64_t id, const OperatorRequest& request,
+                             const EndOperatorCall& end);
+    void sendOperatorAnswer(Machine server, Machine client, const OperatorAnswer& answer,
+                            const EndOperatorCall& end);
     Member* memberAt(const std::string& address);
 
     void endProcess(std::size_t member);
