--- a/tests/control/host_changes_test.cpp
+++ b/tests/control/host_changes_test.cpp
@@ -47,8 +47,8 @@
 
     void startCluster() {
         platform_.listen({asio::ip::address_v4::loopback(), 0});
-        cluster_.platform("127.0.0.1:" + std::to_string(platform_.endpoint().port()));
-        cluster_.found();
+        cluster_.setPlatform("127.0.0.1:" + std::to_string(platform_.endpoint().port()));
+        cluster_.bootstrap();
         ASSERT_TRUE(cluster_.runUntil([&] { return cluster_.installed(); }));
     }
 
--- a/tests/simulation/variant_test.cpp
+++ b/tests/simulation/variant_test.cpp
@@ -1,4 +1,4 @@
-// A broken variant of the program's code, compiled in, is found by the runs of the short form.
+// A broken variant of the program's code, compiled in, is detected by the runs of the short form.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -20,7 +20,7 @@
     return {};
 }
 
-TEST(SimulationVariant, IsFound) {
+TEST(SimulationVariant, IsDetected) {
     const std::string failure = firstFailure();
     EXPECT_NE(failure.find(EXPECTED_FAILURE), std::string::npos) << "found: " << failure;
     RecordProperty("failure", failure);
