--- a/tests/emulator/real_test.cpp
+++ b/tests/emulator/real_test.cpp
@@ -1,5 +1,7 @@
-// The real driver: a short day with a deploy, a cut and a killed gatherer against the program itself, twice.
+// The real driver: a short day with a deploy, a partition and a killed gatherer against the program itself,
+// twice.
 // The script's events must come at the script's times, and the rules' verdict must be the same.
+#include <gtest/gtest.h>
 #include <sys/stat.h>
 
 #include <asio/io_context.hpp>
@@ -9,8 +11,8 @@
 #include <cstring>
 #include <filesystem>
 #include <sstream>
+#include <stdexcept>
 
-#include "check.hpp"
 #include "emulator/real_run.hpp"
 #include "emulator/real_stage.hpp"
 #include "small.hpp"
@@ -40,57 +42,35 @@
     });
 }
 
-struct Folder {
-    Folder() {
+// Runs of the program itself; a party may end while this process writes to it.
+class RealRun : public testing::Test {
+protected:
+    static void SetUpTestSuite() { std::signal(SIGPIPE, SIG_IGN); }
+};
+
+struct TemporaryFolder {
+    TemporaryFolder() {
         char name[] = "beechpoint-emulated-XXXXXX";
-        CHECK(::mkdtemp(name) != nullptr);
+        if (::mkdtemp(name) == nullptr) throw std::runtime_error("can't make a folder");
         path = name;
     }
-    ~Folder() { std::filesystem::remove_all(path); }
+    ~TemporaryFolder() { std::filesystem::remove_all(path); }
     std::string path;
 };
 
-// Events without the time at which each came, which is looked at apart.
+// The events without the times at which they came, which are checked here.
 std::string scripted(const std::string& events) {
     std::string out;
     std::istringstream lines(events);
     for (std::string line; std::getline(lines, line);) {
-        const Json e = Json::parse(line);
-        CHECK(std::abs(e["atMs"].get<double>() - e["scriptMs"].get<double>()) <= 50);
-        out += e["scriptMs"].dump() + " " + e["event"].get<std::string>() + " " +
-               e["detail"].get<std::string>() + "\n";
+        const Json event = Json::parse(line);
+        EXPECT_LE(std::abs(event["atMs"].get<double>() - event["scriptMs"].get<double>()), 50);
+        out += event["scriptMs"].dump() + " " + event["event"].get<std::string>() + " " +
+               event["detail"].get<std::string>() + "\n";
     }
     return out;
 }
 
-void rehearses(const std::string& program) {
-    const Scenario s = shortDay();
-    std::string first;
-    for (int round = 0; round < 2; ++round) {
-        Folder folder;
-        RealOptions options;
-        options.gatherer = program;
-        options.folder = folder.path;
-        options.latest =
-            1000;  // a machine under other tests may be late; the events' times are checked apart
-        std::uint64_t parts = 0;
-        options.atEnd = [&](std::uint64_t n) { parts = n; };
-        const Results r = runReal(s, 7, options);
-        if (r.broken > 0) std::fputs(r.rules.c_str(), stderr);
-        CHECK(r.broken == 0);
-        CHECK(r.load.all <= 0.1);
-        CHECK(parts > 300);
-        CHECK(r.service > 0.5);
-        const std::string events = scripted(r.events);
-        CHECK(events.find("gatherer_kill g0") != std::string::npos);
-        CHECK(events.find("site_healed middle") != std::string::npos);
-        if (round == 0)
-            first = events;
-        else
-            CHECK(events == first);
-    }
-}
-
 template <class F>
 std::string failureOf(F f) {
     try {
@@ -101,35 +81,56 @@
     return "none";
 }
 
-// What can't be run says why, in one line.
-void saysWhyItCannotRun(const std::string& program) {
-    Folder folder;
+TEST_F(RealRun, SaysWhyWhenItCannotRun) {
+    TemporaryFolder folder;
     RealOptions options;
     options.folder = folder.path;
     options.gatherer = "no-such-program";
-    const Scenario s = shortDay();
-    CHECK(failureOf([&] { runReal(s, 1, options); }).find("can't run no-such-program") != std::string::npos);
+    const Scenario scenario = shortDay();
+    EXPECT_NE(failureOf([&] { runReal(scenario, 1, options); }).find("can't run no-such-program"),
+              std::string::npos);
     // A program that ends at once.
     options.gatherer = "/bin/false";
-    CHECK(failureOf([&] { runReal(s, 1, options); }).find("ended unasked with status 1") !=
-          std::string::npos);
-    // A port in use: the first party's own address, held by somebody else.
+    EXPECT_NE(failureOf([&] { runReal(scenario, 1, options); }).find("ended unasked with status 1"),
+              std::string::npos);
+    // A port in use: the first party's own address, which another socket holds.
     asio::io_context io;
-    tcp::acceptor held(io);
+    tcp::acceptor occupied(io);
     tcp::endpoint at(asio::ip::make_address_v4("127.11.0.1"), 0);
-    bindTo(held, at);
-    held.listen();
-    Scenario based = s;
+    bindTo(occupied, at);
+    occupied.listen();
+    Scenario based = scenario;
     based.portBase = at.port();
-    options.gatherer = program;
+    options.gatherer = BEECHPOINT_PROGRAM;
     const std::string failure = failureOf([&] { runReal(based, 1, options); });
-    CHECK(failure.find("can't listen on 127.11.0.1:" + std::to_string(at.port())) != std::string::npos);
+    EXPECT_NE(failure.find("can't listen on 127.11.0.1:" + std::to_string(at.port())), std::string::npos);
 }
 
-}  // namespace
-
-int main(int, char** argv) {
-    std::signal(SIGPIPE, SIG_IGN);
-    saysWhyItCannotRun(argv[1]);
-    rehearses(argv[1]);
+TEST_F(RealRun, KeepsTheRulesAndTheScriptsTimesInTwoRuns) {
+    const Scenario scenario = shortDay();
+    std::string first;
+    for (int round = 0; round < 2; ++round) {
+        TemporaryFolder folder;
+        RealOptions options;
+        options.gatherer = BEECHPOINT_PROGRAM;
+        options.folder = folder.path;
+        // A machine under other tests may be late; the events' times are checked apart.
+        options.latest = 1000;
+        std::uint64_t parts = 0;
+        options.atEnd = [&](std::uint64_t n) { parts = n; };
+        const Results results = runReal(scenario, 7, options);
+        EXPECT_EQ(results.broken, 0) << results.rules;
+        EXPECT_LE(results.load.all, 0.1);
+        EXPECT_GT(parts, 300);
+        EXPECT_GT(results.service, 0.5);
+        const std::string events = scripted(results.events);
+        EXPECT_NE(events.find("gatherer_kill g0"), std::string::npos);
+        EXPECT_NE(events.find("site_healed middle"), std::string::npos);
+        if (round == 0)
+            first = events;
+        else
+            EXPECT_EQ(events, first);
+    }
 }
+
+}  // namespace
