--- a/src/control/codec.cpp
+++ b/src/control/codec.cpp
@@ -49,7 +49,7 @@
 template <>
 struct Fields<host_discovery::HostListChanges> {
     static auto of(auto& changes) {
-        return std::tie(changes.base, changes.version, changes.sinceBase, changes.changed, changes.gone);
+        return std::tie(changes.base, changes.version, changes.sinceBase, changes.changed, changes.removed);
     }
 };
 template <>
--- a/src/control/shared_hosts.cpp
+++ b/src/control/shared_hosts.cpp
@@ -43,7 +43,7 @@
 bool SharedHosts::offer(Millis now, std::shared_ptr<const host_discovery::HostList> list,
                         Millis confirmedAt) {
     if (!holder_.offer(std::move(list), confirmedAt, now)) return false;
-    history_.take(holder_.list());
+    history_.add(holder_.list());
     takenAt_ = now;
     packedList_.clear();
     packedChanges_.clear();
--- a/src/control/shared_hosts.hpp
+++ b/src/control/shared_hosts.hpp
@@ -65,7 +65,7 @@
 
     Millis startedAt_;
     HostListSource& source_;
-    host_discovery::HostListConsumer holder_;
+    host_discovery::NewestHostList holder_;
     host_discovery::HostListHistory history_;  // of holder_
     Millis takenAt_ = 0;                       // when holder_ took its list
     std::string packedList_;                   // of holder_; empty: not packed yet
--- a/src/gateway/client_request.cpp
+++ b/src/gateway/client_request.cpp
@@ -85,9 +85,9 @@
     event.attemptId = request.attemptId;
     event.route = route.name;
     double below = 0;
-    for (const routing::BackendWeight& share : entry.shares) {
-        event.services.push_back({share.service, share.upTo - below});
-        below = share.upTo;
+    for (const routing::BackendWeight& weight : entry.weights) {
+        event.services.push_back({weight.service, weight.upTo - below});
+        below = weight.upTo;
     }
     event.type = typeOf(route.type);
     event.timeout = route.timeoutMs;
--- a/src/gateway/drain_timeline.cpp
+++ b/src/gateway/drain_timeline.cpp
@@ -24,7 +24,7 @@
     return passed < endsAfter_ ? Phase::finishing : Phase::ended;
 }
 
-bool DrainTimeline::takes(Millis now, Millis mayLast) const {
+bool DrainTimeline::accepts(Millis now, Millis mayLast) const {
     if (listens(now)) return true;
     return now - beganAt_ + mayLast <= endsAfter_;
 }
--- a/src/gateway/drain_timeline.hpp
+++ b/src/gateway/drain_timeline.hpp
@@ -52,7 +52,7 @@
     bool begun() const { return begun_; }
     Phase phase(Millis now) const;
     // Whether a request that is read now, and may last this long, is taken.
-    bool takes(Millis now, Millis mayLast) const;
+    bool accepts(Millis now, Millis mayLast) const;
     bool listens(Millis now) const { return phase(now) < Phase::finishing; }
     // Whether the process is to end; `busy`: requests or connections are open.
     bool ends(Millis now, bool busy) const;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -136,7 +136,7 @@
     limits.body = kBodyUnconfigured;
     front_.limits(limits);
     if (sharesLoad_) exchange_.onLoad([this](const auto& changed) { load_.ownLoad(changed); });
-    exchange_.takeOnlyIf([this](Millis mayLast) { return drain_.takes(clock_.now(), mayLast); });
+    exchange_.takeOnlyIf([this](Millis mayLast) { return drain_.accepts(clock_.now(), mayLast); });
 }
 
 void Gateway::start() {
--- a/src/gateway/host_list_copy.hpp
+++ b/src/gateway/host_list_copy.hpp
@@ -27,7 +27,7 @@
 private:
     bool takeChanges(const control::PollReply& reply, Millis now);
 
-    host_discovery::HostListConsumer holder_;
+    host_discovery::NewestHostList holder_;
     bool wantsWhole_ = false;
 };
 
--- a/src/gateway/load_datagram.cpp
+++ b/src/gateway/load_datagram.cpp
@@ -48,7 +48,7 @@
     put(out, static_cast<std::uint8_t>(datagram.kind), 1);
     put(out, datagram.source, 8);
     put(out, datagram.sequence, 4);
-    put(out, datagram.whole ? 1 : 0, 1);
+    put(out, datagram.full ? 1 : 0, 1);
     const std::size_t speeds = std::min(datagram.speeds.size(), LoadDatagram::kMostSpeeds);
     put(out, count, 1);
     put(out, speeds, 1);
@@ -72,11 +72,11 @@
     LoadDatagram datagram;
     const std::uint64_t kind = reader.take(1);
     if (kind < static_cast<std::uint64_t>(LoadKind::gateway)) return std::nullopt;
-    if (kind > static_cast<std::uint64_t>(LoadKind::handedOn)) return std::nullopt;
+    if (kind > static_cast<std::uint64_t>(LoadKind::forwarded)) return std::nullopt;
     datagram.kind = static_cast<LoadKind>(kind);
     datagram.source = reader.take(8);
     datagram.sequence = static_cast<std::uint32_t>(reader.take(4));
-    datagram.whole = reader.take(1) != 0;
+    datagram.full = reader.take(1) != 0;
     const std::size_t count = reader.take(1);
     const std::size_t speeds = reader.take(1);
     if (count > LoadDatagram::kMostHosts || speeds > LoadDatagram::kMostSpeeds) return std::nullopt;
--- a/src/gateway/load_datagram.hpp
+++ b/src/gateway/load_datagram.hpp
@@ -13,9 +13,9 @@
 namespace beechpoint::gateway {
 
 enum class LoadKind : std::uint8_t {
-    gateway = 1,   // one gateway's own, to those of its zone
-    zone = 2,      // all of a zone's, to one gateway of another zone, which hands it on to the others there
-    handedOn = 3,  // the same, handed on
+    gateway = 1,    // one gateway's own, to those of its zone
+    zone = 2,       // all of a zone's, to one gateway of another zone, which hands it on to the others there
+    forwarded = 3,  // the same, forwarded
 };
 
 struct LoadDatagram {
@@ -26,7 +26,7 @@
     std::uint64_t source =
         0;  // of a gateway its session, of a zone the hash of that of its speaker and its name
     std::uint32_t sequence = 0;  // of the source; rises
-    bool whole = false;          // hosts that are not named have nothing waiting
+    bool full = false;           // hosts that are not named have nothing waiting
     std::vector<dispatch::HostLoad> hosts;
     std::vector<dispatch::HostSpeed> speeds;
     bool operator==(const LoadDatagram&) const = default;
--- a/src/gateway/load_sharing.cpp
+++ b/src/gateway/load_sharing.cpp
@@ -6,9 +6,14 @@
 
 namespace beechpoint::gateway {
 
-LoadSharing::LoadSharing(asio::io_context& io, const Clock& clock, Logger& log, LoadSharingState::Place place,
-                         Told told)
-    : clock_(clock), log_(log), state_(std::move(place)), told_(std::move(told)), socket_(io), timer_(io) {}
+LoadSharing::LoadSharing(asio::io_context& io, const Clock& clock, Logger& log,
+                         LoadSharingState::Locality locality, OnPeerLoad onPeerLoad)
+    : clock_(clock),
+      log_(log),
+      state_(std::move(locality)),
+      onPeerLoad_(std::move(onPeerLoad)),
+      socket_(io),
+      timer_(io) {}
 
 void LoadSharing::start(const std::string& ip, std::uint16_t port) {
     asio::error_code error;
@@ -43,8 +48,8 @@
             if (error == asio::error::operation_aborted || !socket_.is_open()) return;
             if (!error) {
                 const auto learnt = state_.received(clock_.now(), std::string_view(buffer_.data(), size));
-                if (learnt.load) told_(*learnt.load);
-                send(learnt.handOn);
+                if (learnt.load) onPeerLoad_(*learnt.load);
+                send(learnt.forward);
             }
             receive();
         });
--- a/src/gateway/load_sharing.hpp
+++ b/src/gateway/load_sharing.hpp
@@ -18,10 +18,10 @@
 
 class LoadSharing {
 public:
-    using Told = std::function<void(const dispatch::PeerLoad&)>;
+    using OnPeerLoad = std::function<void(const dispatch::PeerLoad&)>;
 
-    LoadSharing(asio::io_context& io, const Clock& clock, Logger& log, LoadSharingState::Place place,
-                Told told);
+    LoadSharing(asio::io_context& io, const Clock& clock, Logger& log, LoadSharingState::Locality locality,
+                OnPeerLoad onPeerLoad);
 
     // Binds IP:PORT; without a free port nothing is shared.
     void start(const std::string& ip, std::uint16_t port);
@@ -39,7 +39,7 @@
     const Clock& clock_;
     Logger& log_;
     LoadSharingState state_;
-    Told told_;
+    OnPeerLoad onPeerLoad_;
     asio::ip::udp::socket socket_;
     asio::ip::udp::endpoint from_;
     std::uint16_t port_ = 0;
--- a/src/gateway/load_sharing_state.cpp
+++ b/src/gateway/load_sharing_state.cpp
@@ -26,20 +26,21 @@
 
 }  // namespace
 
-LoadSharingState::LoadSharingState(Place place)
-    : place_(std::move(place)), zoneSource_(dispatch::rendezvousWeight(place_.session, place_.zone)) {}
+LoadSharingState::LoadSharingState(Locality locality)
+    : locality_(std::move(locality)),
+      zoneSource_(dispatch::rendezvousWeight(locality_.session, locality_.zone)) {}
 
 void LoadSharingState::gateways(const std::vector<leases::Gateway>& all) {
     peers_.clear();
     near_.clear();
     far_.clear();
     for (const leases::Gateway& gateway : all) {
-        if (gateway.name == place_.name || gateway.frontAddress.empty()) continue;
+        if (gateway.name == locality_.name || gateway.frontAddress.empty()) continue;
         const std::string ip = ipOf(gateway.frontAddress);
-        if (gateway.zone == place_.zone) {
+        if (gateway.zone == locality_.zone) {
             if (peers_.size() < kMostPeers) peers_.push_back(ip);
         } else if (!gateway.draining) {
-            (gateway.region == place_.region ? near_ : far_)[gateway.zone].push_back(ip);
+            (gateway.region == locality_.region ? near_ : far_)[gateway.zone].push_back(ip);
         }
     }
 }
@@ -47,12 +48,12 @@
 std::vector<LoadSharingState::Outgoing> LoadSharingState::ownLoad(const dispatch::ReportLoad& changed) {
     for (const dispatch::HostLoad& load : changed.hosts) replace(own_, load);
     keepSpeeds(changed.speeds);
-    return toZone({LoadKind::gateway, place_.session, ++sequence_, false, changed.hosts, changed.speeds});
+    return toZone({LoadKind::gateway, locality_.session, ++sequence_, false, changed.hosts, changed.speeds});
 }
 
 LoadSharingState::Learnt LoadSharingState::received(Millis now, std::string_view bytes) {
     const std::optional<LoadDatagram> datagram = decodeLoad(bytes);
-    if (!datagram || datagram->source == place_.session) return {};
+    if (!datagram || datagram->source == locality_.session) return {};
     if (sources_.size() >= kMostSources && !sources_.contains(datagram->source)) return {};
     Source& source = sources_[datagram->source];
     if (source.heardAt > 0 && datagram->sequence <= source.sequence) return {};
@@ -60,18 +61,18 @@
     source.heardAt = now;
     source.gateway = datagram->kind == LoadKind::gateway;
     if (source.gateway) {
-        if (datagram->whole) source.hosts.clear();
+        if (datagram->full) source.hosts.clear();
         for (const dispatch::HostLoad& load : datagram->hosts) replace(source.hosts, load);
         keepSpeeds(datagram->speeds);
     }
     Learnt learnt;
     const Millis lasts = source.gateway ? kHeardLately : kDigestLasts;
     learnt.load =
-        dispatch::PeerLoad{datagram->source, datagram->whole, datagram->hosts, lasts, datagram->speeds};
+        dispatch::PeerLoad{datagram->source, datagram->full, datagram->hosts, lasts, datagram->speeds};
     if (datagram->kind == LoadKind::zone) {
         LoadDatagram next = *datagram;
-        next.kind = LoadKind::handedOn;
-        learnt.handOn = toZone(next);
+        next.kind = LoadKind::forwarded;
+        learnt.forward = toZone(next);
     }
     return learnt;
 }
@@ -81,7 +82,7 @@
     if (now >= wholeAt_ + kWholeEvery) {
         wholeAt_ = now;
         forgetSilent(now);
-        out = toZone({LoadKind::gateway, place_.session, ++sequence_, true, listOf(own_), {}});
+        out = toZone({LoadKind::gateway, locality_.session, ++sequence_, true, listOf(own_), {}});
     }
     if (!speaks(now)) return out;
     if (now >= digestAt_ + kDigestEvery) {
@@ -98,7 +99,7 @@
 bool LoadSharingState::speaks(Millis now) const {
     return std::ranges::none_of(sources_, [&](const auto& entry) {
         const Source& source = entry.second;
-        return source.gateway && source.heardAt > now - kHeardLately && entry.first < place_.session;
+        return source.gateway && source.heardAt > now - kHeardLately && entry.first < locality_.session;
     });
 }
 
--- a/src/gateway/load_sharing_state.hpp
+++ b/src/gateway/load_sharing_state.hpp
@@ -34,7 +34,7 @@
     static constexpr std::size_t kMostPeers = 128;  // of the own zone
     static constexpr std::size_t kMostSources = 1024;
 
-    struct Place {
+    struct Locality {
         std::string name, zone, region;
         std::uint64_t session = 0;
     };
@@ -44,10 +44,10 @@
     };
     struct Learnt {
         std::optional<dispatch::PeerLoad> load;
-        std::vector<Outgoing> handOn;
+        std::vector<Outgoing> forward;
     };
 
-    explicit LoadSharingState(Place place);
+    explicit LoadSharingState(Locality locality);
 
     // The gateways that control told last.
     void gateways(const std::vector<leases::Gateway>& all);
@@ -71,7 +71,7 @@
     void forgetSilent(Millis now);
     void keepSpeeds(const std::vector<dispatch::HostSpeed>& speeds);
 
-    Place place_;
+    Locality locality_;
     std::uint64_t zoneSource_;
     std::vector<std::string> peers_;                              // IPs of the own zone
     std::map<std::string, std::vector<std::string>> near_, far_;  // by zone, IPs
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -377,8 +377,8 @@
     const std::size_t waiting = request.client->writeSome(bytes);
     if (waiting <= kPauseAbove) return;
     const upstream::Handle handle = attempt.handle;
-    upstream_.pause(handle);
-    request.client->whenDrained([this, handle] { upstream_.resume(handle); });
+    upstream_.pauseReading(handle);
+    request.client->whenDrained([this, handle] { upstream_.resumeReading(handle); });
 }
 
 void RequestExchange::onEnd(dispatch::RequestId id, int number) {
--- a/src/host_discovery/host_list.cpp
+++ b/src/host_discovery/host_list.cpp
@@ -35,7 +35,7 @@
     return std::equal(one.hosts.begin(), one.hosts.end(), other.hosts.begin(), other.hosts.end(), same);
 }
 
-bool HostListConsumer::offer(std::shared_ptr<const HostList> list, Millis confirmedAt, Millis now) {
+bool NewestHostList::offer(std::shared_ptr<const HostList> list, Millis confirmedAt, Millis now) {
     if (!list) return false;
     if (list_ && list->version == list_->version) {
         confirm(list->version, confirmedAt);
@@ -48,13 +48,13 @@
     return true;
 }
 
-bool HostListConsumer::confirm(const HostListVersion& version, Millis confirmedAt) {
+bool NewestHostList::confirm(const HostListVersion& version, Millis confirmedAt) {
     if (!list_ || list_->version != version) return false;
     confirmedAt_ = std::max(confirmedAt_, confirmedAt);
     return true;
 }
 
-std::optional<Millis> HostListConsumer::age(Millis now) const {
+std::optional<Millis> NewestHostList::age(Millis now) const {
     if (!list_) return std::nullopt;
     return std::max(0.0, now - confirmedAt_);
 }
--- a/src/host_discovery/host_list.hpp
+++ b/src/host_discovery/host_list.hpp
@@ -61,7 +61,7 @@
 bool sameHosts(const HostList& one, const HostList& other, Millis tolerance);
 
 // Holds the newest list known to a process and decides what replaces it.
-class HostListConsumer {
+class NewestHostList {
 public:
     static constexpr Millis kStale = 3000;  // a list unconfirmed for so long gives way to any that is younger
 
--- a/src/host_discovery/host_list_changes.cpp
+++ b/src/host_discovery/host_list_changes.cpp
@@ -39,7 +39,7 @@
     HostListChanges changes{base.version, list.version, list.readAt - base.readAt, {}, {}};
     auto old = base.hosts.begin();
     const auto passOver = [&](const auto& isBefore) {
-        for (; old != base.hosts.end() && isBefore(*old); ++old) changes.gone.push_back(old->instanceId);
+        for (; old != base.hosts.end() && isBefore(*old); ++old) changes.removed.push_back(old->instanceId);
     };
     for (const Host& host : list.hosts) {
         passOver([&](const Host& other) { return byId(other, host); });
@@ -58,11 +58,11 @@
     list->version = changes.version;
     list->readAt = readAt;
     auto changed = changes.changed.begin();
-    auto gone = changes.gone.begin();
+    auto gone = changes.removed.begin();
     for (const Host& host : held.hosts) {
         for (; changed != changes.changed.end() && byId(*changed, host); ++changed)
             list->hosts.push_back(*changed);
-        if (gone != changes.gone.end() && *gone == host.instanceId) {
+        if (gone != changes.removed.end() && *gone == host.instanceId) {
             ++gone;
             continue;
         }
@@ -71,14 +71,14 @@
         if (replaced) ++changed;
     }
     list->hosts.insert(list->hosts.end(), changed, changes.changed.end());
-    return gone == changes.gone.end() ? list : nullptr;
+    return gone == changes.removed.end() ? list : nullptr;
 }
 
-void HostListHistory::take(std::shared_ptr<const HostList> list) {
+void HostListHistory::add(std::shared_ptr<const HostList> list) {
     if (!list || (!lists_.empty() && lists_.back()->version == list->version)) return;
     hosts_ += list->hosts.size();
     lists_.push_back(std::move(list));
-    while (lists_.size() > 1 && (lists_.size() > kMostLists || hosts_ > kMostHosts)) {
+    while (lists_.size() > 1 && (lists_.size() > kMaxLists || hosts_ > kMaxHosts)) {
         hosts_ -= lists_.front()->hosts.size();
         lists_.pop_front();
     }
@@ -90,8 +90,8 @@
     if (base == lists_.end() || *base == lists_.back()) return std::nullopt;
     const HostList& newest = *lists_.back();
     HostListChanges changes = changesBetween(**base, newest);
-    const auto count = static_cast<double>(changes.changed.size() + changes.gone.size());
-    if (count > kMostShare * static_cast<double>(newest.hosts.size())) return std::nullopt;
+    const auto count = static_cast<double>(changes.changed.size() + changes.removed.size());
+    if (count > kMaxChangedFraction * static_cast<double>(newest.hosts.size())) return std::nullopt;
     return changes;
 }
 
--- a/src/host_discovery/host_list_changes.hpp
+++ b/src/host_discovery/host_list_changes.hpp
@@ -21,7 +21,7 @@
     Millis sinceBase = 0;     // from the reading of the one to that of the other
     std::vector<Host>
         changed;  // new, or no longer as in the base; by instanceId, times counted from the new reading
-    std::vector<std::string> gone;  // ids, in order
+    std::vector<std::string> removed;  // ids, in order
     bool operator==(const HostListChanges&) const = default;
 };
 
@@ -35,12 +35,13 @@
 
 class HostListHistory {
 public:
-    static constexpr std::size_t kMostLists = 8;
-    static constexpr std::size_t kMostHosts = 40'000;  // of all lists kept; the newest is kept in any case
-    static constexpr double kMostShare = 0.5;  // of the hosts: where more differ, the whole list is sent
+    static constexpr std::size_t kMaxLists = 8;
+    static constexpr std::size_t kMaxHosts = 40'000;  // of all lists kept; the newest is kept in any case
+    static constexpr double kMaxChangedFraction =
+        0.5;  // of the hosts: where more differ, the whole list is sent
 
     // The list that is valid from now on. The same version again changes nothing.
-    void take(std::shared_ptr<const HostList> list);
+    void add(std::shared_ptr<const HostList> list);
     // From that version to the newest list. Nothing: not known, the newest itself, or not worth it.
     std::optional<HostListChanges> since(const HostListVersion& version) const;
     std::size_t size() const { return lists_.size(); }
--- a/src/operator_client/call_plan.cpp
+++ b/src/operator_client/call_plan.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::string_view kScheme = "http://";
-constexpr double kLeastJitter = 0.75;  // of a pause
+constexpr double kLeastJitter = 0.75;  // of a backoff
 constexpr double kJitterRange = 0.5;
 constexpr int kTemporaryRedirect = 307;
 constexpr int kRequestTimeout = 408;
@@ -33,16 +33,16 @@
     if (isSuccess(status)) return Over{Ending::done};
     if (isRefusal(status)) return Over{Ending::refused};
     if (status == kTemporaryRedirect) return follow(now, location);
-    maybeTaken_ = maybeTaken_ || settings_.changes;
+    maybeApplied_ = maybeApplied_ || settings_.changes;
     return moveOn(now);
 }
 
 Step CallPlan::onFailure(Millis now, bool sent) {
-    maybeTaken_ = maybeTaken_ || (sent && settings_.changes);
+    maybeApplied_ = maybeApplied_ || (sent && settings_.changes);
     return moveOn(now);
 }
 
-Step CallPlan::onPauseOver(Millis now) { return callMember(now); }
+Step CallPlan::onBackoffOver(Millis now) { return callMember(now); }
 
 Step CallPlan::follow(Millis now, std::string_view location) {
     Location there = parseLocation(location);
@@ -66,13 +66,13 @@
     redirects_ = 0;
     member_ = (member_ + 1) % settings_.members.size();
     if (member_ != 0) return callMember(now);
-    const Millis length = pause_ * (kLeastJitter + kJitterRange * random_());
-    pause_ = std::min(2 * pause_, kLongestPause);
+    const Millis length = backoff_ * (kLeastJitter + kJitterRange * random_());
+    backoff_ = std::min(2 * backoff_, kMaxBackoff);
     if (now + length + kShortestCall > deadline_) return giveUp();
-    return Pause{length};
+    return Backoff{length};
 }
 
-Step CallPlan::giveUp() const { return Over{maybeTaken_ ? Ending::unknown : Ending::unreachable}; }
+Step CallPlan::giveUp() const { return Over{maybeApplied_ ? Ending::unknown : Ending::unreachable}; }
 
 Location parseLocation(std::string_view location) {
     if (!location.starts_with(kScheme)) return {};
--- a/src/operator_client/call_plan.hpp
+++ b/src/operator_client/call_plan.hpp
@@ -6,7 +6,7 @@
 //             307 to an address, two followed at most      calling there
 //             4xx but 408 and 429                          over: refused
 //             5xx, 408, 429, other answers, failure        calling the next member; after the last of them: waiting
-//   waiting   pause over                                   calling the first member again
+//   waiting   backoff over                                  calling the first member again
 //   any       too little time is left                      over: unreachable, or unknown where a change was sent
 //
 // A change that got no clear answer is sent again unchanged: a member that took it before answers 200.
@@ -29,8 +29,8 @@
 inline constexpr Millis kShortestCall = 50;          // with less time left no call is made
 inline constexpr Millis kCallTimeout = 2000;         // of one call, without its body
 inline constexpr double kBodyBytesPerMillis = 1000;  // a body may take as long as this speed asks for
-inline constexpr Millis kFirstPause = 100;  // after all members were asked in vain; doubles each time
-inline constexpr Millis kLongestPause = 1000;
+inline constexpr Millis kFirstBackoff = 100;  // after all members were asked in vain; doubles each time
+inline constexpr Millis kMaxBackoff = 1000;
 
 enum class Ending {
     done,         // 2xx
@@ -46,8 +46,8 @@
     Millis timeout = 0;   // to the end of the answer
 };
 
-// Call onPauseOver() after so long.
-struct Pause {
+// Call onBackoffOver() after so long.
+struct Backoff {
     Millis length = 0;
 };
 
@@ -55,7 +55,7 @@
     Ending ending = Ending::done;
 };
 
-using Step = std::variant<Send, Pause, Over>;
+using Step = std::variant<Send, Backoff, Over>;
 
 class CallPlan {
 public:
@@ -64,7 +64,7 @@
         std::string target;                // path and query
         bool changes = false;              // the call may change what the members keep
         std::size_t bodyBytes = 0;
-        Millis total = 10'000;  // for all calls and pauses together
+        Millis total = 10'000;  // for all calls and backoffs together
         std::uint64_t seed = 0;
     };
 
@@ -75,7 +75,7 @@
     Step onAnswer(Millis now, int status, std::string_view location);
     // No answer. `sent`: some of the request may have reached the member.
     Step onFailure(Millis now, bool sent);
-    Step onPauseOver(Millis now);
+    Step onBackoffOver(Millis now);
 
 private:
     Step call(Millis now, std::string address, std::string target);
@@ -88,10 +88,10 @@
     SplitMix random_;
     Millis deadline_;
     Millis callTimeout_;
-    Millis pause_ = kFirstPause;
+    Millis backoff_ = kFirstBackoff;
     std::size_t member_ = 0;
     int redirects_ = 0;
-    bool maybeTaken_ = false;
+    bool maybeApplied_ = false;
 };
 
 // "http://10.0.0.4:8080/path" apart; both empty where it is no such address.
--- a/src/operator_client/client.cpp
+++ b/src/operator_client/client.cpp
@@ -69,11 +69,11 @@
         handle_ = upstream_.send(host.value(), kConnections, requestTo(send), send.timeout, handlers());
     }
 
-    void act(const Pause& pause) {
-        tell_(fmt::format("no member has answered clearly; trying again in {:.0f} ms", pause.length));
-        timer_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(pause.length * 1000)));
+    void act(const Backoff& backoff) {
+        tell_(fmt::format("no member has answered clearly; trying again in {:.0f} ms", backoff.length));
+        timer_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(backoff.length * 1000)));
         timer_.async_wait([this](const asio::error_code& error) {
-            if (!error) carryOut(plan_.onPauseOver(clock_.now()));
+            if (!error) carryOut(plan_.onBackoffOver(clock_.now()));
         });
     }
 
--- a/src/operator_client/client.hpp
+++ b/src/operator_client/client.hpp
@@ -37,7 +37,7 @@
     struct Settings {
         std::vector<std::string> members;  // IP:PORT
         Millis total = 10'000;             // for one perform()
-        std::uint64_t seed = 0;            // of the pauses' jitter
+        std::uint64_t seed = 0;            // of the backoffs' jitter
     };
     // A line for the operator on each call made and how it ended, without a line end.
     using Tell = std::function<void(std::string_view line)>;
--- a/src/routing/routing_table.cpp
+++ b/src/routing/routing_table.cpp
@@ -44,14 +44,14 @@
 }  // namespace
 
 const std::string& RouteEntry::backendFor(double draw) const {
-    for (const BackendWeight& share : shares)
-        if (draw < share.upTo) return share.service;
-    return shares.back().service;
+    for (const BackendWeight& weight : weights)
+        if (draw < weight.upTo) return weight.service;
+    return weights.back().service;
 }
 
 bool RouteEntry::leadsTo(std::string_view service) const {
-    return std::any_of(shares.begin(), shares.end(),
-                       [service](const BackendWeight& share) { return share.service == service; });
+    return std::any_of(weights.begin(), weights.end(),
+                       [service](const BackendWeight& weight) { return weight.service == service; });
 }
 
 bool RouteEntry::allows(std::string_view region) const {
--- a/src/routing/routing_table.hpp
+++ b/src/routing/routing_table.hpp
@@ -28,7 +28,7 @@
 template <class Value>
 using StringMap = std::unordered_map<std::string, Value, StringHash, std::equal_to<>>;
 
-// A service that a route leads to, and the share of its requests up to and including this one.
+// A service that a route leads to, with the fraction of its requests up to and including this service.
 struct BackendWeight {
     std::string service;
     double upTo = 1;  // rises along the list; 1 for the last
@@ -36,8 +36,8 @@
 
 struct RouteEntry {
     configuration::Route route;
-    std::string host;                   // lower case, as compared with Host headers
-    std::vector<BackendWeight> shares;  // without those of weight 0; never empty
+    std::string host;                    // lower case, as compared with Host headers
+    std::vector<BackendWeight> weights;  // without those of weight 0; never empty
     Digest digest{};
 
     // The service for a draw in [0, 1).
--- a/src/routing/routing_table_builder.cpp
+++ b/src/routing/routing_table_builder.cpp
@@ -24,19 +24,19 @@
     return {hash.high64, hash.low64};
 }
 
-std::vector<BackendWeight> sharesOf(const configuration::Route& route) {
+std::vector<BackendWeight> weightsOf(const configuration::Route& route) {
     if (route.trafficSplit.empty()) return {{route.backend, 1}};
     double sum = 0;
     for (const configuration::WeightedBackend& part : route.trafficSplit) sum += part.weight;
-    std::vector<BackendWeight> shares;
+    std::vector<BackendWeight> weights;
     double upTo = 0;
     for (const configuration::WeightedBackend& part : route.trafficSplit) {
         if (part.weight <= 0) continue;
         upTo += part.weight;
-        shares.push_back({part.backend, upTo / sum});
+        weights.push_back({part.backend, upTo / sum});
     }
-    if (!shares.empty()) shares.back().upTo = 1;
-    return shares;
+    if (!weights.empty()) weights.back().upTo = 1;
+    return weights;
 }
 
 std::shared_ptr<const RouteEntry> readRouteEntry(std::string_view value, const Digest& digest) {
@@ -47,7 +47,7 @@
     auto entry = std::make_shared<RouteEntry>();
     entry->route = std::move(route.value());
     entry->host = configuration::comparableHost(entry->route.hostname);
-    entry->shares = sharesOf(entry->route);
+    entry->weights = weightsOf(entry->route);
     entry->digest = digest;
     return entry;
 }
--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -300,7 +300,7 @@
 }
 
 Millis Connection::idleTime() const {
-    const Millis stated = hostIdle_ ? *hostIdle_ - settings_.idleMargin : settings_.idleWithoutWord;
+    const Millis stated = hostIdle_ ? *hostIdle_ - settings_.idleMargin : settings_.idleWithoutKeepAlive;
     return std::min(stated, settings_.idleMost);
 }
 
--- a/src/upstream/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -66,10 +66,10 @@
     Handle send(const HostAddress& host, std::size_t maxConnections, Request request, Millis timeout,
                 Handlers handlers);
     void cancel(Handle handle);
-    void pause(Handle handle);
-    void resume(Handle handle);
+    void pauseReading(Handle handle);
+    void resumeReading(Handle handle);
     bool sent(Handle handle) const;
-    void keepOnly(const std::vector<HostAddress>& hosts);
+    void closeUnusedExceptTo(const std::vector<HostAddress>& hosts);
     void drop(const HostAddress& host);
     void closeAll(bool tell);
     std::size_t connections(const HostAddress& host) const;
@@ -221,12 +221,12 @@
     exchanges_.erase(found);
 }
 
-void Upstream::Impl::pause(Handle handle) {
+void Upstream::Impl::pauseReading(Handle handle) {
     const auto found = exchanges_.find(handle);
     if (found != exchanges_.end() && found->second) found->second->exchange()->paused = true;
 }
 
-void Upstream::Impl::resume(Handle handle) {
+void Upstream::Impl::resumeReading(Handle handle) {
     const auto found = exchanges_.find(handle);
     if (found == exchanges_.end() || !found->second || !found->second->exchange()->paused) return;
     found->second->exchange()->paused = false;
@@ -253,7 +253,7 @@
     closeUnused(host);
 }
 
-void Upstream::Impl::keepOnly(const std::vector<HostAddress>& hosts) {
+void Upstream::Impl::closeUnusedExceptTo(const std::vector<HostAddress>& hosts) {
     const std::set<HostAddress> kept(hosts.begin(), hosts.end());
     std::vector<HostAddress> vanished;
     for (const auto& [host, pool] : pools_)
@@ -297,10 +297,12 @@
     return impl_->send(host, maxConnections, std::move(request), timeout, std::move(handlers));
 }
 void Upstream::cancel(Handle handle) { impl_->cancel(handle); }
-void Upstream::pause(Handle handle) { impl_->pause(handle); }
-void Upstream::resume(Handle handle) { impl_->resume(handle); }
+void Upstream::pauseReading(Handle handle) { impl_->pauseReading(handle); }
+void Upstream::resumeReading(Handle handle) { impl_->resumeReading(handle); }
 bool Upstream::sent(Handle handle) const { return impl_->sent(handle); }
-void Upstream::keepOnly(const std::vector<HostAddress>& hosts) { impl_->keepOnly(hosts); }
+void Upstream::closeUnusedExceptTo(const std::vector<HostAddress>& hosts) {
+    impl_->closeUnusedExceptTo(hosts);
+}
 void Upstream::drop(const HostAddress& host) { impl_->drop(host); }
 void Upstream::closeAll() { impl_->closeAll(true); }
 std::size_t Upstream::connections(const HostAddress& host) const { return impl_->connections(host); }
--- a/src/upstream/upstream.hpp
+++ b/src/upstream/upstream.hpp
@@ -3,7 +3,7 @@
 // decides whether the request may be sent again.
 //
 // An exchange ends by exactly one of onEnd, onFailed and cancel(). No handler is called from within send(), and none after
-// cancel(). Handlers may call send(), cancel(), pause() and resume(). All on the one thread of the loop.
+// cancel(). Handlers may call send(), cancel(), pauseReading() and resumeReading(). All on the one thread of the loop.
 //
 //   stage        what ends it                                     reported as
 //   queued       no place among the host's connections            noCapacity          not sent
@@ -98,7 +98,7 @@
 struct UpstreamSettings {
     Millis dialTimeout = 1000;
     Millis userTimeout = 5000;  // TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged
-    Millis idleWithoutWord =
+    Millis idleWithoutKeepAlive =
         400;                  // an unused connection is kept so long where its host states no Keep-Alive time
     Millis idleMargin = 300;  // taken off the time that the host states
     Millis idleMost = 30'000;
@@ -130,14 +130,14 @@
     // Closes the exchange's connection at once, so that the host drops the request. Unknown and ended handles are ignored.
     void cancel(Handle handle);
     // Stops and goes on taking bytes of the answer, for a client that reads slowly. A few bytes already read may still
-    // come after pause().
-    void pause(Handle handle);
-    void resume(Handle handle);
+    // come after pauseReading().
+    void pauseReading(Handle handle);
+    void resumeReading(Handle handle);
     // Whether at least one byte of the request was given to the system.
     bool sent(Handle handle) const;
 
     // Closes unused connections to all hosts but these; those in use end with their exchange.
-    void keepOnly(const std::vector<HostAddress>& hosts);
+    void closeUnusedExceptTo(const std::vector<HostAddress>& hosts);
     // The same for one host.
     void drop(const HostAddress& host);
 
--- a/tests/control/codec_test.cpp
+++ b/tests/control/codec_test.cpp
@@ -164,7 +164,7 @@
     host_discovery::HostListChanges changes;
     changes.base = {1, 1, 1};
     changes.version = {1, 2, 1};
-    changes.gone = {"i-1"};
+    changes.removed = {"i-1"};
     peerUpdate.packedHostChanges = packHostChanges(changes);
     peerUpdate.hostListReadAge = 30;
     const std::string bytes = encode(peerUpdate);
--- a/tests/control/host_changes_test.cpp
+++ b/tests/control/host_changes_test.cpp
@@ -70,7 +70,7 @@
         ASSERT_TRUE(reply->hostChanges) << member;
         EXPECT_FALSE(reply->hostList);
         EXPECT_EQ(reply->hostChanges->changes.changed.size(), 1u);
-        EXPECT_TRUE(reply->hostChanges->changes.gone.empty());
+        EXPECT_TRUE(reply->hostChanges->changes.removed.empty());
         const auto applied = host_discovery::applyChanges(held, reply->hostChanges->changes, 0);
         ASSERT_TRUE(applied);
         // A gateway of an older version, which holds the same, gets the whole list.
--- a/tests/gateway/client_request_test.cpp
+++ b/tests/gateway/client_request_test.cpp
@@ -57,7 +57,7 @@
     entry.route.timeoutMs = 3000;
     entry.route.targetLatencyMs = 600;
     entry.route.allowedRegions = {"west"};
-    entry.shares = {{"a", 0.25}, {"b", 1}};
+    entry.weights = {{"a", 0.25}, {"b", 1}};
     const auto event = arrival(7, request, entry, 100);
     EXPECT_EQ(event.id, 7u);
     EXPECT_EQ(event.deadline, 2900);
--- a/tests/gateway/drain_timeline_test.cpp
+++ b/tests/gateway/drain_timeline_test.cpp
@@ -21,7 +21,7 @@
 TEST(DrainTimelineTest, TakesEverythingBeforeSigterm) {
     const DrainTimeline timeline({8000, 2000, 3000});
     EXPECT_EQ(timeline.phase(kStart), Phase::serving);
-    EXPECT_TRUE(timeline.takes(kStart, 1e9));
+    EXPECT_TRUE(timeline.accepts(kStart, 1e9));
     EXPECT_TRUE(timeline.listens(kStart));
     EXPECT_FALSE(timeline.ends(kStart, false));
 }
@@ -43,11 +43,11 @@
 
 TEST(DrainTimelineTest, TakesLaterOnlyWhatEndsBeforeIt) {
     const DrainTimeline timeline = begun({8000, 2000, 3000});
-    EXPECT_TRUE(timeline.takes(kStart + 2749, 15'000));
-    EXPECT_TRUE(timeline.takes(kStart + 2750, 4850));
-    EXPECT_FALSE(timeline.takes(kStart + 2750, 4851));
-    EXPECT_TRUE(timeline.takes(kStart + 7000, 600));
-    EXPECT_FALSE(timeline.takes(kStart + 7000, 601));
+    EXPECT_TRUE(timeline.accepts(kStart + 2749, 15'000));
+    EXPECT_TRUE(timeline.accepts(kStart + 2750, 4850));
+    EXPECT_FALSE(timeline.accepts(kStart + 2750, 4851));
+    EXPECT_TRUE(timeline.accepts(kStart + 7000, 600));
+    EXPECT_FALSE(timeline.accepts(kStart + 7000, 601));
 }
 
 TEST(DrainTimelineTest, EndsIdleOnlyOnceTheListOfDirectoriesIsNew) {
--- a/tests/gateway/load_sharing_state_test.cpp
+++ b/tests/gateway/load_sharing_state_test.cpp
@@ -86,7 +86,7 @@
     const auto out = first.onTimer(1100);
     EXPECT_EQ(receivers(out, LoadKind::zone).size(), 1u);  // of zone b; the far one is told less often
     const auto digest = decodeLoad(out.back().bytes);
-    EXPECT_TRUE(digest->whole);
+    EXPECT_TRUE(digest->full);
     EXPECT_EQ(digest->hosts, (std::vector<dispatch::HostLoad>{{7, 3, 0.75}, {8, 1, 0.1}}));
     EXPECT_EQ(digest->speeds, (std::vector<dispatch::HostSpeed>{{7, 1.5}}));
     EXPECT_EQ(receivers(first.onTimer(1250), LoadKind::zone).count("10.0.0.5"), 1u);
@@ -129,12 +129,12 @@
     const auto learnt = state.received(1000, bytes);
     ASSERT_TRUE(learnt.load);
     EXPECT_EQ(learnt.load->source, 99u);
-    EXPECT_EQ(receivers(learnt.handOn, LoadKind::handedOn), std::multiset<std::string>{"10.0.0.2"});
+    EXPECT_EQ(receivers(learnt.forward, LoadKind::forwarded), std::multiset<std::string>{"10.0.0.2"});
     EXPECT_FALSE(state.received(1001, bytes).load);  // doubled
     LoadSharingState other = stateOf(kAll[1]);
-    const auto heard = other.received(1002, learnt.handOn.front().bytes);
+    const auto heard = other.received(1002, learnt.forward.front().bytes);
     EXPECT_TRUE(heard.load);
-    EXPECT_TRUE(heard.handOn.empty());
+    EXPECT_TRUE(heard.forward.empty());
 }
 
 TEST(LoadSharing, OlderWordsAndForeignBytesChangeNothing) {
--- a/tests/golden/control/load_datagram_test.cpp
+++ b/tests/golden/control/load_datagram_test.cpp
@@ -18,7 +18,7 @@
     datagram.kind = kind;
     datagram.source = 0x0102030405060708u;
     datagram.sequence = 0x11121314u;
-    datagram.whole = true;
+    datagram.full = true;
     datagram.hosts = {{0x21222324u, 5, 1.5}, {0x31323334u, 255, 0.25}};
     datagram.speeds = {{0x41424344u, 1.25}, {0x51525354u, 0.5}};
     return datagram;
@@ -48,14 +48,14 @@
 TEST(LoadDatagramTest, EachKind) {
     check("gateway", sampleDatagram(LoadKind::gateway));
     check("zone", sampleDatagram(LoadKind::zone));
-    check("handed_on", sampleDatagram(LoadKind::handedOn));
+    check("handed_on", sampleDatagram(LoadKind::forwarded));
 }
 
 TEST(LoadDatagramTest, Defaults) { check("empty", LoadDatagram{}); }
 
 TEST(LoadDatagramTest, EachPartAlone) {
     LoadDatagram datagram;
-    datagram.whole = true;
+    datagram.full = true;
     check("whole", datagram);
     datagram = {};
     datagram.hosts = sampleDatagram(LoadKind::gateway).hosts;
--- a/tests/host_discovery/host_list_changes_test.cpp
+++ b/tests/host_discovery/host_list_changes_test.cpp
@@ -38,7 +38,7 @@
     EXPECT_EQ(changes.version, list.version);
     EXPECT_EQ(changes.sinceBase, 2000);
     EXPECT_EQ(changes.changed, (std::vector<Host>{host("a"), draining, host("e")}));
-    EXPECT_EQ(changes.gone, (std::vector<std::string>{"d"}));
+    EXPECT_EQ(changes.removed, (std::vector<std::string>{"d"}));
     const auto applied = applyChanges(base, changes, 3000);
     ASSERT_TRUE(applied);
     EXPECT_EQ(applied->hosts, list.hosts);
@@ -53,7 +53,7 @@
     const HostList list = listOf(2, 3000, {host("a", 500), later, host("c")});
     const HostListChanges changes = changesBetween(base, list);
     EXPECT_TRUE(changes.changed.empty());
-    EXPECT_TRUE(changes.gone.empty());
+    EXPECT_TRUE(changes.removed.empty());
     // The receiver's clock is another one.
     const auto applied = applyChanges(listOf(1, 70'900, base.hosts), changes, 72'950);
     ASSERT_TRUE(applied);
@@ -79,14 +79,14 @@
     HostListHistory history;
     std::vector<Host> hosts;
     for (char id = 'a'; id <= 'j'; id++) hosts.push_back(host(std::string(1, id)));
-    for (std::uint64_t number = 1; number <= HostListHistory::kMostLists + 2; number++) {
+    for (std::uint64_t number = 1; number <= HostListHistory::kMaxLists + 2; number++) {
         hosts.front().revision = std::to_string(number);
-        history.take(shared(listOf(number, 1000.0 * static_cast<double>(number), hosts)));
-        history.take(shared(listOf(number, 9, hosts)));  // the same version again
+        history.add(shared(listOf(number, 1000.0 * static_cast<double>(number), hosts)));
+        history.add(shared(listOf(number, 9, hosts)));  // the same version again
     }
-    EXPECT_EQ(history.size(), HostListHistory::kMostLists);
+    EXPECT_EQ(history.size(), HostListHistory::kMaxLists);
     EXPECT_FALSE(history.since({1, 2, 7}));
-    EXPECT_FALSE(history.since({1, HostListHistory::kMostLists + 2, 7})) << "the newest itself";
+    EXPECT_FALSE(history.since({1, HostListHistory::kMaxLists + 2, 7})) << "the newest itself";
     const auto changes = history.since({1, 3, 7});
     ASSERT_TRUE(changes);
     EXPECT_EQ(changes->changed, (std::vector<Host>{hosts.front()}));
@@ -94,17 +94,17 @@
 
 TEST(HostListHistory, KeepsTheNewestOfLargeLists) {
     HostListHistory history;
-    std::vector<Host> hosts(HostListHistory::kMostHosts, host("x"));
-    history.take(shared(listOf(1, 0, hosts)));
-    history.take(shared(listOf(2, 0, hosts)));
+    std::vector<Host> hosts(HostListHistory::kMaxHosts, host("x"));
+    history.add(shared(listOf(1, 0, hosts)));
+    history.add(shared(listOf(2, 0, hosts)));
     EXPECT_EQ(history.size(), 1u);
     EXPECT_FALSE(history.since({1, 1, 7}));
 }
 
 TEST(HostListHistory, SaysNothingWhereMostHostsDiffer) {
     HostListHistory history;
-    history.take(shared(listOf(1, 0, {host("a"), host("b"), host("c")})));
-    history.take(shared(listOf(2, 0, {host("a"), host("d"), host("e")})));
+    history.add(shared(listOf(1, 0, {host("a"), host("b"), host("c")})));
+    history.add(shared(listOf(2, 0, {host("a"), host("d"), host("e")})));
     EXPECT_FALSE(history.since({1, 1, 7}));
 }
 
@@ -131,7 +131,7 @@
             if (kind == 2) hosts[place].state = HostState::draining;
             if (kind == 3) hosts.push_back(host("h" + std::to_string(200 + step), 2500));
             sender = shared(listOf(step, now, hosts));
-            history.take(sender);
+            history.add(sender);
             if (receiver && random() < 0.5) continue;  // this version is missed
             const auto changes = receiver ? history.since(receiver->version) : std::nullopt;
             if (!changes) {
--- a/tests/host_discovery/host_list_test.cpp
+++ b/tests/host_discovery/host_list_test.cpp
@@ -47,8 +47,8 @@
     EXPECT_FALSE(sameHosts(first, {{}, 0, {host("a"), host("b")}}, 250));
 }
 
-TEST(HostListConsumer, TakesOnlyNewerVersions) {
-    HostListConsumer holder;
+TEST(NewestHostList, TakesOnlyNewerVersions) {
+    NewestHostList holder;
     EXPECT_FALSE(holder.age(0).has_value());
     EXPECT_FALSE(holder.offer(nullptr, 0, 0));
     EXPECT_TRUE(holder.offer(list({2, 1, 7}, 100), 100, 110));
@@ -58,8 +58,8 @@
     EXPECT_EQ(holder.age(250), 50);
 }
 
-TEST(HostListConsumer, ConfirmingKeepsItYoung) {
-    HostListConsumer holder;
+TEST(NewestHostList, ConfirmingKeepsItYoung) {
+    NewestHostList holder;
     holder.offer(list({1, 1, 7}, 100), 100, 100);
     EXPECT_TRUE(holder.confirm({1, 1, 7}, 900));
     EXPECT_FALSE(holder.confirm({1, 2, 7}, 950));
@@ -70,8 +70,8 @@
 }
 
 // After all control members lost their disks the fences begin anew: a list nobody confirms gives way to a younger one.
-TEST(HostListConsumer, AStaleListGivesWayToAnEarlierFence) {
-    HostListConsumer holder;
+TEST(NewestHostList, AStaleListGivesWayToAnEarlierFence) {
+    NewestHostList holder;
     holder.offer(list({5, 1, 7}, 100), 100, 100);
     EXPECT_FALSE(holder.offer(list({1, 1, 7}, 3000), 3000, 3100));
     EXPECT_TRUE(holder.offer(list({1, 1, 7}, 3000), 3000, 3101));
--- a/tests/operator_client/call_plan_test.cpp
+++ b/tests/operator_client/call_plan_test.cpp
@@ -77,8 +77,8 @@
     EXPECT_EQ(addressOf(plan.onFailure(kNow, false)), "b:1");
 }
 
-// After each round of all members there is a pause; pauses grow to a bound, and the first member is asked again.
-TEST(CallPlan, PausesGrowBetweenRounds) {
+// After each round of all members there is a backoff; backoffs grow to a bound, and the first member is asked again.
+TEST(CallPlan, BackoffGrowsToItsBoundWhenAllMembersFail) {
     auto settings = settingsOf({"a:1", "b:1"});
     settings.total = 60'000;
     CallPlan plan(settings, kNow);
@@ -86,14 +86,14 @@
     Millis largest = 0;
     for (int round = 0; round < 8; ++round) {
         EXPECT_EQ(addressOf(plan.onFailure(kNow, false)), "b:1");
-        const Millis pause = std::get<Pause>(plan.onFailure(kNow, false)).length;
-        const Millis wanted = std::min(kFirstPause * (1 << round), kLongestPause);
-        EXPECT_GE(pause, 0.75 * wanted);
-        EXPECT_LE(pause, 1.25 * wanted);
-        largest = std::max(largest, pause);
-        EXPECT_EQ(addressOf(plan.onPauseOver(kNow)), "a:1");
+        const Millis backoff = std::get<Backoff>(plan.onFailure(kNow, false)).length;
+        const Millis wanted = std::min(kFirstBackoff * (1 << round), kMaxBackoff);
+        EXPECT_GE(backoff, 0.75 * wanted);
+        EXPECT_LE(backoff, 1.25 * wanted);
+        largest = std::max(largest, backoff);
+        EXPECT_EQ(addressOf(plan.onBackoffOver(kNow)), "a:1");
     }
-    EXPECT_GT(largest, 0.7 * kLongestPause);
+    EXPECT_GT(largest, 0.7 * kMaxBackoff);
 }
 
 TEST(CallPlan, EndsWithItsTimeWhateverComes) {
@@ -107,8 +107,8 @@
             now += send->timeout;
             step = plan.onFailure(now, false);
         } else {
-            now += std::get<Pause>(step).length;
-            step = plan.onPauseOver(now);
+            now += std::get<Backoff>(step).length;
+            step = plan.onBackoffOver(now);
         }
     }
     EXPECT_EQ(endingOf(step), Ending::unreachable);
--- a/tests/simulation/operator_process.cpp
+++ b/tests/simulation/operator_process.cpp
@@ -137,8 +137,8 @@
 void OperatorProcess::follow(const operator_client::Step& step) {
     if (const auto* call = std::get_if<operator_client::Send>(&step)) {
         send(*call);
-    } else if (const auto* wait = std::get_if<operator_client::Pause>(&step)) {
-        later(network_.now() + wait->length, [this] { follow(plan_->onPauseOver(network_.now())); });
+    } else if (const auto* wait = std::get_if<operator_client::Backoff>(&step)) {
+        later(network_.now() + wait->length, [this] { follow(plan_->onBackoffOver(network_.now())); });
     } else {
         over(std::get<operator_client::Over>(step).ending);
     }
--- a/tests/upstream/exchange_test.cpp
+++ b/tests/upstream/exchange_test.cpp
@@ -252,7 +252,7 @@
 
 TEST_F(Exchanges, UnusedConnectionsEndBeforeTheHostEndsThem) {
     UpstreamSettings settings;
-    settings.idleWithoutWord = 20;
+    settings.idleWithoutKeepAlive = 20;
     settings.idleMargin = 980;
     upstream = std::make_unique<Upstream>(io, clock, settings);
     for (const std::string line : {"", "Keep-Alive: max=5, timeout=1\r\n"}) {
@@ -410,13 +410,13 @@
     ASSERT_TRUE(until(io, [&] { return host.requests == 1; }));
     host.peers[0]->send(counted("a1", body));
     ASSERT_TRUE(until(io, [&] { return !outcome.body.empty(); }));
-    upstream->pause(handle);
+    upstream->pauseReading(handle);
     settle(io);
     const std::size_t before = outcome.body.size();
     settle(io);
     EXPECT_EQ(outcome.body.size(), before);
     EXPECT_LT(before, body.size());
-    upstream->resume(handle);
+    upstream->resumeReading(handle);
     ASSERT_TRUE(until(io, [&] { return outcome.ended; }));
     EXPECT_EQ(outcome.body.size(), body.size());
 }
@@ -428,7 +428,7 @@
     EXPECT_TRUE(exchange(request("a1")).ended);
     EXPECT_TRUE(exchange(request("a1"), kLong, addressOf(other.endpoint())).ended);
     EXPECT_EQ(upstream->connections(), 2u);
-    upstream->keepOnly({addressOf(other.endpoint())});
+    upstream->closeUnusedExceptTo({addressOf(other.endpoint())});
     EXPECT_EQ(upstream->connections(address()), 0u);
     EXPECT_EQ(upstream->connections(), 1u);
     script("");
--- a/tests/upstream/random_exchange_test.cpp
+++ b/tests/upstream/random_exchange_test.cpp
@@ -52,8 +52,8 @@
         ++tally_.left;
         upstream_.cancel(std::exchange(handle_, 0));
     }
-    void pause() { upstream_.pause(handle_); }
-    void resume() { upstream_.resume(handle_); }
+    void pauseReading() { upstream_.pauseReading(handle_); }
+    void resumeReading() { upstream_.resumeReading(handle_); }
 
 private:
     void send() {
@@ -134,8 +134,8 @@
                               Caller& one = *callers[random() % callers.size()];
                               const auto draw = random() % 400;
                               if (draw == 0) one.leave();
-                              if (draw == 1) one.pause();
-                              for (const auto& caller : callers) caller->resume();
+                              if (draw == 1) one.pauseReading();
+                              for (const auto& caller : callers) caller->resumeReading();
                               return done();
                           }))
             << "seed " << seed;
