--- a/src/routing/routing_table.cpp
+++ b/src/routing/routing_table.cpp
@@ -8,13 +8,6 @@
 namespace beechpoint::routing {
 namespace {
 
-template <class Entry>
-std::shared_ptr<const Entry> entryNamed(const StringMap<std::shared_ptr<const Entry>>& entries,
-                                        std::string_view name) {
-    const auto found = entries.find(name);
-    return found == entries.end() ? nullptr : found->second;
-}
-
 std::string_view withoutPort(std::string_view host) {
     const std::size_t bracket = host.rfind(']');  // of an IPv6 address
     const std::size_t colon = host.find(':', bracket == std::string_view::npos ? 0 : bracket);
@@ -71,11 +64,11 @@
 }
 
 std::shared_ptr<const RouteEntry> RoutingTable::routeNamed(std::string_view name) const {
-    return entryNamed(routes_, name);
+    return findEntry(routes_, name);
 }
 
 std::shared_ptr<const ServiceEntry> RoutingTable::service(std::string_view name) const {
-    return entryNamed(services_, name);
+    return findEntry(services_, name);
 }
 
 std::shared_ptr<const RoutingTable> RoutingTable::fromTable(const Table& table, Position position) {
--- a/src/routing/routing_table.hpp
+++ b/src/routing/routing_table.hpp
@@ -1,6 +1,6 @@
-// The gateway's routes: an immutable snapshot of the replicated table, swapped whole. A request keeps the snapshot
-// that it was routed by. It decides which route a request takes and which services may run it; which host does is
-// decided elsewhere.
+/// The gateway's routes: an immutable snapshot of the replicated table, replaced as one. A request keeps the snapshot that it was
+/// routed by. It decides which route a request takes and which services may run it; which host does is decided by
+/// dispatch::Dispatcher. Snapshots never change and may be read from any thread.
 #pragma once
 
 #include <array>
@@ -11,40 +11,33 @@
 #include <set>
 #include <string>
 #include <string_view>
-#include <unordered_map>
 #include <vector>
 
 #include "configuration/configuration.hpp"
 #include "core/replicated_table.hpp"
+#include "routing/string_map.hpp"
 
 namespace beechpoint::routing {
 
-using Digest = std::array<std::uint64_t, 2>;  // of a value of the table
+using Digest = std::array<std::uint64_t, 2>;  ///< of a value of the table
 
-struct StringHash {
-    using is_transparent = void;
-    std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>{}(text); }
-};
-template <class Value>
-using StringMap = std::unordered_map<std::string, Value, StringHash, std::equal_to<>>;
-
-// A service that a route leads to, with the fraction of its requests up to and including this service.
+/// A service that a route leads to, with the fraction of its requests up to and including this service.
 struct BackendWeight {
     std::string service;
-    double upTo = 1;  // rises along the list; 1 for the last
+    double upTo = 1;  ///< rises along the list; 1 for the last
 };
 
 struct RouteEntry {
     configuration::Route route;
-    std::string host;                    // lower case, as compared with Host headers
-    std::vector<BackendWeight> weights;  // without those of weight 0; never empty
+    std::string host;                    ///< lower case, as compared with Host headers
+    std::vector<BackendWeight> weights;  ///< without those of weight 0; never empty
     Digest digest{};
 
-    // The service for a draw in [0, 1).
-    const std::string& backendFor(double draw) const;
-    bool leadsTo(std::string_view service) const;
-    // Whether a region may serve it as far as the route says.
-    bool allows(std::string_view region) const;
+    /// The service for a draw in [0, 1).
+    [[nodiscard]] const std::string& backendFor(double draw) const;
+    [[nodiscard]] bool leadsTo(std::string_view service) const;
+    /// Whether a region may serve it as far as the route says.
+    [[nodiscard]] bool allows(std::string_view region) const;
 };
 
 struct ServiceEntry {
@@ -52,21 +45,21 @@
     Digest digest{};
 };
 
-// The routes of one host name, by prefix.
+/// The routes of one host name, by prefix.
 struct HostRoutes {
     StringMap<std::shared_ptr<const RouteEntry>> byPrefix;
-    std::size_t longestPrefix = 0;  // bytes
+    std::size_t longestPrefix = 0;  ///< bytes
 };
 
 class RoutingTable {
 public:
-    // Lower case, without port and without the final dot.
-    static std::string normalHost(std::string_view hostHeader);
+    /// Lower case, without port and without the final dot.
+    [[nodiscard]] static std::string normalHost(std::string_view hostHeader);
 
-    // The route with the longest prefix that begins the path; nullptr when there is none. A query is cut off.
+    /// The route with the longest prefix that begins the path; nullptr when there is none. A query is cut off.
     std::shared_ptr<const RouteEntry> find(std::string_view hostHeader, std::string_view path) const;
     std::shared_ptr<const RouteEntry> routeNamed(std::string_view name) const;
-    // nullptr when there is none of that name.
+    /// nullptr when there is none of that name.
     std::shared_ptr<const ServiceEntry> service(std::string_view name) const;
 
     const StringMap<std::shared_ptr<const RouteEntry>>& routes() const { return routes_; }
@@ -74,15 +67,16 @@
     const configuration::Limits& limits() const { return limits_; }
     const std::set<std::string, std::less<>>& evacuatedZones() const { return evacuatedZones_; }
     bool evacuated(std::string_view zone) const { return evacuatedZones_.contains(zone); }
-    std::uint64_t revision() const { return revision_; }
-    Position position() const { return position_; }
-    // Values of the update that could not be read and were left out; 0 unless control runs another version.
-    std::size_t unreadable() const { return unreadable_; }
-
-    static std::shared_ptr<const RoutingTable> fromTable(const Table& table, Position position);
-    // `base` with the update applied. Entries whose value did not change are shared with it. The caller sees to
-    // the order of updates.
-    static std::shared_ptr<const RoutingTable> updated(const RoutingTable& base, const TableUpdate& update);
+    [[nodiscard]] std::uint64_t revision() const { return revision_; }
+    [[nodiscard]] Position position() const { return position_; }
+    /// Values of the update that could not be read and were left out; 0 unless control runs another version.
+    [[nodiscard]] std::size_t unreadable() const { return unreadable_; }
+
+    [[nodiscard]] static std::shared_ptr<const RoutingTable> fromTable(const Table& table, Position position);
+    /// `base` with the update applied. Entries whose value did not change are shared with it. The caller sees to
+    /// the order of updates.
+    [[nodiscard]] static std::shared_ptr<const RoutingTable> updated(const RoutingTable& base,
+                                                                     const TableUpdate& update);
 
 private:
     friend class RoutingTableBuilder;
--- a/src/routing/routing_table_builder.hpp
+++ b/src/routing/routing_table_builder.hpp
@@ -1,5 +1,5 @@
-// Makes one routing table out of another by changed values. Private to the library: what is being built is shared
-// with nobody until finish().
+/// Builds a routing table from another one and changed values. Private to the module: the table is shared with nobody until
+/// finish(), which ends the builder's use.
 #pragma once
 
 #include <memory>
@@ -12,14 +12,15 @@
 
 class RoutingTableBuilder {
 public:
-    // Begins with what `base` has; its entries are used again where a value is the same.
-    static RoutingTableBuilder changing(const RoutingTable& base);
-    // Begins empty.
-    static RoutingTableBuilder replacing(const RoutingTable& base);
+    /// Begins with the contents of `base`, which must outlive the builder.
+    [[nodiscard]] static RoutingTableBuilder changing(const RoutingTable& base);
+    /// Begins empty. Entries of `base` are shared where a value is the same; it must outlive the builder.
+    [[nodiscard]] static RoutingTableBuilder replacing(const RoutingTable& base);
 
+    /// A value that can't be read is counted and leaves its entry out. Keys that are not known are ignored.
     void set(std::string_view key, std::string_view value);
     void remove(std::string_view key);
-    std::shared_ptr<const RoutingTable> finish(Position position);
+    [[nodiscard]] std::shared_ptr<const RoutingTable> finish(Position position);
 
 private:
     explicit RoutingTableBuilder(const RoutingTable& base) : base_(base) {}
@@ -27,14 +28,14 @@
     void setRoute(std::string_view name, std::string_view value);
     void setService(std::string_view name, std::string_view value);
     void removeRoute(std::string_view name);
-    void place(std::shared_ptr<const RouteEntry> entry);
-    void displace(const RouteEntry& entry);
+    void addToHost(std::shared_ptr<const RouteEntry> entry);
+    void removeFromHost(const RouteEntry& entry);
     HostRoutes& writableHost(const std::string& host);
-    void settleHosts();
+    void publishHosts();
 
     const RoutingTable& base_;
-    std::shared_ptr<RoutingTable> made_ = std::make_shared<RoutingTable>();
-    StringMap<std::shared_ptr<HostRoutes>> touchedHosts_;
+    std::shared_ptr<RoutingTable> table_ = std::make_shared<RoutingTable>();
+    StringMap<std::shared_ptr<HostRoutes>> changedHosts_;  // copies of the table's, until finish()
 };
 
 }  // namespace beechpoint::routing
--- a/src/routing/table_copy.hpp
+++ b/src/routing/table_copy.hpp
@@ -1,5 +1,5 @@
-// The gateway's copy of the replicated table, as its routing table. It only goes forward: an update that is not
-// newer than what is held is ignored, whichever member it came from.
+/// The gateway's copy of the replicated table, as its routing table. Its position only rises: an update that is not newer is
+/// ignored, whichever member it came from. Not thread-safe; the snapshots that it gives are.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,15 @@
 public:
     TableCopy();
 
-    // Whether the copy changed. A delta must have been asked for with position() or an older position of this copy.
+    /// Whether the copy changed. A delta must have been asked for with position() or an older position of this copy.
     bool apply(const TableUpdate& update);
 
-    // Never nullptr; empty at position {0, 0} before the first update.
-    const std::shared_ptr<const RoutingTable>& current() const { return current_; }
-    Position position() const { return current_->position(); }
-    // Whether a configuration has come yet.
-    bool configured() const { return current_->revision() != 0; }
-    std::uint64_t ignoredUpdates() const { return ignoredUpdates_; }
+    /// Never null; empty at position {0, 0} before the first update.
+    [[nodiscard]] const std::shared_ptr<const RoutingTable>& current() const { return current_; }
+    [[nodiscard]] Position position() const { return current_->position(); }
+    /// Whether a configuration has come yet.
+    [[nodiscard]] bool configured() const { return current_->revision() != 0; }
+    [[nodiscard]] std::uint64_t ignoredUpdates() const { return ignoredUpdates_; }
 
 private:
     std::shared_ptr<const RoutingTable> current_;
--- a/tests/routing/routing_table_test.cpp
+++ b/tests/routing/routing_table_test.cpp
@@ -20,7 +20,7 @@
     return RoutingTable::fromTable(table, {1, 1});
 }
 
-TEST(RoutingTable, PicksTheLongestPrefixOfTheHost) {
+TEST(RoutingTable, FindsLongestPrefixOfTheHost) {
     const auto table =
         tableWith(route("root", "h.example", "/") + "," + route("a", "h.example", "/a/") + "," +
                   route("deep", "h.example", "/a/b/c/") + "," + route("other", "g.example", "/a/b/"));
@@ -47,7 +47,7 @@
     EXPECT_EQ(RoutingTable::normalHost("[::1]:80"), "[::1]");
 }
 
-TEST(RoutingTable, LooksAtThePathAloneAndAsItStands) {
+TEST(RoutingTable, MatchesPathOnlyAndAsWritten) {
     const auto table = tableWith(route("a", "h", "/a/"));
     EXPECT_EQ(nameAt(*table, "h", "/a/?x=/b/"), "a");
     EXPECT_EQ(nameAt(*table, "h", "/?x=/a/"), "");
@@ -58,7 +58,7 @@
     EXPECT_EQ(nameAt(*table, "h", "*"), "");
 }
 
-TEST(RoutingTable, SpreadsASplitByItsWeights) {
+TEST(RoutingTable, SelectsBackendByWeights) {
     const auto table = tableWith(
         R"({"name":"a","hostname":"h","path_prefix":"/","timeout_ms":1,"backend":"t","traffic_split":[)"
         R"({"backend":"t","weight":0},{"backend":"s","weight":3},{"backend":"t","weight":1},{"backend":"s","weight":0}]})");
@@ -73,7 +73,7 @@
     EXPECT_FALSE(entry->leadsTo("u"));
 }
 
-TEST(RoutingTable, KnowsHomes) {
+TEST(RoutingTable, ReportsAllowedRegions) {
     const auto table =
         tableWith(route("a", "h", "/a/") + R"(,{"name":"b","hostname":"h","path_prefix":"/b/","backend":"s",)"
                                            R"("allowed_regions":["east"]})");
@@ -99,7 +99,7 @@
     EXPECT_EQ(routing->unreadable(), 0U);
 }
 
-TEST(RoutingTable, LeavesOutAndCountsWhatItCannotRead) {
+TEST(RoutingTable, SkipsAndCountsUnreadableValues) {
     Table table;
     tables::put(table, route("a", "h", "/a/") + "," + route("b", "h", "/b/"));
     table["route/a"] = "1 {\"name\":";
@@ -111,7 +111,7 @@
 }
 
 // Many slashes cost no more than the longest prefix has.
-TEST(RoutingTable, BoundsTheSearchByTheLongestPrefix) {
+TEST(RoutingTable, BoundsSearchByLongestPrefix) {
     const auto table = tableWith(route("a", "h", "/a/"));
     const std::string slashes(1 << 20, '/');
     EXPECT_EQ(nameAt(*table, "h", slashes), "");
--- a/tests/routing/table_copy_test.cpp
+++ b/tests/routing/table_copy_test.cpp
@@ -11,7 +11,7 @@
 
 using tables::route;
 
-TEST(TableCopy, BeginsEmpty) {
+TEST(TableCopy, IsEmptyBeforeFirstUpdate) {
     const TableCopy copy;
     ASSERT_TRUE(copy.current());
     EXPECT_EQ(copy.position(), Position{});
@@ -19,7 +19,7 @@
     EXPECT_FALSE(copy.current()->find("h", "/"));
 }
 
-TEST(TableCopy, FollowsDeltas) {
+TEST(TableCopy, AppliesDeltas) {
     Table table;
     TableCopy copy;
     EXPECT_TRUE(copy.apply({{1, 1}, true, tables::put(table, route("a", "h", "/a/"))}));
@@ -31,22 +31,22 @@
     EXPECT_EQ(copy.current()->revision(), 2U);
 }
 
-TEST(TableCopy, NeverGoesBack) {
+TEST(TableCopy, IgnoresOlderUpdates) {
     Table table;
     TableCopy copy;
     const std::vector<Change> first = tables::put(table, route("a", "h", "/a/"));
     copy.apply({{2, 5}, true, first});
-    const auto held = copy.current();
+    const auto before = copy.current();
     const std::vector<Change> older = tables::put(table, route("b", "h", "/b/"));
     EXPECT_FALSE(copy.apply({{2, 5}, true, older}));
     EXPECT_FALSE(copy.apply({{2, 4}, false, older}));
     EXPECT_FALSE(copy.apply({{1, 99}, true, older}));
-    EXPECT_EQ(copy.current(), held);
+    EXPECT_EQ(copy.current(), before);
     EXPECT_EQ(copy.ignoredUpdates(), 3U);
     EXPECT_TRUE(copy.apply({{3, 1}, false, older}));
 }
 
-TEST(TableCopy, LeavesSnapshotsThatAreHeldAlone) {
+TEST(TableCopy, DoesNotChangeSnapshotsInUse) {
     Table table;
     TableCopy copy;
     copy.apply({{1, 1}, true, tables::put(table, route("a", "h", "/a/") + "," + route("b", "g", "/"))});
@@ -58,13 +58,13 @@
     EXPECT_FALSE(copy.current()->find("g", "/"));
 }
 
-TEST(TableCopy, SharesEntriesThatDidNotChange) {
+TEST(TableCopy, SharesUnchangedEntries) {
     Table table;
     TableCopy copy;
     copy.apply({{1, 1}, true, tables::put(table, route("a", "h", "/a/") + "," + route("b", "h", "/b/"))});
     const auto before = copy.current();
     tables::put(table, route("a", "h", "/a/") + "," + route("b", "h", "/c/"));
-    copy.apply({{1, 2}, true, tables::wholeOf(table)});
+    copy.apply({{1, 2}, true, tables::fullTable(table)});
     EXPECT_EQ(copy.current()->routeNamed("a"), before->routeNamed("a"));
     EXPECT_EQ(copy.current()->service("s"), before->service("s"));
     EXPECT_NE(copy.current()->routeNamed("b"), before->routeNamed("b"));
@@ -79,37 +79,37 @@
     copy.apply({{1, 3}, false, {{"evacuated/hub-hall", std::nullopt}}});
     EXPECT_FALSE(copy.current()->evacuated("hub-hall"));
     copy.apply({{1, 4}, false, {{"evacuated/hub-hall", "1"}}});
-    copy.apply({{1, 5}, true, tables::wholeOf(table)});
+    copy.apply({{1, 5}, true, tables::fullTable(table)});
     EXPECT_FALSE(copy.current()->evacuated("hub-hall"));
 }
 
-// Whatever a series of configurations changes, deltas lead to the same routes as the whole table does.
-TEST(TableCopy, DeltasAgreeWithTheWholeTable) {
+// Whatever a series of configurations changes, deltas lead to the same routes as the full table does.
+TEST(TableCopy, DeltasGiveTheSameAsTheFullTable) {
     std::mt19937 random{11};
     Table table;
     TableCopy copy;
     for (std::uint64_t sequence = 1; sequence <= 300; ++sequence) {
         std::string routes;
-        std::vector<bool> placeUsed(12);
+        std::vector<bool> slotUsed(12);
         for (unsigned number = 0; number < 8; ++number) {
-            const unsigned place = static_cast<unsigned>(random() % placeUsed.size());
-            if (placeUsed[place] || random() % 4 == 0) continue;
-            placeUsed[place] = true;
+            const unsigned slot = static_cast<unsigned>(random() % slotUsed.size());
+            if (slotUsed[slot] || random() % 4 == 0) continue;
+            slotUsed[slot] = true;
             routes +=
                 (routes.empty() ? "" : ",") +
-                route(fmt::format("r{}", number), fmt::format("h{}", place % 3), fmt::format("/p{}/", place));
+                route(fmt::format("r{}", number), fmt::format("h{}", slot % 3), fmt::format("/p{}/", slot));
         }
         copy.apply({{1, sequence}, false, tables::put(table, routes)});
-        const auto whole = RoutingTable::fromTable(table, {1, sequence});
-        ASSERT_EQ(copy.current()->routes().size(), whole->routes().size());
-        for (unsigned place = 0; place < placeUsed.size(); ++place) {
-            const std::string host = fmt::format("h{}", place % 3);
-            const auto byDelta = copy.current()->find(host, fmt::format("/p{}/x", place));
-            const auto byWhole = whole->find(host, fmt::format("/p{}/x", place));
-            ASSERT_EQ(byDelta != nullptr, byWhole != nullptr);
-            ASSERT_EQ(byDelta != nullptr, placeUsed[place]);
+        const auto full = RoutingTable::fromTable(table, {1, sequence});
+        ASSERT_EQ(copy.current()->routes().size(), full->routes().size());
+        for (unsigned slot = 0; slot < slotUsed.size(); ++slot) {
+            const std::string host = fmt::format("h{}", slot % 3);
+            const auto byDelta = copy.current()->find(host, fmt::format("/p{}/x", slot));
+            const auto byFullTable = full->find(host, fmt::format("/p{}/x", slot));
+            ASSERT_EQ(byDelta != nullptr, byFullTable != nullptr);
+            ASSERT_EQ(byDelta != nullptr, slotUsed[slot]);
             if (byDelta) {
-                ASSERT_EQ(byDelta->route, byWhole->route);
+                ASSERT_EQ(byDelta->route, byFullTable->route);
             }
         }
     }
--- a/tests/routing/tables.hpp
+++ b/tests/routing/tables.hpp
@@ -21,13 +21,13 @@
         prefix, service);
 }
 
-inline std::string whole(unsigned revision, std::string_view routes, std::string_view services) {
+inline std::string configurationText(unsigned revision, std::string_view routes, std::string_view services) {
     return fmt::format(R"({{"revision":{},"routes":[{}],"services":[{}]}})", revision, routes, services);
 }
 
 inline const std::string kServices = R"({"name":"s","max_connections":10},{"name":"t"})";
 
-// The changes of a call that is taken.
+// The changes of a call that is applied.
 inline std::vector<Change> changesOf(const Result<configuration::Decision>& decision) {
     EXPECT_TRUE(decision) << (decision ? "" : decision.error().text());
     if (!decision) return {};
@@ -40,12 +40,13 @@
 inline std::vector<Change> put(Table& table, std::string_view routes) {
     const std::uint64_t current = configuration::currentRevision(table);
     const std::vector<Change> changes = changesOf(configuration::putConfiguration(
-        table, std::to_string(current), whole(static_cast<unsigned>(current) + 1, routes, kServices)));
+        table, std::to_string(current),
+        configurationText(static_cast<unsigned>(current) + 1, routes, kServices)));
     beechpoint::apply(changes, table);
     return changes;
 }
 
-inline std::vector<Change> wholeOf(const Table& table) {
+inline std::vector<Change> fullTable(const Table& table) {
     std::vector<Change> changes;
     for (const auto& [key, value] : table) changes.push_back({key, value});
     return changes;
