--- a/src/host_discovery/host_list.cpp
+++ b/src/host_discovery/host_list.cpp
@@ -7,7 +7,7 @@
 namespace beechpoint::host_discovery {
 namespace {
 
-// Two ends of a span, in the same clock. Both over by `now`: the same.
+// Ends of two time spans, on the same clock. Both over by `now`: the same.
 bool sameMoment(Millis one, Millis other, Millis now, Millis tolerance) {
     if (one <= now && other <= now) return true;
     return std::abs(one - other) <= tolerance;
@@ -41,8 +41,8 @@
         confirm(list->version, confirmedAt);
         return false;
     }
-    const bool heldIsStale = list_ && now - confirmedAt_ > kStale && confirmedAt > confirmedAt_;
-    if (list_ && list->version < list_->version && !heldIsStale) return false;
+    const bool isStale = list_ && now - confirmedAt_ > kStale && confirmedAt > confirmedAt_;
+    if (list_ && list->version < list_->version && !isStale) return false;
     list_ = std::move(list);
     confirmedAt_ = confirmedAt;
     return true;
--- a/src/host_discovery/host_list.hpp
+++ b/src/host_discovery/host_list.hpp
@@ -1,8 +1,8 @@
-// The platform's list of hosts as a value, and the rule by which one copy of it replaces another. Free of I/O.
-//
-// A list is read by one holder of a duty at a time, under a fence, and spread from there; a gateway that hears of no
-// control member reads it by itself. Each copy carries the moment of its reading on the owner's own monotonic clock, so its
-// age is known everywhere. A list that can't be read takes nobody out: the copy held stays, older by the moment.
+/// The platform's host list as a value, and the rule by which one copy of it replaces another. Free of I/O.
+///
+/// A list is read by the holder of a lease, under its fencing token, and sent on from there; a gateway that reaches no control
+/// member reads it by itself. Each copy carries the time of its reading on its owner's own monotonic clock, so its age is known
+/// everywhere. A list that can't be read removes no host: the last copy stays in use and gets older.
 #pragma once
 
 #include <compare>
@@ -25,24 +25,24 @@
     bool operator==(const Model&) const = default;
 };
 
-// One host of the list. Times that are left count from the reading of the list (HostList::readAt).
+/// One host of the list. Remaining times count from the reading of the list (HostList::readAt).
 struct Host {
     std::string instanceId;
-    std::string service;  // `backend` on the wire
-    std::string address;  // IP:PORT
+    std::string service;  ///< `backend` on the wire
+    std::string address;  ///< IP:PORT
     std::string zone;
-    std::string revision;  // of its software
+    std::string revision;  ///< of its software
     std::uint32_t capacity = 0;
     HostState state = HostState::serving;
     Millis warmupLeft = 0;
-    std::optional<Millis> remaining;  // a host withdrawn at short notice: until it is gone
+    std::optional<Millis> remaining;  ///< a host withdrawn at short notice: until it ends
     std::string phase;
     std::vector<Model> models;
     bool operator==(const Host&) const = default;
 };
 
-// Names one state of the list. `fence` is the epoch of the view under which the reader held the duty (0: a gateway that
-// read by itself), `number` counts the states seen, `reader` tells two readers under one fence apart.
+/// Names one version of the list. `fencingToken` is the epoch of the view under which the reader had the lease (0: a gateway that
+/// read by itself), `number` counts the versions seen, `reader` tells two readers under one fencing token apart.
 struct HostListVersion {
     std::uint64_t fencingToken = 0;
     std::uint64_t number = 0;
@@ -52,29 +52,31 @@
 
 struct HostList {
     HostListVersion version;
-    Millis readAt =
-        0;  // when the call for its first page was sent; later readings may have confirmed it since
-    std::vector<Host> hosts;  // by instanceId
+    /// When the call for its first page was sent; later readings may have confirmed it since.
+    Millis readAt = 0;
+    std::vector<Host> hosts;  ///< by instanceId
 };
 
-// Whether both say the same, warm-up and remaining time compared as moments within `tolerance`.
-bool sameHosts(const HostList& one, const HostList& other, Millis tolerance);
+/// Whether both say the same, warm-up and remaining time compared as moments within `tolerance`.
+[[nodiscard]] bool sameHosts(const HostList& one, const HostList& other, Millis tolerance);
 
-// Holds the newest list known to a process and decides what replaces it.
+/// The newest list known to a process; decides what replaces it. Not thread-safe; the lists that it gives never change.
 class NewestHostList {
 public:
-    static constexpr Millis kStale = 3000;  // a list unconfirmed for so long gives way to any that is younger
+    static constexpr Millis kStale =
+        3000;  ///< a list unconfirmed for so long is replaced by any that is younger
 
-    // A list, confirmed at `confirmedAt` (own clock), is offered. True where it is taken.
+    /// A list, confirmed at `confirmedAt` (own clock). True where it is the newest from now on.
     bool offer(std::shared_ptr<const HostList> list, Millis confirmedAt, Millis now);
-    // The list of that version was found unchanged at `confirmedAt`. True where it is the one held.
+    /// The list of that version was found unchanged at `confirmedAt`. True where it is this one.
     bool confirm(const HostListVersion& version, Millis confirmedAt);
 
-    const std::shared_ptr<const HostList>& list() const { return list_; }  // null: none known
-    HostListVersion version() const { return list_ ? list_->version : HostListVersion{}; }
-    Millis confirmedAt() const { return confirmedAt_; }
-    // Since the last reading that gave or confirmed the list; nothing where none is known.
-    std::optional<Millis> age(Millis now) const;
+    /// Null: none known.
+    [[nodiscard]] const std::shared_ptr<const HostList>& list() const { return list_; }
+    [[nodiscard]] HostListVersion version() const { return list_ ? list_->version : HostListVersion{}; }
+    [[nodiscard]] Millis confirmedAt() const { return confirmedAt_; }
+    /// Since the last reading that gave or confirmed the list; nothing where none is known.
+    [[nodiscard]] std::optional<Millis> age(Millis now) const;
 
 private:
     std::shared_ptr<const HostList> list_;
--- a/src/host_discovery/host_list_changes.cpp
+++ b/src/host_discovery/host_list_changes.cpp
@@ -11,14 +11,14 @@
 
 bool byId(const Host& one, const Host& other) { return one.instanceId < other.instanceId; }
 
-// What is left of a time after so much more has passed.
-Millis leftAfter(Millis left, Millis passed) { return std::max(0.0, left - passed); }
+// What remains of a time after so much more has passed.
+Millis remainingAfter(Millis left, Millis passed) { return std::max(0.0, left - passed); }
 
-// The host as it was read first, told from a later reading on.
+// The host as it was read first, its times counted from a later reading.
 Host later(const Host& host, Millis passed) {
     Host out = host;
-    out.warmupLeft = leftAfter(host.warmupLeft, passed);
-    if (host.remaining) out.remaining = leftAfter(*host.remaining, passed);
+    out.warmupLeft = remainingAfter(host.warmupLeft, passed);
+    if (host.remaining) out.remaining = remainingAfter(*host.remaining, passed);
     return out;
 }
 
@@ -38,32 +38,30 @@
 HostListChanges changesBetween(const HostList& base, const HostList& list) {
     HostListChanges changes{base.version, list.version, list.readAt - base.readAt, {}, {}};
     auto old = base.hosts.begin();
-    const auto passOver = [&](const auto& isBefore) {
-        for (; old != base.hosts.end() && isBefore(*old); ++old) changes.removed.push_back(old->instanceId);
-    };
     for (const Host& host : list.hosts) {
-        passOver([&](const Host& other) { return byId(other, host); });
+        for (; old != base.hosts.end() && byId(*old, host); ++old) changes.removed.push_back(old->instanceId);
         const bool known = old != base.hosts.end() && old->instanceId == host.instanceId;
         if (!known || !sameAs(later(*old, changes.sinceBase), host)) changes.changed.push_back(host);
         if (known) ++old;
     }
-    passOver([](const Host&) { return true; });
+    for (; old != base.hosts.end(); ++old) changes.removed.push_back(old->instanceId);
     return changes;
 }
 
-std::shared_ptr<const HostList> applyChanges(const HostList& held, const HostListChanges& changes,
+// All three lists are ordered by instanceId, so they are merged in one pass.
+std::shared_ptr<const HostList> applyChanges(const HostList& base, const HostListChanges& changes,
                                              Millis readAt) {
-    if (held.version != changes.base) return nullptr;
+    if (base.version != changes.base) return nullptr;
     auto list = std::make_shared<HostList>();
     list->version = changes.version;
     list->readAt = readAt;
     auto changed = changes.changed.begin();
-    auto gone = changes.removed.begin();
-    for (const Host& host : held.hosts) {
+    auto removed = changes.removed.begin();
+    for (const Host& host : base.hosts) {
         for (; changed != changes.changed.end() && byId(*changed, host); ++changed)
             list->hosts.push_back(*changed);
-        if (gone != changes.removed.end() && *gone == host.instanceId) {
-            ++gone;
+        if (removed != changes.removed.end() && *removed == host.instanceId) {
+            ++removed;
             continue;
         }
         const bool replaced = changed != changes.changed.end() && changed->instanceId == host.instanceId;
@@ -71,7 +69,8 @@
         if (replaced) ++changed;
     }
     list->hosts.insert(list->hosts.end(), changed, changes.changed.end());
-    return gone == changes.removed.end() ? list : nullptr;
+    const bool allRemoved = removed == changes.removed.end();
+    return allRemoved ? list : nullptr;
 }
 
 void HostListHistory::add(std::shared_ptr<const HostList> list) {
@@ -85,8 +84,8 @@
 }
 
 std::optional<HostListChanges> HostListHistory::since(const HostListVersion& version) const {
-    const auto isIt = [&](const auto& list) { return list->version == version; };
-    const auto base = std::find_if(lists_.begin(), lists_.end(), isIt);
+    const auto hasVersion = [&](const auto& list) { return list->version == version; };
+    const auto base = std::find_if(lists_.begin(), lists_.end(), hasVersion);
     if (base == lists_.end() || *base == lists_.back()) return std::nullopt;
     const HostList& newest = *lists_.back();
     HostListChanges changes = changesBetween(**base, newest);
--- a/src/host_discovery/list_reader.cpp
+++ b/src/host_discovery/list_reader.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr double kJitterShare = 0.5;  // a back-off is cut by up to this share
-constexpr int kMostDoublings = 10;
+constexpr double kBackoffJitter = 0.5;  // a backoff is shortened by up to this fraction
+constexpr int kMaxDoublings = 10;
 
-// Tokens come from the platform: everything but plain letters is escaped.
+// Tokens come from the platform: everything but unreserved characters (RFC 3986, 2.3) is escaped.
 std::string escaped(std::string_view text) {
     std::string result;
     for (const char byte : text) {
         const bool isDigit = byte >= '0' && byte <= '9';
-        const bool isLetter = (byte >= 'a' && byte <= 'z') || (byte >= 'A' && byte <= 'Z');
-        if (isDigit || isLetter || byte == '-' || byte == '_' || byte == '.' || byte == '~')
+        const bool isAlphabetic = (byte >= 'a' && byte <= 'z') || (byte >= 'A' && byte <= 'Z');
+        if (isDigit || isAlphabetic || byte == '-' || byte == '_' || byte == '.' || byte == '~')
             result += byte;
         else
             result += fmt::format("%{:02X}", static_cast<unsigned char>(byte));
@@ -32,7 +32,7 @@
     : settings_(settings), random_(seed), readerId_(readerId) {}
 
 void ListReader::start(Millis now, std::uint64_t fencingToken, std::uint64_t lastNumber,
-                       std::shared_ptr<const HostList> held) {
+                       std::shared_ptr<const HostList> known) {
     state_ = State::waiting;
     fencingToken_ = fencingToken;
     number_ = lastNumber;
@@ -40,7 +40,7 @@
     failures_ = 0;
     restarts_ = 0;
     missingBefore_.clear();
-    list_ = std::move(held);
+    list_ = std::move(known);
     confirmedAt_ = list_ ? list_->readAt : 0;
 }
 
@@ -57,7 +57,7 @@
     return nextAt_;
 }
 
-std::optional<ListReader::Call> ListReader::due(Millis now) {
+std::optional<ListReader::Call> ListReader::nextCall(Millis now) {
     if (state_ != State::waiting || now < nextAt_) return std::nullopt;
     state_ = State::calling;
     if (pageToken_.empty()) {
@@ -75,7 +75,7 @@
     hosts_.clear();
     pageToken_.clear();
     pages_ = 0;
-    whole_ = true;
+    complete_ = true;
 }
 
 ListReader::Outcome ListReader::onAnswer(Millis now, int status, std::string_view body) {
@@ -83,7 +83,7 @@
     if (status != kOk) return onFailure(now);
     auto page = parsePage(body);
     if (!page) return onFailure(now);
-    return takePage(now, std::move(page.value()));
+    return addPage(now, std::move(page.value()));
 }
 
 ListReader::Outcome ListReader::onFailure(Millis now) {
@@ -91,16 +91,16 @@
     state_ = State::waiting;
     pageToken_.clear();
     restarts_ = 0;
-    const int doublings = std::min(failures_, kMostDoublings);
+    const int doublings = std::min(failures_, kMaxDoublings);
     failures_++;
     const Millis backoff = std::min(settings_.backoffMost, settings_.backoffFirst * (1 << doublings));
-    nextAt_ = now + backoff * (1 - kJitterShare * random_());
+    nextAt_ = now + backoff * (1 - kBackoffJitter * random_());
     return Outcome::failed;
 }
 
-ListReader::Outcome ListReader::takePage(Millis now, Page page) {
+ListReader::Outcome ListReader::addPage(Millis now, Page page) {
     pages_++;
-    if (page.unreadable > 0) whole_ = false;
+    if (page.unreadable > 0) complete_ = false;
     bool torn = false;
     for (Host& host : page.hosts) {
         std::string id = host.instanceId;
@@ -109,7 +109,7 @@
     }
     if (torn && pages_ > 1) {
         if (restarts_ < settings_.maxRestarts) return restart(now);
-        whole_ = false;
+        complete_ = false;
     }
     if (!page.nextPageToken) return finish(now);
     const bool leadsNowhere = *page.nextPageToken == pageToken_ || pages_ >= settings_.maxPages;
@@ -128,24 +128,25 @@
     return Outcome::nothing;
 }
 
-// Puts hosts that are on the list, but not in this reading, back among those read, unless an earlier reading lacked them too.
-std::set<std::string> ListReader::keepMissing() {
+// Adds hosts that are on the list, but not in this reading, to those read, unless an earlier reading lacked them too. Gives the ids
+// of those added.
+std::set<std::string> ListReader::addMissingHosts() {
     std::set<std::string> missing;
     if (!list_) return missing;
     for (const Host& known : list_->hosts) {
         if (hosts_.contains(known.instanceId)) continue;
-        if (whole_ && missingBefore_.contains(known.instanceId)) continue;
+        if (complete_ && missingBefore_.contains(known.instanceId)) continue;
         missing.insert(known.instanceId);
-        Host kept = known;
+        Host host = known;
         const Millis passed = beganAt_ - list_->readAt;
-        kept.warmupLeft = std::max(0.0, kept.warmupLeft - passed);
-        if (kept.remaining) kept.remaining = std::max(0.0, *kept.remaining - passed);
-        hosts_.emplace(kept.instanceId, std::move(kept));
+        host.warmupLeft = std::max(0.0, host.warmupLeft - passed);
+        if (host.remaining) host.remaining = std::max(0.0, *host.remaining - passed);
+        hosts_.emplace(host.instanceId, std::move(host));
     }
     return missing;
 }
 
-std::vector<Host> ListReader::takeHosts() {
+std::vector<Host> ListReader::moveHosts() {
     std::vector<Host> hosts;
     hosts.reserve(hosts_.size());
     for (auto& [id, host] : hosts_) hosts.push_back(std::move(host));
@@ -154,9 +155,9 @@
 }
 
 ListReader::Outcome ListReader::finish(Millis now) {
-    std::set<std::string> missing = keepMissing();
+    std::set<std::string> missing = addMissingHosts();
     // A reading that may lack entries neither confirms an absence nor begins one.
-    if (whole_) missingBefore_ = std::move(missing);
+    if (complete_) missingBefore_ = std::move(missing);
     state_ = State::waiting;
     pageToken_.clear();
     restarts_ = 0;
@@ -164,7 +165,7 @@
     const Millis period = std::max(settings_.period, settings_.periodPerPage * pages_);
     nextAt_ = std::max(now, beganAt_ + period);
     confirmedAt_ = beganAt_;
-    HostList read{{}, beganAt_, takeHosts()};
+    HostList read{{}, beganAt_, moveHosts()};
     if (list_ && sameHosts(*list_, read, settings_.timeTolerance)) return Outcome::confirmed;
     number_++;
     read.version = {fencingToken_, number_, readerId_};
--- a/src/host_discovery/page.cpp
+++ b/src/host_discovery/page.cpp
@@ -100,7 +100,7 @@
 }
 
 Error unreadable(std::string message) {
-    return {ErrorKind::invalid, "/instances", std::move(message), "the list held before stays in use"};
+    return {ErrorKind::invalid, "/instances", std::move(message), "the previous list stays in use"};
 }
 
 }  // namespace
--- a/src/host_discovery/platform_client.hpp
+++ b/src/host_discovery/platform_client.hpp
@@ -1,5 +1,5 @@
-// One call at a time to the platform over HTTP/1.1, on a connection that is kept. A call that has no whole answer by its deadline
-// fails and closes the connection.
+/// One call at a time to the platform over HTTP/1.1, on a persistent connection. A call that has no complete answer by its deadline
+/// fails and closes the connection. Called from the loop's thread only.
 #pragma once
 
 #include <functional>
@@ -15,24 +15,27 @@
 
 namespace beechpoint::host_discovery {
 
+class PlatformConnection;
+
 class PlatformClient {
 public:
-    // Status and body of the answer; 0 and the reason where there was none.
+    /// Status and body of the answer; 0 and the reason where there was none.
     using OnAnswer = std::function<void(int status, std::string_view body)>;
 
-    // `address` is IP:PORT; one that can't be read fails every call.
+    /// `address` is IP:PORT; one that can't be read fails every call.
     PlatformClient(asio::io_context& io, std::string address);
-    ~PlatformClient();  // no call is answered any more
+    /// No call is answered any more.
+    ~PlatformClient();
     PlatformClient(const PlatformClient&) = delete;
     PlatformClient& operator=(const PlatformClient&) = delete;
 
-    // Never called back from within. Only while no call is out.
+    /// `timeout`: ms to the complete answer. Never called back from within. Only while no call is in flight.
     void get(const std::string& target, Millis timeout, OnAnswer onAnswer);
-    void cancel();  // the call that is out, if any, is not answered
+    /// The call in flight, if any, is not answered.
+    void cancel();
 
 private:
-    struct Connection;
-    std::shared_ptr<Connection> connection_;
+    std::shared_ptr<PlatformConnection> connection_;
 };
 
 }  // namespace beechpoint::host_discovery
--- a/src/host_discovery/poller.cpp
+++ b/src/host_discovery/poller.cpp
@@ -24,10 +24,10 @@
           timer_(io),
           onReading_(std::move(onReading)) {}
 
-    void start(std::uint64_t fencingToken, std::uint64_t lastNumber, std::shared_ptr<const HostList> held) {
+    void start(std::uint64_t fencingToken, std::uint64_t lastNumber, std::shared_ptr<const HostList> known) {
         if (reader_.running() && reader_.fencingToken() == fencingToken) return;
         stop();
-        reader_.start(clock_.now(), fencingToken, lastNumber, std::move(held));
+        reader_.start(clock_.now(), fencingToken, lastNumber, std::move(known));
         arm();
     }
 
@@ -48,14 +48,14 @@
         const Millis wait = std::max(0.0, *at - clock_.now());
         timer_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(wait * 1000)));
         timer_.async_wait([weak = weak_from_this(), generation = generation_](const asio::error_code& error) {
-            const auto self = weak.lock();  // a timer that has run out is called although its poller is gone
+            const auto self = weak.lock();  // a timer that has expired calls back also after its poller was destroyed
             if (!error && self && generation == self->generation_) self->call();
         });
     }
 
     void call() {
         const Millis now = clock_.now();
-        const auto call = reader_.due(now);
+        const auto call = reader_.nextCall(now);
         if (!call) return arm();
         calls_++;
         client_.get(call->target, call->deadline - now,
@@ -68,7 +68,7 @@
         const auto outcome = status == 0 ? reader_.onFailure(now) : reader_.onAnswer(now, status, body);
         if (outcome == ListReader::Outcome::failed) {
             logger_.seldom(
-                "platform", "the platform's list at {} can't be read: {}; the list held stays in use",
+                "platform", "can't read the platform's host list at {}: {}; the previous list stays in use",
                 field("address", address_),
                 field("cause", status == 0 ? std::string(body) : fmt::format("status {}", status)));
         }
@@ -85,7 +85,7 @@
     PlatformClient client_;
     asio::steady_timer timer_;
     OnReading onReading_;
-    std::uint64_t generation_ = 0;  // timers of an earlier start are told by it
+    std::uint64_t generation_ = 0;  // timers of an earlier start have another one
     std::uint64_t calls_ = 0;
 };
 
@@ -97,8 +97,8 @@
 Poller::~Poller() { impl_->stop(); }
 
 void Poller::start(std::uint64_t fencingToken, std::uint64_t lastNumber,
-                   std::shared_ptr<const HostList> held) {
-    impl_->start(fencingToken, lastNumber, std::move(held));
+                   std::shared_ptr<const HostList> known) {
+    impl_->start(fencingToken, lastNumber, std::move(known));
 }
 void Poller::stop() { impl_->stop(); }
 bool Poller::running() const { return impl_->reader().running(); }
--- a/tests/host_discovery/host_list_changes_test.cpp
+++ b/tests/host_discovery/host_list_changes_test.cpp
@@ -28,7 +28,7 @@
     return std::make_shared<const HostList>(std::move(list));
 }
 
-TEST(HostListChanges, NameWhatCameWhatDiffersAndWhatWent) {
+TEST(HostListChanges, ListAddedChangedAndRemovedHosts) {
     const HostList base = listOf(1, 1000, {host("b"), host("c"), host("d")});
     Host draining = host("c");
     draining.state = HostState::draining;
@@ -44,7 +44,7 @@
     EXPECT_EQ(applied->hosts, list.hosts);
 }
 
-TEST(HostListChanges, TimeThatPassesIsNoChangeAndIsCountedOn) {
+TEST(HostListChanges, PassedTimeIsNoChangeAndIsSubtracted) {
     Host leaving = host("b");
     leaving.remaining = 5000;
     const HostList base = listOf(1, 1000, {host("a", 2500), leaving, host("c", 500)});
@@ -61,13 +61,13 @@
     EXPECT_EQ(applied->readAt, 72'950);
 }
 
-TEST(HostListChanges, AWarmUpThatBeginsAnewIsAChange) {
+TEST(HostListChanges, RestartedWarmupIsAChange) {
     const HostList base = listOf(1, 1000, {host("a")});
     const HostList list = listOf(2, 2000, {host("a", 3000)});
     EXPECT_EQ(changesBetween(base, list).changed, list.hosts);
 }
 
-TEST(HostListChanges, DoNotApplyToAnotherList) {
+TEST(HostListChanges, DoNotApplyToAnotherBase) {
     const HostList base = listOf(1, 1000, {host("a"), host("b")});
     const HostListChanges changes = changesBetween(base, listOf(2, 2000, {host("a")}));
     EXPECT_FALSE(applyChanges(listOf(3, 1000, base.hosts), changes, 2000));
@@ -75,7 +75,7 @@
         << "the host that is to go is not there";
 }
 
-TEST(HostListHistory, KnowsTheLastListsOnly) {
+TEST(HostListHistory, KeepsOnlyTheLastLists) {
     HostListHistory history;
     std::vector<Host> hosts;
     for (char id = 'a'; id <= 'j'; id++) hosts.push_back(host(std::string(1, id)));
@@ -92,7 +92,7 @@
     EXPECT_EQ(changes->changed, (std::vector<Host>{hosts.front()}));
 }
 
-TEST(HostListHistory, KeepsTheNewestOfLargeLists) {
+TEST(HostListHistory, KeepsNewestOfLargeLists) {
     HostListHistory history;
     std::vector<Host> hosts(HostListHistory::kMaxHosts, host("x"));
     history.add(shared(listOf(1, 0, hosts)));
@@ -101,7 +101,7 @@
     EXPECT_FALSE(history.since({1, 1, 7}));
 }
 
-TEST(HostListHistory, SaysNothingWhereMostHostsDiffer) {
+TEST(HostListHistory, GivesNoChangesWhenMostHostsDiffer) {
     HostListHistory history;
     history.add(shared(listOf(1, 0, {host("a"), host("b"), host("c")})));
     history.add(shared(listOf(2, 0, {host("a"), host("d"), host("e")})));
@@ -109,7 +109,7 @@
 }
 
 // Whatever versions a receiver misses, applying the changes gives the list that the sender holds, times within the rounding.
-TEST(HostListHistory, ChangesGiveTheSendersListOverRandomCourses) {
+TEST(HostListHistory, ChangesReproduceSendersListInRandomRuns) {
     constexpr int kCourses = 200;
     constexpr int kSteps = 30;
     for (std::uint64_t seed = 1; seed <= kCourses; seed++) {
@@ -124,11 +124,11 @@
             now += passed;
             for (Host& one : hosts) one.warmupLeft = std::max(0.0, one.warmupLeft - passed);
             const std::uint64_t kind = random.below(4);
-            const std::size_t place = random.below(hosts.size());
+            const std::size_t index = random.below(hosts.size());
             if (kind == 0 && hosts.size() > 6)
-                hosts.erase(hosts.begin() + static_cast<std::ptrdiff_t>(place));
-            if (kind == 1) hosts[place].warmupLeft = 3000 * random();
-            if (kind == 2) hosts[place].state = HostState::draining;
+                hosts.erase(hosts.begin() + static_cast<std::ptrdiff_t>(index));
+            if (kind == 1) hosts[index].warmupLeft = 3000 * random();
+            if (kind == 2) hosts[index].state = HostState::draining;
             if (kind == 3) hosts.push_back(host("h" + std::to_string(200 + step), 2500));
             sender = shared(listOf(step, now, hosts));
             history.add(sender);
--- a/tests/host_discovery/host_list_test.cpp
+++ b/tests/host_discovery/host_list_test.cpp
@@ -18,7 +18,7 @@
     return std::make_shared<const HostList>(HostList{version, readAt, std::move(hosts)});
 }
 
-TEST(HostList, ComparesWarmUpAsAMoment) {
+TEST(HostList, ComparesWarmupEndsAsMoments) {
     const HostList first{{}, 1000, {host("a", 5000)}};
     EXPECT_TRUE(sameHosts(first, {{}, 3000, {host("a", 3000)}}, 250));
     EXPECT_TRUE(sameHosts(first, {{}, 3000, {host("a", 3200)}}, 250));
@@ -27,7 +27,7 @@
     EXPECT_FALSE(sameHosts(first, {{}, 9000, {host("a", 2000)}}, 250));
 }
 
-TEST(HostList, EveryOtherFieldCounts) {
+TEST(HostList, DiffersWhenAnyOtherFieldDiffers) {
     const HostList first{{}, 0, {host("a")}};
     const auto differs = [&](auto change) {
         HostList other = first;
@@ -47,34 +47,34 @@
     EXPECT_FALSE(sameHosts(first, {{}, 0, {host("a"), host("b")}}, 250));
 }
 
-TEST(NewestHostList, TakesOnlyNewerVersions) {
-    NewestHostList holder;
-    EXPECT_FALSE(holder.age(0).has_value());
-    EXPECT_FALSE(holder.offer(nullptr, 0, 0));
-    EXPECT_TRUE(holder.offer(list({2, 1, 7}, 100), 100, 110));
-    EXPECT_FALSE(holder.offer(list({1, 9, 7}, 200), 200, 210));
-    EXPECT_EQ(holder.version().fencingToken, 2u);
-    EXPECT_TRUE(holder.offer(list({2, 2, 7}, 200), 200, 210));
-    EXPECT_EQ(holder.age(250), 50);
+TEST(NewestHostList, AcceptsOnlyNewerVersions) {
+    NewestHostList newest;
+    EXPECT_FALSE(newest.age(0).has_value());
+    EXPECT_FALSE(newest.offer(nullptr, 0, 0));
+    EXPECT_TRUE(newest.offer(list({2, 1, 7}, 100), 100, 110));
+    EXPECT_FALSE(newest.offer(list({1, 9, 7}, 200), 200, 210));
+    EXPECT_EQ(newest.version().fencingToken, 2u);
+    EXPECT_TRUE(newest.offer(list({2, 2, 7}, 200), 200, 210));
+    EXPECT_EQ(newest.age(250), 50);
 }
 
-TEST(NewestHostList, ConfirmingKeepsItYoung) {
-    NewestHostList holder;
-    holder.offer(list({1, 1, 7}, 100), 100, 100);
-    EXPECT_TRUE(holder.confirm({1, 1, 7}, 900));
-    EXPECT_FALSE(holder.confirm({1, 2, 7}, 950));
-    EXPECT_TRUE(holder.confirm({1, 1, 7}, 500));  // told late: changes nothing
-    EXPECT_EQ(holder.age(1000), 100);
-    EXPECT_FALSE(holder.offer(list({1, 1, 7}, 1000), 1000, 1000));
-    EXPECT_EQ(holder.age(1000), 0);
+TEST(NewestHostList, AgeRestartsWhenConfirmed) {
+    NewestHostList newest;
+    newest.offer(list({1, 1, 7}, 100), 100, 100);
+    EXPECT_TRUE(newest.confirm({1, 1, 7}, 900));
+    EXPECT_FALSE(newest.confirm({1, 2, 7}, 950));
+    EXPECT_TRUE(newest.confirm({1, 1, 7}, 500));  // reported late: changes nothing
+    EXPECT_EQ(newest.age(1000), 100);
+    EXPECT_FALSE(newest.offer(list({1, 1, 7}, 1000), 1000, 1000));
+    EXPECT_EQ(newest.age(1000), 0);
 }
 
-// After all control members lost their disks the fences begin anew: a list nobody confirms gives way to a younger one.
-TEST(NewestHostList, AStaleListGivesWayToAnEarlierFence) {
-    NewestHostList holder;
-    holder.offer(list({5, 1, 7}, 100), 100, 100);
-    EXPECT_FALSE(holder.offer(list({1, 1, 7}, 3000), 3000, 3100));
-    EXPECT_TRUE(holder.offer(list({1, 1, 7}, 3000), 3000, 3101));
+// After all control members lost their disks the fencing tokens begin anew: a list that nobody confirms is replaced by a younger one.
+TEST(NewestHostList, StaleListIsReplacedUnderLowerFencingToken) {
+    NewestHostList newest;
+    newest.offer(list({5, 1, 7}, 100), 100, 100);
+    EXPECT_FALSE(newest.offer(list({1, 1, 7}, 3000), 3000, 3100));
+    EXPECT_TRUE(newest.offer(list({1, 1, 7}, 3000), 3000, 3101));
 }
 
 }  // namespace
--- a/tests/host_discovery/list_reader_test.cpp
+++ b/tests/host_discovery/list_reader_test.cpp
@@ -29,7 +29,7 @@
     std::string expectCall() {
         EXPECT_TRUE(reader.nextAt().has_value());
         now = std::max(now, reader.nextAt().value_or(now));
-        const auto call = reader.due(now);
+        const auto call = reader.nextCall(now);
         EXPECT_TRUE(call.has_value());
         return call ? call->target : "";
     }
@@ -45,19 +45,19 @@
     ListReader reader{settings, 1, 42};
 };
 
-TEST_F(ListReaderTest, AsksNothingUntilStartedAndAfterStop) {
+TEST_F(ListReaderTest, MakesNoCallBeforeStartAndAfterStop) {
     EXPECT_FALSE(reader.nextAt().has_value());
-    EXPECT_FALSE(reader.due(now).has_value());
+    EXPECT_FALSE(reader.nextCall(now).has_value());
     reader.start(now, 3, 0, nullptr);
     EXPECT_EQ(expectCall(), "/instances");
-    EXPECT_FALSE(reader.due(now).has_value());  // one call at a time
+    EXPECT_FALSE(reader.nextCall(now).has_value());  // one call at a time
     reader.stop();
     EXPECT_EQ(reader.onAnswer(now, 200, page({entry("a")})), Outcome::nothing);
     EXPECT_FALSE(reader.list());
-    EXPECT_FALSE(reader.due(now + 10000).has_value());
+    EXPECT_FALSE(reader.nextCall(now + 10000).has_value());
 }
 
-TEST_F(ListReaderTest, NumbersEachStateOfTheListUnderItsFence) {
+TEST_F(ListReaderTest, NumbersEachVersionUnderItsFencingToken) {
     reader.start(now, 3, 10, nullptr);
     EXPECT_EQ(answer(page({entry("a")})), Outcome::changed);
     EXPECT_EQ(reader.list()->version, (HostListVersion{3, 11, 42}));
@@ -71,7 +71,7 @@
     EXPECT_EQ(reader.list()->version.number, 21u);
 }
 
-TEST_F(ListReaderTest, ReadsPageAfterPageAtOnce) {
+TEST_F(ListReaderTest, CallsForNextPageAtOnce) {
     reader.start(now, 1, 0, nullptr);
     EXPECT_EQ(answer(page({entry("a")}, "p 50&x")), Outcome::nothing);
     const Millis begun = now;
@@ -81,7 +81,7 @@
     EXPECT_EQ(ids(), (Ids{"a", "b"}));
 }
 
-TEST_F(ListReaderTest, LongListsAreReadLessOften) {
+TEST_F(ListReaderTest, ReadsLongListsLessOften) {
     reader.start(now, 1, 0, nullptr);
     const Millis begun = now;
     for (int number = 0; number < 9; number++)
@@ -90,7 +90,7 @@
     EXPECT_EQ(reader.nextAt(), begun + 10 * settings.periodPerPage);
 }
 
-TEST_F(ListReaderTest, AHostMissingOnceStaysUntilTheNextReadingConfirmsIt) {
+TEST_F(ListReaderTest, KeepsMissingHostUntilNextReadingConfirmsItsAbsence) {
     reader.start(now, 1, 0, nullptr);
     answer(page({entry("a"), entry("b", R"(,"warmup_left_ms":10000)")}));
     EXPECT_EQ(answer(page({entry("a")})), Outcome::confirmed);
@@ -101,7 +101,7 @@
     EXPECT_EQ(ids(), (Ids{"a"}));
 }
 
-TEST_F(ListReaderTest, AKeptHostsTimesRunOn) {
+TEST_F(ListReaderTest, SubtractsPassedTimeOfMissingHost) {
     reader.start(now, 1, 0, nullptr);
     answer(page({entry("a", R"(,"warmup_left_ms":10000,"remaining_ms":500)")}));
     EXPECT_EQ(answer(page({entry("c")})), Outcome::changed);
@@ -109,7 +109,7 @@
     EXPECT_EQ(reader.list()->hosts.front().remaining, 0);
 }
 
-TEST_F(ListReaderTest, ATornReadingBeginsAgain) {
+TEST_F(ListReaderTest, RestartsTornReading) {
     reader.start(now, 1, 0, nullptr);
     answer(page({entry("a"), entry("b")}, "p1"));
     EXPECT_EQ(answer(page({entry("b"), entry("c")})), Outcome::nothing);
@@ -119,7 +119,7 @@
     EXPECT_EQ(ids(), (Ids{"b", "c", "d"}));
 }
 
-TEST_F(ListReaderTest, AReadingTornAgainAndAgainTakesNobodyOut) {
+TEST_F(ListReaderTest, RemovesNoHostAfterReadingsTornRepeatedly) {
     reader.start(now, 1, 0, nullptr);
     answer(page({entry("a"), entry("b")}));
     for (int reading = 0; reading < 3; reading++) {
@@ -131,7 +131,7 @@
     }
 }
 
-TEST_F(ListReaderTest, AnEntryThatCanNotBeReadTakesNobodyOut) {
+TEST_F(ListReaderTest, RemovesNoHostWhenAnEntryIsUnreadable) {
     reader.start(now, 1, 0, nullptr);
     answer(page({entry("a"), entry("b")}));
     for (int reading = 0; reading < 3; reading++) {
@@ -140,10 +140,10 @@
     }
 }
 
-TEST_F(ListReaderTest, FailuresTakeNobodyOutAndBackOff) {
+TEST_F(ListReaderTest, RemovesNoHostAndBacksOffAfterFailures) {
     reader.start(now, 1, 0, nullptr);
     answer(page({entry("a")}));
-    const auto held = reader.list();
+    const auto known = reader.list();
     Millis last = 0;
     for (int failure = 0; failure < 12; failure++) {
         Outcome outcome = Outcome::nothing;
@@ -161,20 +161,20 @@
         last = backoff;
     }
     EXPECT_GT(last, 0);
-    EXPECT_EQ(reader.list(), held);
+    EXPECT_EQ(reader.list(), known);
     EXPECT_EQ(reader.failures(), 12);
     EXPECT_EQ(answer(page({entry("a")})), Outcome::confirmed);
     EXPECT_EQ(reader.failures(), 0);
 }
 
-TEST_F(ListReaderTest, AFailureBetweenPagesBeginsAgain) {
+TEST_F(ListReaderTest, RestartsReadingAfterFailureBetweenPages) {
     reader.start(now, 1, 0, nullptr);
     answer(page({entry("a")}, "p1"));
     EXPECT_EQ(answer(500, ""), Outcome::failed);
     EXPECT_EQ(expectCall(), "/instances");
 }
 
-TEST_F(ListReaderTest, PagesWithoutAnEndAreGivenUp) {
+TEST_F(ListReaderTest, FailsWhenPagesDoNotEnd) {
     settings.maxPages = 3;
     reader = ListReader(settings, 1, 42);
     reader.start(now, 1, 0, nullptr);
@@ -185,23 +185,23 @@
     EXPECT_EQ(answer(page({entry("c")}, "p3")), Outcome::failed);
 }
 
-TEST_F(ListReaderTest, MoreHostsThanTheBoundAreAFailure) {
+TEST_F(ListReaderTest, FailsWhenHostsExceedTheBound) {
     settings.maxHosts = 2;
     reader = ListReader(settings, 1, 42);
     reader.start(now, 1, 0, nullptr);
     EXPECT_EQ(answer(page({entry("a"), entry("b"), entry("c")})), Outcome::failed);
 }
 
-TEST_F(ListReaderTest, GoesOnFromTheListOfAnotherReader) {
-    const auto held = std::make_shared<const HostList>([] {
+TEST_F(ListReaderTest, ContinuesFromListOfAnotherReader) {
+    const auto known = std::make_shared<const HostList>([] {
         HostList list{{1, 5, 7}, 900, {}};
         const std::string text = R"({"instances":[)" + entry("a") + "," + entry("b") + "]}";
         list.hosts = parsePage(text).value().hosts;
         return list;
     }());
-    reader.start(now, 2, 5, held);
+    reader.start(now, 2, 5, known);
     EXPECT_EQ(answer(page({entry("a"), entry("b")})), Outcome::confirmed);
-    EXPECT_EQ(reader.list()->version, held->version);
+    EXPECT_EQ(reader.list()->version, known->version);
     answer(page({entry("a")}));
     EXPECT_EQ(answer(page({entry("a")})), Outcome::changed);
     EXPECT_EQ(reader.list()->version, (HostListVersion{2, 6, 42}));
--- a/tests/host_discovery/page_test.cpp
+++ b/tests/host_discovery/page_test.cpp
@@ -10,7 +10,7 @@
     R"("state":"serving","warmup_left_ms":0,"phase":"both","models":[{"name":"m","revision":1,"adapters":[]}],)"
     R"("instance_id":"i-7f3a91c2"}],"next_page_token":"p-50"})";
 
-TEST(Page, ReadsTheExampleOfTheProtocol) {
+TEST(Page, ReadsExampleOfTheProtocol) {
     const auto page = parsePage(kOfTheProtocol);
     ASSERT_TRUE(page.has_value()) << page.error().text();
     ASSERT_EQ(page.value().hosts.size(), 1u);
@@ -35,7 +35,7 @@
     return R"({"instances":[)" + entry + R"(],"next_page_token":null})";
 }
 
-TEST(Page, ReadsFractionsShortNoticeAndIgnoresUnknownFields) {
+TEST(Page, ReadsFractionsAndRemainingTimeAndIgnoresUnknownFields) {
     const auto page = parsePage(pageOf(
         R"({"instance_id":"i","backend":"s","address":"1.2.3.4:5","state":"draining","remaining_ms":1500.5,"warmup_left_ms":2.5,)"
         R"("capacity":6.0,"new":{"field":[1]}})"));
@@ -49,13 +49,13 @@
     EXPECT_FALSE(page.value().nextPageToken.has_value());
 }
 
-TEST(Page, AStateThatIsNotKnownTakesNothingNew) {
+TEST(Page, TreatsUnknownStateAsDraining) {
     const auto page = parsePage(pageOf(R"({"instance_id":"i","backend":"s","address":"a","state":"odd"})"));
     ASSERT_TRUE(page.has_value());
     EXPECT_EQ(page.value().hosts.front().state, HostState::draining);
 }
 
-TEST(Page, CountsEntriesThatCanNotBeRead) {
+TEST(Page, CountsUnreadableEntries) {
     for (const char* entry : {
              R"(7)",
              R"(null)",
@@ -78,7 +78,7 @@
     }
 }
 
-TEST(Page, RefusesPagesThatCanNotBeRead) {
+TEST(Page, RejectsUnreadablePages) {
     for (const char* text : {"", "x", "[]", "{}", R"({"instances":{}})",
                              R"({"instances":[],"next_page_token":5})", R"({"instances":[)", "\xff"}) {
         const auto page = parsePage(text);
--- a/tests/host_discovery/poller_test.cpp
+++ b/tests/host_discovery/poller_test.cpp
@@ -20,7 +20,7 @@
 struct Scripted {
     int status = 200;
     std::string body;
-    bool silent = false;
+    bool unresponsive = false;
 };
 
 std::string entry(const std::string& id) {
@@ -39,7 +39,7 @@
               if (script.empty()) return connection->respond(503, "text/plain", "no more in the script");
               const Scripted next = script.front();
               script.pop_front();
-              if (next.silent) return waiting.push_back(connection);
+              if (next.unresponsive) return waiting.push_back(connection);
               connection->respond(next.status, "application/json", next.body);
           }) {
         platform.listen({asio::ip::address_v4::loopback(), 0});
@@ -79,7 +79,7 @@
     int changes = 0;
 };
 
-TEST_F(PollerTest, ReadsPagesOverOneConnectionAgainAndAgain) {
+TEST_F(PollerTest, ReadsPagesRepeatedlyOverOneConnection) {
     script = {{200, page(entry("a"), "\"p-1\"")},
               {200, page(entry("b"))},
               {200, page(entry("a"), "\"p-1\"")},
@@ -94,7 +94,7 @@
     EXPECT_EQ(platform.connections(), 1u);
 }
 
-TEST_F(PollerTest, GoesOnAfterRefusalsSilenceAndBrokenPages) {
+TEST_F(PollerTest, ContinuesAfterErrorsTimeoutsAndBrokenPages) {
     script = {{200, page(entry("a"))},
               {429, ""},
               {200, "{\"instances\":"},
@@ -106,7 +106,7 @@
     EXPECT_EQ(lists.back()->hosts.size(), 2u);
 }
 
-TEST_F(PollerTest, AClosedConnectionIsOpenedAnew) {
+TEST_F(PollerTest, ReconnectsAfterClose) {
     script = {{200, page(entry("a"))}};
     makePoller();
     ASSERT_TRUE(runUntil([&] { return lists.size() >= 1; }));
@@ -117,7 +117,7 @@
     EXPECT_EQ(changes, 1);
 }
 
-TEST_F(PollerTest, APlatformThatIsAwayTakesNobodyOut) {
+TEST_F(PollerTest, RemovesNoHostWhenPlatformIsUnreachable) {
     script = {{200, page(entry("a"))}};
     makePoller();
     ASSERT_TRUE(runUntil([&] { return lists.size() >= 1; }));
@@ -128,7 +128,7 @@
     EXPECT_TRUE(poller->running());
 }
 
-TEST_F(PollerTest, StoppedItCallsNoMoreAndStartsAgain) {
+TEST_F(PollerTest, MakesNoCallWhenStoppedAndStartsAgain) {
     script = {{200, page(entry("a"))}, {200, page(entry("a"))}};
     makePoller();
     ASSERT_TRUE(runUntil([&] { return lists.size() >= 1; }));
@@ -141,14 +141,14 @@
     ASSERT_TRUE(runUntil([&] { return lists.size() >= 2; }));
 }
 
-TEST_F(PollerTest, AnAddressThatIsNoneFailsEachCall) {
+TEST_F(PollerTest, FailsEachCallWhenAddressIsInvalid) {
     settings.address = "nowhere";
     makePoller();
     ASSERT_TRUE(runUntil([&] { return poller->failures() >= 2; }));
     EXPECT_TRUE(lists.empty());
 }
 
-TEST_F(PollerTest, DestroyedInTheMiddleOfACallItIsSilent) {
+TEST_F(PollerTest, CallsNoHandlerWhenDestroyedDuringCall) {
     script = {{200, "", true}};
     makePoller();
     ASSERT_TRUE(runUntil([&] { return waiting.size() == 1; }));
@@ -158,7 +158,7 @@
 }
 
 // Its timer has run out, but its handler has not run yet.
-TEST_F(PollerTest, DestroyedBetweenItsTimerAndItsCallItIsSilent) {
+TEST_F(PollerTest, CallsNoHandlerWhenDestroyedBetweenTimerAndCall) {
     script = {{200, page(entry("a"))}};
     makePoller();
     poller->stop();
