--- a/src/cli/config_command.cpp
+++ b/src/cli/config_command.cpp
@@ -1,4 +1,4 @@
-// beechpoint config: the configuration in force, and files that are to take its place.
+// beechpoint config: the configuration in force, and files that are to replace it.
 #include <fmt/format.h>
 
 #include <fstream>
@@ -20,7 +20,7 @@
 
 constexpr const char* kTarget = "/configuration";
 
-// "-" is standard input. Nothing where it can't be read, which was said then.
+// "-" is standard input. Nothing where it can't be read, which has been reported then.
 std::optional<std::string> readFile(const std::string& path) {
     if (path == "-") return std::string(std::istreambuf_iterator<char>(std::cin), {});
     std::ifstream file(path, std::ios::binary);
@@ -48,21 +48,21 @@
 ConfigCommand::ConfigCommand(CLI::App& app)
     : command_(app.add_subcommand("config", "reads, checks and changes the configuration in force")) {
     command_->require_subcommand(1);
-    get_ = add("get", "prints the newest configuration", false, true);
-    put_ = add("put", "puts a whole configuration into force", true, true);
-    patch_ = add("patch", "changes named items of the configuration", true, true);
+    get_ = add("get", "prints the newest configuration", Takes::call);
+    put_ = add("put", "puts a whole configuration into force", Takes::fileAndCall);
+    patch_ = add("patch", "changes named items of the configuration", Takes::fileAndCall);
     check_ =
-        add("check", "says what is wrong with a whole configuration, without asking anybody", true, false);
-    diff_ = add("diff", "shows what a whole configuration would change", true, true);
+        add("check", "says what is wrong with a whole configuration, without asking anybody", Takes::file);
+    diff_ = add("diff", "shows what a whole configuration would change", Takes::fileAndCall);
     for (CLI::App* command : {put_, patch_})
         command->add_option("--if-match", ifMatch_,
                             "the revision on which the file builds; that in force where absent");
 }
 
-CLI::App* ConfigCommand::add(const std::string& name, const std::string& help, bool file, bool calls) {
+CLI::App* ConfigCommand::add(const std::string& name, const std::string& help, Takes takes) {
     CLI::App* const command = command_->add_subcommand(name, help);
-    if (file) command->add_option("FILE", file_, "JSON; - for standard input")->required();
-    if (calls) options_.addTo(*command);
+    if (takes != Takes::call) command->add_option("FILE", file_, "JSON; - for standard input")->required();
+    if (takes != Takes::file) options_.addTo(*command);
     return command;
 }
 
@@ -70,7 +70,8 @@
     if (*get_) return get(clock);
     if (*put_) return write(clock, "PUT");
     if (*patch_) return write(clock, "PATCH");
-    return *check_ ? check() : diff(clock);
+    if (*check_) return check();
+    return diff(clock);
 }
 
 int ConfigCommand::get(Clock& clock) const {
@@ -99,9 +100,9 @@
     Call call{method, kTarget, std::move(*body), ifMatch};
     const auto reply = perform(options_, clock, call);
     if (!reply) return kUsage;
-    const auto taken = revisionIn(reply->body);
+    const auto revision = revisionIn(reply->body);
     const std::string text =
-        fmt::format("in force: revision {}", taken ? std::to_string(*taken) : std::string("not told"));
+        fmt::format("in force: revision {}", revision ? std::to_string(*revision) : std::string("not told"));
     return reportChange(options_, *reply, text,
                         fmt::format("run it again with --if-match {}, which is safe", *ifMatch));
 }
--- a/src/cli/evacuate_command.cpp
+++ b/src/cli/evacuate_command.cpp
@@ -1,4 +1,4 @@
-// beechpoint evacuate: nothing further is sent to the hosts of a zone, or again.
+// beechpoint evacuate: takes a zone out of rotation, or back into it.
 #include <fmt/format.h>
 
 #include "cli/cli.hpp"
--- a/src/cli/operator_commands.hpp
+++ b/src/cli/operator_commands.hpp
@@ -1,5 +1,5 @@
-// The operators' sub-commands, a file each: calls to a running control member, and what its answer comes to. Each adds itself to
-// the program's commands, and its run() returns the exit status.
+/// The operators' sub-commands, a file each: calls to a running control member, and the report of its answer. Each adds itself to
+/// the program's commands; given() tells whether it was called, and run() returns the exit status.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -12,15 +12,18 @@
 
 namespace beechpoint::cli {
 
-// config get | put FILE | patch FILE | check FILE | diff FILE
+/// config get | put FILE | patch FILE | check FILE | diff FILE
 class ConfigCommand {
 public:
     explicit ConfigCommand(CLI::App& app);
-    bool given() const { return static_cast<bool>(*command_); }
-    int run(Clock& clock) const;
+    [[nodiscard]] bool given() const { return static_cast<bool>(*command_); }
+    [[nodiscard]] int run(Clock& clock) const;
 
 private:
-    CLI::App* add(const std::string& name, const std::string& help, bool file, bool calls);
+    // What a sub-command of `config` takes: a file, a call to control, or both.
+    enum class Takes { call, file, fileAndCall };
+
+    CLI::App* add(const std::string& name, const std::string& help, Takes takes);
     int get(Clock& clock) const;
     int write(Clock& clock, const std::string& method) const;
     int check() const;
@@ -33,12 +36,12 @@
     CLI::App *get_, *put_, *patch_, *check_, *diff_;
 };
 
-// evacuate ZONE [--back]
+/// evacuate ZONE [--back]
 class EvacuateCommand {
 public:
     explicit EvacuateCommand(CLI::App& app);
-    bool given() const { return static_cast<bool>(*command_); }
-    int run(Clock& clock) const;
+    [[nodiscard]] bool given() const { return static_cast<bool>(*command_); }
+    [[nodiscard]] int run(Clock& clock) const;
 
 private:
     CLI::App* command_;
@@ -47,12 +50,12 @@
     bool back_ = false;
 };
 
-// resolve NAME [--zone ZONE] [--region REGION]
+/// resolve NAME [--zone ZONE] [--region REGION]
 class ResolveCommand {
 public:
     explicit ResolveCommand(CLI::App& app);
-    bool given() const { return static_cast<bool>(*command_); }
-    int run(Clock& clock) const;
+    [[nodiscard]] bool given() const { return static_cast<bool>(*command_); }
+    [[nodiscard]] int run(Clock& clock) const;
 
 private:
     CLI::App* command_;
@@ -60,12 +63,12 @@
     std::string name_, zone_, region_;
 };
 
-// status
+/// status
 class StatusCommand {
 public:
     explicit StatusCommand(CLI::App& app);
-    bool given() const { return static_cast<bool>(*command_); }
-    int run(Clock& clock) const;
+    [[nodiscard]] bool given() const { return static_cast<bool>(*command_); }
+    [[nodiscard]] int run(Clock& clock) const;
 
 private:
     CLI::App* command_;
--- a/src/cli/operator_options.cpp
+++ b/src/cli/operator_options.cpp
@@ -18,7 +18,7 @@
 using Json = nlohmann::json;
 
 constexpr double kMillisPerSecond = 1000;
-constexpr double kLongestTimeout = 3600;
+constexpr double kMaxTimeoutS = 3600;
 
 std::string environment(const char* name) {
     const char* const value = std::getenv(name);
@@ -60,7 +60,7 @@
                        "control members, IP:PORT[,IP:PORT...]; $BEECHPOINT_CONTROL where absent");
     command.add_option("--settings", settings, "a process's settings file: its seed_nodes are asked");
     command.add_option("--timeout", timeoutSeconds, "seconds for the whole command")
-        ->check(CLI::Range(0.1, kLongestTimeout));
+        ->check(CLI::Range(0.1, kMaxTimeoutS));
     command.add_flag("--json", json, "the answer as JSON");
 }
 
--- a/src/cli/resolve_command.cpp
+++ b/src/cli/resolve_command.cpp
@@ -1,4 +1,4 @@
-// beechpoint resolve: which gateways a client is told of.
+// beechpoint resolve: which gateways the directory names to a client.
 #include <fmt/format.h>
 
 #include <iostream>
--- a/src/cli/status_command.cpp
+++ b/src/cli/status_command.cpp
@@ -1,4 +1,4 @@
-// beechpoint status: what a control member knows of the view, the gateways and the platform's list.
+// beechpoint status: what a control member knows of the view, the gateways and the platform's host list.
 #include <iostream>
 
 #include "cli/cli.hpp"
--- a/src/cli/system.cpp
+++ b/src/cli/system.cpp
@@ -17,14 +17,14 @@
 
 std::string mechanismsHelp() {
     std::string text = "turns off a mechanism of the gateway's decisions, to measure what it is worth:";
-    for (const auto& each : dispatch::kMechanismNames)
-        text += fmt::format("\n  {:14} {}", each.name, each.meaning);
+    for (const auto& mechanism : dispatch::kMechanismNames)
+        text += fmt::format("\n  {:14} {}", mechanism.name, mechanism.meaning);
     return text;
 }
 
 std::vector<std::string> mechanismNames() {
     std::vector<std::string> names;
-    for (const auto& each : dispatch::kMechanismNames) names.emplace_back(each.name);
+    for (const auto& mechanism : dispatch::kMechanismNames) names.emplace_back(mechanism.name);
     return names;
 }
 
--- a/src/cli/system.hpp
+++ b/src/cli/system.hpp
@@ -1,4 +1,4 @@
-// The sub-commands of the serving system: its two roles, and the client calls of its operators.
+/// The sub-commands of the serving system: its two roles, and the client calls of its operators.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -11,12 +11,14 @@
 
 namespace beechpoint::cli {
 
-// Adds the sub-commands to `app`, which must outlive this object.
+/// Adds the sub-commands to `app`, which must outlive this object.
 class SystemCommands {
 public:
     explicit SystemCommands(CLI::App& app);
-    bool given() const;     // whether one of them was called
-    int run(Clock& clock);  // the exit status
+    /// Whether one of them was called.
+    [[nodiscard]] bool given() const;
+    /// Runs that one. The exit status.
+    [[nodiscard]] int run(Clock& clock);
 
 private:
     CLI::App* gateway_;
--- a/src/operator_client/call_plan.cpp
+++ b/src/operator_client/call_plan.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::string_view kScheme = "http://";
-constexpr double kLeastJitter = 0.75;  // of a backoff
+constexpr double kMinJitter = 0.75;  // of a backoff
 constexpr double kJitterRange = 0.5;
 constexpr int kTemporaryRedirect = 307;
 constexpr int kRequestTimeout = 408;
@@ -34,19 +34,19 @@
     if (isRefusal(status)) return Over{Ending::refused};
     if (status == kTemporaryRedirect) return follow(now, location);
     maybeApplied_ = maybeApplied_ || settings_.changes;
-    return moveOn(now);
+    return callNext(now);
 }
 
 Step CallPlan::onFailure(Millis now, bool sent) {
     maybeApplied_ = maybeApplied_ || (sent && settings_.changes);
-    return moveOn(now);
+    return callNext(now);
 }
 
 Step CallPlan::onBackoffOver(Millis now) { return callMember(now); }
 
 Step CallPlan::follow(Millis now, std::string_view location) {
     Location there = parseLocation(location);
-    if (there.address.empty() || redirects_ >= kMaxRedirects) return moveOn(now);
+    if (there.address.empty() || redirects_ >= kMaxRedirects) return callNext(now);
     redirects_++;
     return call(now, std::move(there.address), std::move(there.target));
 }
@@ -62,11 +62,11 @@
     return Send{std::move(address), std::move(target), std::min(left, callTimeout_)};
 }
 
-Step CallPlan::moveOn(Millis now) {
+Step CallPlan::callNext(Millis now) {
     redirects_ = 0;
     member_ = (member_ + 1) % settings_.members.size();
     if (member_ != 0) return callMember(now);
-    const Millis length = backoff_ * (kLeastJitter + kJitterRange * random_());
+    const Millis length = backoff_ * (kMinJitter + kJitterRange * random_());
     backoff_ = std::min(2 * backoff_, kMaxBackoff);
     if (now + length + kShortestCall > deadline_) return giveUp();
     return Backoff{length};
--- a/src/operator_client/configuration_difference.cpp
+++ b/src/operator_client/configuration_difference.cpp
@@ -4,6 +4,7 @@
 
 #include <map>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <set>
 
 namespace beechpoint::operator_client {
@@ -13,7 +14,7 @@
 using Items = std::map<std::string, Json>;
 
 constexpr const char* kRevision = "revision";
-constexpr std::size_t kMostValueText = 60;  // of a member's value in a line
+constexpr std::size_t kMaxValueText = 60;  // of a member's value in a line
 
 std::string_view nameOf(DifferenceKind kind) {
     switch (kind) {
@@ -38,13 +39,13 @@
     return value.is_array() && !value.empty() && value.front().is_object() && value.front().contains("name");
 }
 
-Result<Items> itemsOf(const Json& list, const std::string& place) {
+Result<Items> itemsOf(const Json& list, const std::string& listName) {
     Items items;
     if (!list.is_array()) return items;
     for (const Json& item : list) {
         const auto name = item.is_object() ? item.find("name") : item.end();
         if (name == item.end() || !name->is_string())
-            return Error{ErrorKind::invalid, "/" + place, "an item has no name", "give each item a name"};
+            return Error{ErrorKind::invalid, "/" + listName, "an item has no name", "give each item a name"};
         items[name->get<std::string>()] = item;
     }
     return items;
@@ -52,7 +53,7 @@
 
 std::string shortText(const Json& value) {
     std::string text = value.dump(-1, ' ', false, Json::error_handler_t::replace);
-    if (text.size() > kMostValueText) text = text.substr(0, kMostValueText) + "...";
+    if (text.size() > kMaxValueText) text = text.substr(0, kMaxValueText) + "...";
     return text;
 }
 
@@ -107,6 +108,27 @@
     return found == object.end() || found->is_null() ? nullptr : &*found;
 }
 
+bool isNamedList(const Json* value) { return value && isNamedList(*value); }
+bool isEmpty(const Json* value) { return !value || value->empty(); }
+
+// Null stands for what is not there.
+void compareMember(const std::string& key, const Json* before, const Json* after,
+                   std::vector<ItemDifference>& out) {
+    const bool bothEmpty = isEmpty(before) && isEmpty(after);
+    if (!bothEmpty) compare({}, key, before, after, out);
+}
+
+// The error of the first list that can't be read, if any.
+std::optional<Error> compareLists(const std::string& key, const Json* before, const Json* after,
+                                  std::vector<ItemDifference>& out) {
+    const auto itemsBefore = itemsOf(before ? *before : Json::array(), key);
+    if (!itemsBefore) return itemsBefore.error();
+    const auto itemsAfter = itemsOf(after ? *after : Json::array(), key);
+    if (!itemsAfter) return itemsAfter.error();
+    compareItems(key, itemsBefore.value(), itemsAfter.value(), out);
+    return std::nullopt;
+}
+
 }  // namespace
 
 Result<std::vector<ItemDifference>> difference(std::string_view current, std::string_view proposed) {
@@ -117,18 +139,14 @@
     std::vector<ItemDifference> differences;
     for (const std::string& key : keysOf(before.value(), after.value())) {
         if (key == kRevision) continue;
-        const Json* earlier = memberOf(before.value(), key);
-        const Json* later = memberOf(after.value(), key);
-        if (!(earlier && isNamedList(*earlier)) && !(later && isNamedList(*later))) {
-            const bool bothEmpty = (!earlier || earlier->empty()) && (!later || later->empty());
-            if (!bothEmpty) compare({}, key, earlier, later, differences);
+        const Json* const earlier = memberOf(before.value(), key);
+        const Json* const later = memberOf(after.value(), key);
+        if (!isNamedList(earlier) && !isNamedList(later)) {
+            compareMember(key, earlier, later, differences);
             continue;
         }
-        const auto itemsBefore = itemsOf(earlier ? *earlier : Json::array(), key);
-        if (!itemsBefore) return itemsBefore.error();
-        const auto itemsAfter = itemsOf(later ? *later : Json::array(), key);
-        if (!itemsAfter) return itemsAfter.error();
-        compareItems(key, itemsBefore.value(), itemsAfter.value(), differences);
+        const auto error = compareLists(key, earlier, later, differences);
+        if (error) return *error;
     }
     return differences;
 }
@@ -136,19 +154,21 @@
 std::string renderDifferences(const std::vector<ItemDifference>& differences) {
     if (differences.empty()) return "no difference\n";
     std::string out;
-    for (const ItemDifference& one : differences) {
-        out +=
-            fmt::format("{:<8} {}{}{}\n", nameOf(one.kind), one.list, one.list.empty() ? "" : "/", one.name);
-        for (const std::string& member : one.members) out += fmt::format("           {}\n", member);
+    for (const ItemDifference& item : differences) {
+        out += fmt::format("{:<8} {}{}{}\n", nameOf(item.kind), item.list, item.list.empty() ? "" : "/",
+                           item.name);
+        for (const std::string& member : item.members) out += fmt::format("           {}\n", member);
     }
     return out;
 }
 
 std::string renderDifferencesJson(const std::vector<ItemDifference>& differences) {
     Json out = Json::array();
-    for (const ItemDifference& one : differences)
-        out.push_back(Json{
-            {"kind", nameOf(one.kind)}, {"list", one.list}, {"name", one.name}, {"members", one.members}});
+    for (const ItemDifference& item : differences)
+        out.push_back(Json{{"kind", nameOf(item.kind)},
+                           {"list", item.list},
+                           {"name", item.name},
+                           {"members", item.members}});
     return out.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
--- a/src/operator_client/status_text.cpp
+++ b/src/operator_client/status_text.cpp
@@ -74,8 +74,9 @@
     const Json status = Json::parse(body, nullptr, false);
     try {
         return render(status);
-    } catch (const Json::exception& fault) {
-        return Error{ErrorKind::invalid, "/status", fmt::format("the answer can't be read: {}", fault.what()),
+    } catch (const Json::exception& exception) {
+        return Error{ErrorKind::invalid, "/status",
+                     fmt::format("the answer can't be read: {}", exception.what()),
                      "use the program's version that the member runs, or --json"};
     }
 }
@@ -85,11 +86,11 @@
     const bool known = answer.is_object() && answer.contains("error") && answer["error"].is_object();
     if (!known) return std::string(body);
     const Json& error = answer["error"];
-    const auto part = [&](const char* name) {
+    const auto textOf = [&](const char* name) {
         const auto found = error.find(name);
         return found != error.end() && found->is_string() ? found->get<std::string>() : std::string();
     };
-    return Error{ErrorKind::invalid, part("place"), part("message"), part("remedy")}.text();
+    return Error{ErrorKind::invalid, textOf("place"), textOf("message"), textOf("remedy")}.text();
 }
 
 }  // namespace beechpoint::operator_client
--- a/src/operator_client/status_text.hpp
+++ b/src/operator_client/status_text.hpp
@@ -1,4 +1,4 @@
-// What a control member says of itself (GET /status), as lines for people.
+/// What control members answer, as text for people. Pure functions.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace beechpoint::operator_client {
 
-// Error (invalid): `body` is no such answer.
-Result<std::string> renderStatusText(std::string_view body);
+/// The answer to GET /status as lines. Error (invalid): `body` is no such answer.
+[[nodiscard]] Result<std::string> renderStatusText(std::string_view body);
 
-// What an error answer of control says: place, message and remedy; the body itself where it has another form.
-std::string describeRefusal(std::string_view body);
+/// What an error answer says: location, message and remedy; the body itself where it has another form.
+[[nodiscard]] std::string describeRefusal(std::string_view body);
 
 }  // namespace beechpoint::operator_client
--- a/tests/operator_client/call_plan_test.cpp
+++ b/tests/operator_client/call_plan_test.cpp
@@ -21,7 +21,7 @@
 Ending endingOf(const Step& step) { return std::get<Over>(step).ending; }
 std::string addressOf(const Step& step) { return std::get<Send>(step).address; }
 
-TEST(CallPlan, AClearAnswerEndsTheCall) {
+TEST(CallPlan, EndsOnClearAnswer) {
     for (const auto& [status, ending] : {std::pair{200, Ending::done},
                                          {204, Ending::done},
                                          {400, Ending::refused},
@@ -36,7 +36,7 @@
     }
 }
 
-TEST(CallPlan, MovesOnAfterFailuresAndBusyAnswers) {
+TEST(CallPlan, CallsNextMemberAfterFailureOrBusyAnswer) {
     for (const int status : {408, 429, 500, 502, 503, 504, 302, 304}) {
         CallPlan plan(settingsOf({"a:1", "b:1"}), kNow);
         plan.begin(kNow);
@@ -47,7 +47,7 @@
     EXPECT_EQ(addressOf(plan.onFailure(kNow, true)), "b:1");
 }
 
-TEST(CallPlan, FollowsTwoRedirectsInARowAndNoMore) {
+TEST(CallPlan, FollowsAtMostTwoRedirectsInARow) {
     CallPlan plan(settingsOf({"a:1", "b:1"}), kNow);
     plan.begin(kNow);
     const Step second = plan.onAnswer(kNow, 307, "http://c:2/configuration?x=1");
@@ -61,7 +61,7 @@
     EXPECT_EQ(addressOf(plan.onAnswer(kNow, 307, "http://c:2/configuration")), "c:2");
 }
 
-TEST(CallPlan, ARedirectToNowhereIsAFailureOfTheMember) {
+TEST(CallPlan, CallsNextMemberAfterInvalidRedirect) {
     for (const std::string_view location :
          {"", "c:2", "https://c:2/x", "http://", "http:///x", "http://c:2"}) {
         CallPlan plan(settingsOf({"a:1", "b:1"}), kNow);
@@ -70,7 +70,7 @@
     }
 }
 
-TEST(CallPlan, AMemberThatARedirectNamesAndThatIsAwayIsPassedOver) {
+TEST(CallPlan, CallsNextMemberWhenRedirectTargetIsUnreachable) {
     CallPlan plan(settingsOf({"a:1", "b:1"}), kNow);
     plan.begin(kNow);
     plan.onAnswer(kNow, 307, "http://c:2/configuration");
@@ -78,7 +78,7 @@
 }
 
 // After each round of all members there is a backoff; backoffs grow to a bound, and the first member is asked again.
-TEST(CallPlan, BackoffGrowsToItsBoundWhenAllMembersFail) {
+TEST(CallPlan, BackoffDoublesToItsBoundWhenAllMembersFail) {
     auto settings = settingsOf({"a:1", "b:1"});
     settings.total = 60'000;
     CallPlan plan(settings, kNow);
@@ -87,16 +87,16 @@
     for (int round = 0; round < 8; ++round) {
         EXPECT_EQ(addressOf(plan.onFailure(kNow, false)), "b:1");
         const Millis backoff = std::get<Backoff>(plan.onFailure(kNow, false)).length;
-        const Millis wanted = std::min(kFirstBackoff * (1 << round), kMaxBackoff);
-        EXPECT_GE(backoff, 0.75 * wanted);
-        EXPECT_LE(backoff, 1.25 * wanted);
+        const Millis expected = std::min(kFirstBackoff * (1 << round), kMaxBackoff);
+        EXPECT_GE(backoff, 0.75 * expected);
+        EXPECT_LE(backoff, 1.25 * expected);
         largest = std::max(largest, backoff);
         EXPECT_EQ(addressOf(plan.onBackoffOver(kNow)), "a:1");
     }
     EXPECT_GT(largest, 0.7 * kMaxBackoff);
 }
 
-TEST(CallPlan, EndsWithItsTimeWhateverComes) {
+TEST(CallPlan, EndsWithinTotalTime) {
     CallPlan plan(settingsOf({"a:1"}), kNow);
     Millis now = kNow;
     Step step = plan.begin(now);
@@ -115,7 +115,7 @@
     EXPECT_LE(now, kNow + 10'000);
 }
 
-TEST(CallPlan, AChangeThatMayHaveBeenTakenEndsAsUnknown) {
+TEST(CallPlan, EndsAsUnknownWhenChangeMayHaveBeenApplied) {
     const auto ended = [](bool changes, bool sent) {
         CallPlan plan(settingsOf({"a:1", "b:1"}, changes), kNow);
         plan.begin(kNow);
@@ -130,19 +130,19 @@
     EXPECT_EQ(endingOf(busy.onAnswer(kNow + 10'000, 503, {})), Ending::unknown);
 }
 
-TEST(CallPlan, ALargeBodyHasMoreTime) {
+TEST(CallPlan, GivesLargeBodyMoreTime) {
     auto settings = settingsOf({"a:1"}, true);
     settings.bodyBytes = 3'000'000;
     CallPlan plan(settings, kNow);
     EXPECT_DOUBLE_EQ(std::get<Send>(plan.begin(kNow)).timeout, kCallTimeout + 3000);
 }
 
-TEST(CallPlan, WithoutMembersThereIsNothingToAsk) {
+TEST(CallPlan, IsUnreachableWithoutMembers) {
     CallPlan plan(settingsOf({}), kNow);
     EXPECT_EQ(endingOf(plan.begin(kNow)), Ending::unreachable);
 }
 
-TEST(CallPlan, AsksNoMoreMembersThanItsBound) {
+TEST(CallPlan, AsksAtMostMaxMembers) {
     std::vector<std::string> many;
     for (std::size_t member = 0; member < 2 * kMaxMembers; ++member)
         many.push_back(std::to_string(member) + ":1");
--- a/tests/operator_client/client_test.cpp
+++ b/tests/operator_client/client_test.cpp
@@ -67,11 +67,11 @@
     std::vector<std::string> lines;
 };
 
-TEST_F(ClientTest, SendsTheCallAndReturnsTheAnswer) {
+TEST_F(ClientTest, SendsCallAndReturnsAnswer) {
     ScriptedMember member([](const net::HttpMessage& message, net::HttpConnection& connection) {
-        const bool whole = message.method == "PUT" && message.target == "/configuration" &&
-                           message.header("If-Match") == "5" && message.body == "{}";
-        connection.respond(whole ? 200 : 400, "application/json", R"({"revision":7})");
+        const bool expected = message.method == "PUT" && message.target == "/configuration" &&
+                              message.header("If-Match") == "5" && message.body == "{}";
+        connection.respond(expected ? 200 : 400, "application/json", R"({"revision":7})");
     });
     const Reply reply = perform({member.address}, {"PUT", "/configuration", "{}", 5});
     EXPECT_EQ(reply.ending, Ending::done);
@@ -81,7 +81,7 @@
     EXPECT_EQ(lines.front(), "asking " + member.address);
 }
 
-TEST_F(ClientTest, MovesOnFromAClosedAndFromABusyMemberAndFollowsRedirects) {
+TEST_F(ClientTest, CallsNextMemberAfterClosedOrBusyOneAndFollowsRedirects) {
     ScriptedMember head([](const net::HttpMessage& message, net::HttpConnection& connection) {
         connection.respond(message.body == "{}" ? 200 : 400, "application/json", "{}");
     });
@@ -99,7 +99,7 @@
 }
 
 // The answer is lost on the way: the same bytes go to the next member, which answers for what the first has taken.
-TEST_F(ClientTest, AChangeWhoseAnswerWasLostIsSentAgainUnchanged) {
+TEST_F(ClientTest, RetriesChangeUnchangedWhenAnswerWasLost) {
     const auto textOf = [](const net::HttpMessage& message) {
         return std::string(message.method) + ' ' + std::string(message.target) + ' ' +
                std::string(message.header("If-Match")) + ' ' + std::string(message.body);
@@ -121,7 +121,7 @@
 }
 
 // Answers of members bear no id, so a second answer to one call must not be taken for the answer to the same call made again.
-TEST_F(ClientTest, TheSameMemberIsAskedAgainOnANewConnection) {
+TEST_F(ClientTest, RetriesSameMemberOnNewConnection) {
     std::vector<std::weak_ptr<net::HttpConnection>> asked;
     ScriptedMember member([&](const net::HttpMessage&, net::HttpConnection& connection) {
         asked.push_back(connection.weak_from_this());
@@ -132,7 +132,7 @@
     EXPECT_TRUE(asked[0].owner_before(asked[1]) || asked[1].owner_before(asked[0]));
 }
 
-TEST_F(ClientTest, ARefusalComesWithItsBody) {
+TEST_F(ClientTest, ReturnsBodyOfRefusal) {
     ScriptedMember member([](const net::HttpMessage&, net::HttpConnection& connection) {
         connection.respond(412, "application/json", R"({"error":{"message":"m"}})");
     });
@@ -142,15 +142,16 @@
     EXPECT_EQ(reply.body, R"({"error":{"message":"m"}})");
 }
 
-TEST_F(ClientTest, ASilentMemberEndsAsUnknownForAChangeAndUnreachableForARead) {
-    ScriptedMember silent([](const net::HttpMessage&, net::HttpConnection&) {});
-    EXPECT_EQ(perform({silent.address}, {"POST", "/evacuate/z", {}, {}}, 300).ending, Ending::unknown);
-    EXPECT_EQ(perform({silent.address}, {"GET", "/configuration", {}, {}}, 300).ending, Ending::unreachable);
+TEST_F(ClientTest, EndsAsUnknownForChangeAndUnreachableForReadWhenMemberDoesNotAnswer) {
+    ScriptedMember unresponsive([](const net::HttpMessage&, net::HttpConnection&) {});
+    EXPECT_EQ(perform({unresponsive.address}, {"POST", "/evacuate/z", {}, {}}, 300).ending, Ending::unknown);
+    EXPECT_EQ(perform({unresponsive.address}, {"GET", "/configuration", {}, {}}, 300).ending,
+              Ending::unreachable);
     EXPECT_EQ(perform({closedAddress()}, {"POST", "/evacuate/z", {}, {}}, 300).ending, Ending::unreachable);
     EXPECT_EQ(perform({"nowhere"}, {"POST", "/evacuate/z", {}, {}}, 300).ending, Ending::unreachable);
 }
 
-TEST_F(ClientTest, TheLastAnswerIsKeptThoughALaterCallGetsNone) {
+TEST_F(ClientTest, ReturnsLastAnswerWhenLaterCallsGetNone) {
     int calls = 0;
     ScriptedMember member([&](const net::HttpMessage&, net::HttpConnection& connection) {
         if (calls++ == 0) connection.respond(503, "application/json", "reason");
@@ -162,7 +163,7 @@
     EXPECT_EQ(reply.address, member.address);
 }
 
-TEST(PercentEncoded, KeepsOnlyWhatMayStandInAPath) {
+TEST(PercentEncoded, EncodesAllButUnreservedBytes) {
     EXPECT_EQ(percentEncoded("trakia-hall_1.~"), "trakia-hall_1.~");
     EXPECT_EQ(percentEncoded("a/b c?%\xC3\xA9"), "a%2Fb%20c%3F%25%C3%A9");
 }
--- a/tests/operator_client/configuration_difference_test.cpp
+++ b/tests/operator_client/configuration_difference_test.cpp
@@ -11,7 +11,7 @@
     return differences ? differences.value() : std::vector<ItemDifference>{};
 }
 
-TEST(ConfigurationDifference, NamesItemsAddedChangedAndRemoved) {
+TEST(ConfigurationDifference, ListsItemsAddedChangedAndRemoved) {
     const auto differences = differencesOf(
         R"({"revision":1,"routes":[{"name":"a","timeout_ms":500},{"name":"b"}],"services":[{"name":"s"}]})",
         R"({"revision":2,"routes":[{"name":"c"},{"name":"a","timeout_ms":800,"x":[1]}],"services":[{"name":"s"}]})");
@@ -26,14 +26,14 @@
               "removed  routes/b\nadded    routes/c\n");
 }
 
-TEST(ConfigurationDifference, RevisionAndOrderAreNoDifference) {
+TEST(ConfigurationDifference, IgnoresRevisionAndOrder) {
     EXPECT_TRUE(differencesOf(R"({"revision":1,"routes":[{"name":"a"},{"name":"b","x":1.0}]})",
                               R"({"revision":9,"routes":[{"x":1,"name":"b"},{"name":"a"}],"services":[]})")
                     .empty());
     EXPECT_EQ(renderDifferences({}), "no difference\n");
 }
 
-TEST(ConfigurationDifference, MembersOutsideOfListsAreComparedToo) {
+TEST(ConfigurationDifference, ComparesMembersOutsideLists) {
     const std::vector<ItemDifference> expected = {
         {DifferenceKind::changed, "", "limits", {"max_header_bytes: 1 -> 2"}},
         {DifferenceKind::added, "", "note", {}},
@@ -43,13 +43,13 @@
               expected);
 }
 
-TEST(ConfigurationDifference, AListThatEmptiesLosesItsItems) {
+TEST(ConfigurationDifference, ListsItemsOfEmptiedListAsRemoved) {
     const std::vector<ItemDifference> expected = {{DifferenceKind::removed, "routes", "a", {}}};
     EXPECT_EQ(differencesOf(R"({"routes":[{"name":"a"}]})", R"({"routes":[]})"), expected);
     EXPECT_EQ(differencesOf(R"({"routes":[{"name":"a"}]})", R"({})"), expected);
 }
 
-TEST(ConfigurationDifference, WhatIsNoConfigurationIsRefused) {
+TEST(ConfigurationDifference, RejectsWhatIsNoConfiguration) {
     EXPECT_FALSE(difference("{", "{}").has_value());
     EXPECT_FALSE(difference("{}", "[]").has_value());
     EXPECT_FALSE(difference("{}", R"({"routes":[{"name":"a"},{"x":1}]})").has_value());
--- a/tests/operator_client/program_test.cpp
+++ b/tests/operator_client/program_test.cpp
@@ -38,8 +38,8 @@
     std::vector<char*> arguments;
     std::string program = BEECHPOINT_PROGRAM;
     arguments.push_back(program.data());
-    std::vector<std::string> kept = words;
-    for (std::string& word : kept) arguments.push_back(word.data());
+    std::vector<std::string> copies = words;
+    for (std::string& word : copies) arguments.push_back(word.data());
     arguments.push_back(nullptr);
     const pid_t pid = ::fork();
     if (pid != 0) return pid;
@@ -68,10 +68,10 @@
         std::string name = (fs::temp_directory_path() / "operator-XXXXXX").string();
         ASSERT_NE(mkdtemp(name.data()), nullptr);
         folder = name;
-        std::vector<Tcp::acceptor> held;  // all at once, so that they differ
+        std::vector<Tcp::acceptor> acceptors;  // all at once, so that they differ
         for (std::uint16_t* port : {&control, &directory, &readiness, &internal}) {
-            held.emplace_back(io, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-            *port = held.back().local_endpoint().port();
+            acceptors.emplace_back(io, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+            *port = acceptors.back().local_endpoint().port();
         }
     }
     void TearDown() override {
@@ -118,7 +118,7 @@
         return false;
     }
 
-    // The whole answer; empty where there is none.
+    // The complete answer; empty where there is none.
     std::string answer(std::uint16_t port, const std::string& target) {
         Tcp::socket socket(io);
         const std::string request = "GET " + target + " HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
@@ -169,7 +169,7 @@
         revision, timeout);
 }
 
-TEST_F(ProgramTest, ConfigurationIsPutReadChangedAndCompared) {
+TEST_F(ProgramTest, PutsReadsChangesAndComparesConfiguration) {
     ASSERT_NO_FATAL_FAILURE(startMember());
     const std::string first = write("first.json", wholeConfiguration(3, 500)).string();
     Outcome outcome = ask({"config", "put", first});
@@ -195,7 +195,7 @@
     EXPECT_EQ(answer["outcome"], "done");
     EXPECT_EQ(answer["answer"]["revision"], 5);
 
-    outcome = ask({"config", "put", first, "--if-match", "0"});  // the very call that was taken before
+    outcome = ask({"config", "put", first, "--if-match", "0"});  // the very call that was applied before
     EXPECT_EQ(outcome.status, 0) << outcome.err;
     outcome = ask({"config", "put", first, "--if-match", "4"});
     EXPECT_EQ(outcome.status, 1);
@@ -205,7 +205,7 @@
     EXPECT_NE(outcome.err.find("refused with 400"), std::string::npos) << outcome.err;
 }
 
-TEST_F(ProgramTest, AZoneIsEvacuatedAndStatusTellsOfIt) {
+TEST_F(ProgramTest, EvacuatesZoneAndShowsItInStatus) {
     ASSERT_NO_FATAL_FAILURE(startMember());
     Outcome outcome = ask({"evacuate", "za"});
     EXPECT_EQ(outcome.status, 0) << outcome.err;
@@ -237,7 +237,7 @@
     EXPECT_NE(outcome.err.find("no ready gateway is known here"), std::string::npos) << outcome.err;
 }
 
-TEST_F(ProgramTest, WithoutAMemberItEndsInTimeAndSaysSo) {
+TEST_F(ProgramTest, ReportsUnreachableInTimeWithoutMember) {
     Outcome outcome = call({"status", "--control", fmt::format("127.0.0.1:{}", control), "--timeout", "0.3"});
     EXPECT_EQ(outcome.status, 3);
     EXPECT_NE(outcome.err.find("no control member gave a clear answer"), std::string::npos) << outcome.err;
@@ -251,7 +251,7 @@
         EXPECT_EQ(call(words).status, 2) << words.back();
 }
 
-TEST_F(ProgramTest, AFileIsCheckedWithoutAnyMember) {
+TEST_F(ProgramTest, ChecksFileWithoutAnyMember) {
     Outcome outcome = call({"config", "check", write("good.json", wholeConfiguration(3, 500)).string()});
     EXPECT_EQ(outcome.status, 0) << outcome.err;
     EXPECT_EQ(outcome.out, "the configuration is sound: revision 3\n");
--- a/tests/operator_client/status_test.cpp
+++ b/tests/operator_client/status_test.cpp
@@ -36,7 +36,7 @@
     return status;
 }
 
-TEST(Status, IsReadBackAsLines) {
+TEST(Status, IsPrintedAsLines) {
     const auto text = renderStatusText(control::renderStatus(someStatus()));
     ASSERT_TRUE(text.has_value());
     for (const std::string_view part :
@@ -51,14 +51,14 @@
         EXPECT_NE(text.value().find(part), std::string::npos) << part << "in\n" << text.value();
 }
 
-TEST(Status, OfAMemberThatKnowsNothingYetIsReadBackToo) {
+TEST(Status, OfMemberWithoutStateIsPrintedToo) {
     const auto text = renderStatusText(control::renderStatus({}));
     ASSERT_TRUE(text.has_value());
     EXPECT_NE(text.value().find("host list: none known"), std::string::npos);
     EXPECT_NE(text.value().find("evacuated zones: none"), std::string::npos);
 }
 
-TEST(Status, AnAnswerOfAnotherFormIsAnError) {
+TEST(Status, RejectsAnswerOfAnotherForm) {
     EXPECT_FALSE(renderStatusText("").has_value());
     EXPECT_FALSE(renderStatusText("{}").has_value());
     EXPECT_FALSE(renderStatusText(R"({"member":7})").has_value());
@@ -78,7 +78,7 @@
     EXPECT_EQ(control::renderMetrics(unknown).find("host_list"), std::string::npos);
 }
 
-TEST(Status, EvacuatedZonesAreTakenFromTheTable) {
+TEST(Status, ReadsEvacuatedZonesFromTable) {
     EXPECT_EQ(control::evacuatedZonesOf(
                   {{"evacuated", "1"}, {"evacuated/za", "1"}, {"evacuated/zb", "1"}, {"f", ""}}),
               (std::vector<std::string>{"za", "zb"}));
