--- /dev/null
+++ b/src/gateway/client_answer.cpp
@@ -0,0 +1,79 @@
+#include "gateway/client_answer.hpp"
+
+#include <fmt/format.h>
+
+#include <utility>
+
+#include "gateway/host_answer.hpp"
+
+namespace beechpoint::gateway {
+
+namespace {
+
+constexpr std::string_view kJson = "application/json";
+
+}  // namespace
+
+ClientAnswer::ClientAnswer(std::shared_ptr<net::HttpConnection> client, upstream::Upstream& upstream,
+                           const std::optional<std::string>& lastEventId)
+    : client_(std::move(client)), upstream_(upstream) {
+    if (lastEventId) progress_.startBehind(*lastEventId);
+}
+
+void ClientAnswer::relay(HostAttempt& attempt) {
+    if (over()) return;
+    if (state_ == State::pending && !begin(attempt)) return;
+    const std::string pending = std::move(attempt.pendingBody);
+    attempt.pendingBody.clear();
+    forward(attempt, pending);
+}
+
+// False where the answer could not be begun.
+bool ClientAnswer::begin(const HostAttempt& attempt) {
+    const upstream::AnswerHead& head = attempt.head;
+    if (promisesNotExecuted(head.status) && !notExecuted(head)) {
+        // Without X-Not-Executed the host promises nothing: the status alone must not reach the client as a promise.
+        state_ = State::over;
+        client_->respond(502, kJson, R"({"error":"the host failed; the request may have run"})");
+        return false;
+    }
+    state_ = State::open;
+    const auto length = attempt.eventStream ? std::nullopt : head.contentLength;
+    return client_->beginStream(head.status, upstream::headerLines(head.headers), length);
+}
+
+void ClientAnswer::forward(HostAttempt& attempt, std::string_view bytes) {
+    if (bytes.empty() || over()) return;
+    if (!attempt.eventStream) return write(attempt, bytes);
+    std::string events;
+    attempt.splitter.feed(bytes, [&](const upstream::StreamEvent& event) {
+        if (progress_.admit(event)) events.append(event.bytes);
+    });
+    if (!events.empty()) write(attempt, events);
+}
+
+void ClientAnswer::write(const HostAttempt& attempt, std::string_view bytes) {
+    const std::size_t waiting = client_->writeSome(bytes);
+    if (waiting <= kPauseReadingAbove) return;
+    upstream_.pauseReading(attempt.handle);
+    // The upstream outlives its connections, this answer need not: it is not captured.
+    client_->whenDrained(
+        [&upstream = upstream_, handle = attempt.handle] { upstream.resumeReading(handle); });
+}
+
+void ClientAnswer::complete() {
+    if (over()) return;
+    state_ = State::over;
+    client_->endStream();
+}
+
+void ClientAnswer::fail(int status, std::string_view error, Millis retryAfter) {
+    if (over()) return;
+    const bool begun = open();
+    state_ = State::over;
+    if (begun) return client_->abortStream();
+    const std::string advice = retryAfter > 0 ? net::retryAfterHeader(retryAfter) : "";
+    client_->respond(status, kJson, fmt::format(R"({{"error":"{}"}})", error), advice);
+}
+
+}  // namespace beechpoint::gateway
--- /dev/null
+++ b/src/gateway/client_answer.hpp
@@ -0,0 +1,63 @@
+/// The answer to one client: its head from the attempt that is relayed first, its body perhaps from several where a stream is
+/// resumed at another host. Owns the client's connection for that long. It decides nothing: the dispatcher says what is relayed.
+///
+///   state    event                                      next
+///   pending  relay()                                    open; over where the head may not be passed on
+///   pending  fail(), clientLeft()                       over
+///   open     complete(), fail() (broken off), clientLeft()   over
+///
+/// A client that reads slowly pauses the reading from its host, so that no more than about kPauseReadingAbove bytes wait here.
+#pragma once
+
+#include <cstddef>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "gateway/host_attempt.hpp"
+#include "net/server.hpp"
+#include "upstream/event_stream.hpp"
+#include "upstream/upstream.hpp"
+
+namespace beechpoint::gateway {
+
+class ClientAnswer {
+public:
+    static constexpr std::size_t kPauseReadingAbove = 256 * 1024;  ///< bytes that wait for the client
+
+    /// `lastEventId`: of a stream that the client resumes, the last event it has. `upstream` must outlive it.
+    ClientAnswer(std::shared_ptr<net::HttpConnection> client, upstream::Upstream& upstream,
+                 const std::optional<std::string>& lastEventId);
+
+    /// Whether the client has its final answer, or has left.
+    [[nodiscard]] bool over() const { return state_ == State::over; }
+    /// Whether a head has been passed on and more of the body may follow.
+    [[nodiscard]] bool open() const { return state_ == State::open; }
+    /// The last event that the client has; nothing: none with an id.
+    [[nodiscard]] const std::optional<std::string>& lastEventId() const { return progress_.lastId(); }
+
+    /// From now on this attempt's answer is the client's: passes on its head, unless one has been, and its pending body.
+    void relay(HostAttempt& attempt);
+    /// Passes on bytes of the relayed attempt; of an event stream complete events only, none twice.
+    void forward(HostAttempt& attempt, std::string_view bytes);
+    /// The relayed answer has come to its proper end.
+    void complete();
+    /// Ends without one: by this status and error while nothing has been passed on, else visibly broken off.
+    /// `retryAfter`: advice to the client; 0: none.
+    void fail(int status, std::string_view error, Millis retryAfter);
+    void clientLeft() { state_ = State::over; }
+
+private:
+    enum class State { pending, open, over };
+
+    bool begin(const HostAttempt& attempt);
+    void write(const HostAttempt& attempt, std::string_view bytes);
+
+    std::shared_ptr<net::HttpConnection> client_;
+    upstream::Upstream& upstream_;
+    upstream::EventProgress progress_;
+    State state_ = State::pending;
+};
+
+}  // namespace beechpoint::gateway
--- a/src/gateway/client_request.cpp
+++ b/src/gateway/client_request.cpp
@@ -22,17 +22,17 @@
     return number;
 }
 
-// Takes the piece up to the next comma off the front of `rest`.
-std::string_view nextPiece(std::string_view& rest) {
+// Takes the element up to the next comma off the front of `rest`.
+std::string_view nextElement(std::string_view& rest) {
     const auto comma = rest.find(',');
-    const std::string_view piece = rest.substr(0, comma);
+    const std::string_view element = rest.substr(0, comma);
     rest = comma == std::string_view::npos ? std::string_view{} : rest.substr(comma + 1);
-    return trimmed(piece);
+    return trimmed(element);
 }
 
 void readTokenUsage(std::string_view text, ClientRequest& request) {
-    request.promptTokens = numberIn<std::uint32_t>(nextPiece(text)).value_or(0);
-    request.outTokens = numberIn<std::uint32_t>(nextPiece(text)).value_or(0);
+    request.promptTokens = numberIn<std::uint32_t>(nextElement(text)).value_or(0);
+    request.outTokens = numberIn<std::uint32_t>(nextElement(text)).value_or(0);
 }
 
 dispatch::RequestType typeOf(configuration::RouteType type) {
@@ -51,12 +51,12 @@
 
 std::vector<dispatch::PromptPart> parsePromptPrefix(std::string_view text) {
     std::vector<dispatch::PromptPart> parts;
-    while (!text.empty() && parts.size() < kMostPromptParts) {
-        const std::string_view piece = nextPiece(text);
-        const auto colon = piece.rfind(':');
+    while (!text.empty() && parts.size() < kMaxPromptParts) {
+        const std::string_view element = nextElement(text);
+        const auto colon = element.rfind(':');
         if (colon == std::string_view::npos || colon == 0) continue;
-        const auto tokens = numberIn<std::uint32_t>(piece.substr(colon + 1));
-        if (tokens) parts.push_back({std::string(piece.substr(0, colon)), *tokens});
+        const auto tokens = numberIn<std::uint32_t>(element.substr(colon + 1));
+        if (tokens) parts.push_back({std::string(element.substr(0, colon)), *tokens});
     }
     return parts;
 }
@@ -78,7 +78,7 @@
 }
 
 dispatch::RequestArrived arrival(dispatch::RequestId id, const ClientRequest& request,
-                                 const routing::RouteEntry& entry, Millis waited) {
+                                 const routing::RouteEntry& entry, Millis sinceFirstByte) {
     const configuration::Route& route = entry.route;
     dispatch::RequestArrived event;
     event.id = id;
@@ -91,8 +91,8 @@
     }
     event.type = typeOf(route.type);
     event.timeout = route.timeoutMs;
-    event.deadline = request.deadline - waited;
-    if (route.timeoutMs > 0) event.deadline = std::min(event.deadline, route.timeoutMs - waited);
+    event.deadline = request.deadline - sinceFirstByte;
+    if (route.timeoutMs > 0) event.deadline = std::min(event.deadline, route.timeoutMs - sinceFirstByte);
     event.aim = route.targetLatencyMs > 0 ? route.targetLatencyMs : event.deadline;
     event.gapAim = route.gapAimMs;
     event.priorityClass = route.priorityClass;
--- a/src/gateway/client_request.hpp
+++ b/src/gateway/client_request.hpp
@@ -1,4 +1,4 @@
-// What a client's request says of itself in its headers, read for the dispatcher. Free of I/O.
+/// A client's request and what its headers say of it, read for the dispatcher. Pure functions.
 #pragma once
 
 #include <memory>
@@ -14,29 +14,29 @@
 
 namespace beechpoint::gateway {
 
-inline constexpr Millis kDefaultDeadline = 30'000;  // where neither client nor route states one
-inline constexpr std::size_t kMostPromptParts = 64;
+inline constexpr Millis kDefaultDeadline = 30'000;  ///< where neither client nor route states one
+inline constexpr std::size_t kMaxPromptParts = 64;  ///< further parts of a prompt are ignored
 
-// A request as it was read, kept for as long as it may be sent to a host.
+/// A request as it was read; it lives for as long as it may be sent to a host.
 struct ClientRequest {
     std::string method, target, attemptId;
-    upstream::Headers headers;  // end to end
-    std::shared_ptr<const std::string> body;
-    std::optional<std::string> lastEventId;  // a stream that the client takes up again
-    Millis deadline = kDefaultDeadline;      // what the client will wait from the request's first byte on
+    upstream::Headers headers;                ///< end to end only
+    std::shared_ptr<const std::string> body;  ///< null: none
+    std::optional<std::string> lastEventId;   ///< of a stream that the client resumes
+    Millis deadline = kDefaultDeadline;       ///< what the client will wait, from the request's first byte on
     std::vector<dispatch::PromptPart> prompt;
     std::uint32_t promptTokens = 0, outTokens = 0;
 };
 
-// Headers that can't be read are taken for absent.
-ClientRequest readClientRequest(const net::HttpMessage& message);
+/// Headers that can't be read count as absent.
+[[nodiscard]] ClientRequest readClientRequest(const net::HttpMessage& message);
 
-// "ID:TOKENS,ID:TOKENS"; parts that can't be read are left out.
-std::vector<dispatch::PromptPart> parsePromptPrefix(std::string_view text);
+/// The parts of X-Prompt-Prefix, "ID:TOKENS,ID:TOKENS"; those that can't be read are left out.
+[[nodiscard]] std::vector<dispatch::PromptPart> parsePromptPrefix(std::string_view text);
 
-// The dispatcher's event for a request on this route; `waited`: since the request's first byte came, from when on the client counts
-// its deadline and the operator the route's time.
-dispatch::RequestArrived arrival(dispatch::RequestId id, const ClientRequest& request,
-                                 const routing::RouteEntry& route, Millis waited);
+/// The dispatcher's event for a request on this route. `sinceFirstByte`: from then on the client counts its deadline and
+/// the operator the route's time-out.
+[[nodiscard]] dispatch::RequestArrived arrival(dispatch::RequestId id, const ClientRequest& request,
+                                               const routing::RouteEntry& route, Millis sinceFirstByte);
 
 }  // namespace beechpoint::gateway
--- a/src/gateway/control_link.cpp
+++ b/src/gateway/control_link.cpp
@@ -17,7 +17,7 @@
 
 void ControlLink::start() {
     state_.region(handlers_.request().gateway.region);
-    make(state_.start(clock_.now()));
+    send(state_.start(clock_.now()));
 }
 
 void ControlLink::stop() {
@@ -25,9 +25,9 @@
     timer_.cancel();
 }
 
-void ControlLink::pollNow() { make(state_.pollNow(clock_.now())); }
+void ControlLink::pollNow() { send(state_.pollNow(clock_.now())); }
 
-void ControlLink::make(const std::optional<LinkCall>& call) {
+void ControlLink::send(const std::optional<LinkCall>& call) {
     armTimer();
     if (!call) return;
     control::PollRequest request = handlers_.request();
@@ -43,19 +43,20 @@
     const auto reply = readReply(bytes);
     if (!reply) {
         state_.onFailure(clock_.now(), number);
-        return armTimer();
+        armTimer();
+        return;
     }
     state_.onAnswer(clock_.now(), number, *reply);
     armTimer();
     handlers_.reply(*reply, sentAt);
 }
 
-// Nothing: no answer, one that can't be read, or of a member that can't vouch for its table.
+// Nothing: no reply, one that can't be read, or of a member whose table isn't fresh.
 std::optional<control::PollReply> ControlLink::readReply(const Result<std::string>& bytes) {
     if (!bytes) return std::nullopt;
     auto reply = control::decodePollReply(bytes.value());
     if (!reply) {
-        log_.seldom("poll", "a poll's reply can't be read: {}", field("error", reply.error().text()));
+        log_.seldom("poll", "can't decode the reply to a poll: {}", field("error", reply.error().text()));
         return std::nullopt;
     }
     if (reply.value().status != control::PollStatus::ok) return std::nullopt;
@@ -69,7 +70,7 @@
     }
     timer_.expires_after(toMicroseconds(*state_.wakeAt() - clock_.now()));
     timer_.async_wait([this](asio::error_code error) {
-        if (!error) make(state_.onTimer(clock_.now()));
+        if (!error) send(state_.onTimer(clock_.now()));
     });
 }
 
--- a/src/gateway/control_link.hpp
+++ b/src/gateway/control_link.hpp
@@ -1,5 +1,5 @@
-// A gateway's link to the control members: one poll at a time, as ControlLinkState decides. Makes its calls and runs its timer on the
-// Asio loop. The poll carries what the gateway holds and renews its lease.
+/// A gateway's link to the control members: one poll at a time, as ControlLinkState decides. Makes its calls and runs its timer on
+/// the Asio loop; called from that loop's thread only. A poll states the versions that the gateway has and renews its lease.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,25 +20,27 @@
 class ControlLink {
 public:
     struct Handlers {
-        std::function<control::PollRequest()> request;  // what to ask with, at the time of asking
-        std::function<void(const control::PollReply&, Millis sentAt)>
-            reply;  // of a member that is up to date
+        /// The poll to send, asked for at the time of sending.
+        std::function<control::PollRequest()> request;
+        /// A reply of a member whose table is fresh; `sentAt`: when the poll was sent.
+        std::function<void(const control::PollReply&, Millis sentAt)> reply;
     };
 
+    /// `io`, `clock` and `log` must outlive it. `name`: of this gateway. `seed`: of the jitter.
     ControlLink(asio::io_context& io, const Clock& clock, Logger& log, std::string name, std::uint64_t seed,
                 Handlers handlers);
 
-    // Internal addresses (IP:PORT) of the seeds; may change at any time.
+    /// Internal addresses (IP:PORT) of the seed nodes; may change at any time.
     void seeds(std::vector<std::string> addresses) { state_.seeds(std::move(addresses)); }
     void start();
-    // Asks anew at once, with the present request: something that control should know has changed.
+    /// Polls again at once, with the present request: something that control should know has changed.
     void pollNow();
     void stop();
-    // When the last answer of a member that is up to date came; 0: never.
-    Millis heardAt() const { return state_.heardAt(); }
+    /// When the last reply of a member whose table is fresh came; 0: never.
+    [[nodiscard]] Millis heardAt() const { return state_.heardAt(); }
 
 private:
-    void make(const std::optional<LinkCall>& call);
+    void send(const std::optional<LinkCall>& call);
     void onReply(std::uint64_t number, Millis sentAt, const Result<std::string>& bytes);
     std::optional<control::PollReply> readReply(const Result<std::string>& bytes);
     void armTimer();
--- a/src/gateway/control_link_state.cpp
+++ b/src/gateway/control_link_state.cpp
@@ -8,13 +8,14 @@
 namespace beechpoint::gateway {
 namespace {
 
-constexpr std::size_t kMostDoublings = 6;
-constexpr double kWaitLeast = 0.8;  // of kWait: polls that were answered together don't end together again
+constexpr std::size_t kMaxDoublings = 6;
+constexpr double kWaitFraction =
+    0.8;  // of kWait at least: long polls answered together must not end together again
 
-enum Distance { ownRegion = 0, elsewhere = 1, noMember = 2 };
+enum Distance { ownRegion = 0, otherRegion = 1, noMember = 2 };
 
 Millis doubled(Millis first, std::size_t times, Millis most) {
-    return std::min(first * static_cast<double>(1u << std::min(times, kMostDoublings)), most);
+    return std::min(first * static_cast<double>(1u << std::min(times, kMaxDoublings)), most);
 }
 
 }  // namespace
@@ -62,12 +63,12 @@
         wakeAt_ = now + kRetryMost;
         return std::nullopt;
     }
-    const bool known = polled_ == current_;
-    const Millis first = doubled(kFirstTimeout, roundsOf(silences_), kFirstTimeoutMost);
-    const Millis wait = kWait * (kWaitLeast + (1 - kWaitLeast) * random_());
-    const Millis timeout = known ? wait + kAnswerSlack : first;
-    silentAt_ = now + timeout;
-    return LinkCall{asked_, polled_, known ? wait : 0, timeout};
+    const bool answeredBefore = polled_ == current_;
+    const Millis first = doubled(kFirstTimeout, roundsOf(timeouts_), kFirstTimeoutMost);
+    const Millis wait = kWait * (kWaitFraction + (1 - kWaitFraction) * random_());
+    const Millis timeout = answeredBefore ? wait + kAnswerSlack : first;
+    answerDueAt_ = now + timeout;
+    return LinkCall{asked_, polled_, answeredBefore ? wait : 0, timeout};
 }
 
 void ControlLinkState::onAnswer(Millis now, std::uint64_t number, const control::PollReply& reply) {
@@ -75,14 +76,15 @@
     const bool isLate = number != asked_ || wakeAt_;
     heardAt_ = now;
     if (!isLate) {
-        failures_ = silences_ = 0;
+        failures_ = 0;
+        timeouts_ = 0;
         current_ = polled_;
     }
     learnMembers(reply);
     if (isLate) return;
     if (now - failedAt_ > kReturnAfter) turn_ = 0;
-    const Millis pause = std::clamp(reply.retryAfterMs, 0.0, kComeBackMost) * (0.5 + random_());
-    wakeAt_ = now + std::max(kSpacing, pause);
+    const Millis advised = std::clamp(reply.retryAfterMs, 0.0, kMaxRetryAfter) * (0.5 + random_());
+    wakeAt_ = now + std::max(kSpacing, advised);
 }
 
 void ControlLinkState::onFailure(Millis now, std::uint64_t number) {
@@ -90,7 +92,8 @@
     if (current_ == polled_) current_.clear();
     ++turn_;
     ++failures_;
-    silences_ = now < silentAt_ ? 0 : silences_ + 1;
+    const bool refused = now < answerDueAt_;
+    timeouts_ = refused ? 0 : timeouts_ + 1;
     failedAt_ = now;
     wakeAt_ = now + doubled(kRetryFirst, roundsOf(failures_), kRetryMost) * (0.5 + random_());
 }
@@ -101,34 +104,34 @@
 
 void ControlLinkState::learnMembers(const control::PollReply& reply) {
     if (reply.members.empty()) return;
-    const bool placed = reply.memberRegions.size() == reply.members.size();
-    std::vector<Known> members;
+    const bool regionsKnown = reply.memberRegions.size() == reply.members.size();
+    std::vector<Member> members;
     for (std::size_t index = 0; index < reply.members.size(); ++index)
-        members.push_back({reply.members[index], placed ? reply.memberRegions[index] : std::string{}});
+        members.push_back({reply.members[index], regionsKnown ? reply.memberRegions[index] : std::string{}});
     if (members == members_) return;
     members_ = std::move(members);
     orderMembers();
 }
 
 int ControlLinkState::distanceOf(const std::string& address) const {
-    const auto member = std::ranges::find(members_, address, &Known::address);
+    const auto member = std::ranges::find(members_, address, &Member::address);
     if (member == members_.end()) return noMember;
-    return !region_.empty() && member->region == region_ ? ownRegion : elsewhere;
+    return !region_.empty() && member->region == region_ ? ownRegion : otherRegion;
 }
 
-// A turn that stands at the member that answered last stays with it, unless a member of the own region is known and that is none.
+// The turn stays with the member that answered last, unless that one is farther away than the first of the new order.
 void ControlLinkState::orderMembers() {
     std::vector<std::string> all;
-    for (const Known& member : members_) all.push_back(member.address);
+    for (const Member& member : members_) all.push_back(member.address);
     for (const std::string& seed : seeds_)
         if (std::ranges::find(all, seed) == all.end()) all.push_back(seed);
     std::vector<std::string> next = leases::rendezvousOrder(name_, std::move(all));
     std::ranges::stable_sort(next, {}, [this](const std::string& address) { return distanceOf(address); });
     if (next == order_) return;
     order_ = std::move(next);
-    const auto place = std::ranges::find(order_, current_);
-    const bool stays = place != order_.end() && distanceOf(*place) == distanceOf(order_.front());
-    turn_ = stays ? static_cast<std::size_t>(place - order_.begin()) : 0;
+    const auto current = std::ranges::find(order_, current_);
+    const bool stays = current != order_.end() && distanceOf(*current) == distanceOf(order_.front());
+    turn_ = stays ? static_cast<std::size_t>(current - order_.begin()) : 0;
 }
 
 std::string ControlLinkState::nextAddress() const {
--- a/src/gateway/control_link_state.hpp
+++ b/src/gateway/control_link_state.hpp
@@ -1,16 +1,17 @@
-// What a gateway's link to the control members decides: which member to poll, when, for how long to wait, when to go elsewhere. A state
-// machine free of I/O and clock: events come with the time, a call to make comes back, wakeAt() says when the next timer is due.
-//
-//   order of the members   those of the gateway's own region, then the others, then seeds that are no members; within each by rendezvous
-//                          hashing of the gateway's name, so that gateways spread evenly
-//   member that answers    polled again after kSpacing, held there up to kWait; where it has more than it sends now it says after how long
-//                          the gateway is to ask again (PollReply::retryAfterMs), which is spread by jitter
-//   no answer, or refused  the next member after a pause with jitter that doubles with each round of all members
-//   nothing but silence    the time given to a member that has not answered yet doubles with each round of silent members, up to
-//                          kFirstTimeoutMost: an answer that is slow because all ask at once is not given up and begun again for ever.
-//                          A refusal shows that members have time to answer, and ends the growth: addresses of members that are
-//                          gone for good must not be waited for longer and longer
-//   no failure for long    back to the first of the order
+/// Decides for a gateway's link to the control members: which member to poll, when, how long to wait for the reply, when to go
+/// elsewhere. A state machine free of I/O and clock: events come with the time, a poll to send comes back, wakeAt() says when the
+/// next timer is due. Not thread-safe.
+///
+///   order of the members   those of the gateway's own region, then the others, then seeds that are no members; within each by
+///                          rendezvous hashing of the gateway's name, so that gateways spread evenly
+///   member that answers    polled again after kSpacing, as a long poll of up to kWait; where it has more than it sends now it says
+///                          after how long the gateway is to poll again (PollReply::retryAfterMs), which is spread by jitter
+///   no answer, or refused  the next member, after a backoff with jitter that doubles with each round of all members
+///   nothing but time-outs  the time-out for a member that has not answered yet doubles with each round of unresponsive members, up
+///                          to kFirstTimeoutMost: an answer that is slow because all gateways ask at once is not given up and begun
+///                          again for ever. A refusal shows that members have time to answer, and ends the growth: members that are
+///                          lost for good must not be waited for longer and longer
+///   no failure for long    back to the first of the order
 #pragma once
 
 #include <cstddef>
@@ -24,52 +25,53 @@
 
 namespace beechpoint::gateway {
 
-// A poll to be sent now; those before it are given up.
+/// A poll to be sent now; those before it are given up.
 struct LinkCall {
     std::uint64_t number = 0;
     std::string address;
-    Millis waitMs = 0;   // the member may hold it so long
-    Millis timeout = 0;  // from now
+    Millis waitMs = 0;   ///< long poll: the member may answer up to so much later; 0: at once
+    Millis timeout = 0;  ///< from now
 };
 
 class ControlLinkState {
 public:
-    static constexpr Millis kWait = 1000;        // a poll is held so long by a member that has nothing new
-    static constexpr Millis kAnswerSlack = 500;  // beyond kWait, before another member is asked
+    static constexpr Millis kWait = 1000;        ///< a member that has nothing new answers after so long
+    static constexpr Millis kAnswerSlack = 500;  ///< beyond kWait, before another member is asked
     static constexpr Millis kFirstTimeout =
-        600;  // for a member that has not answered before: it is asked not to wait
+        600;  ///< for a member that has not answered before: it is asked not to wait
     static constexpr Millis kFirstTimeoutMost = 2400;
     static constexpr Millis kSpacing =
-        20;  // between answer and poll: changes that come together travel together
+        20;  ///< between reply and poll: changes that come together travel together
     static constexpr Millis kRetryFirst =
-        60;  // after a failure; doubles with each further round of all members
+        60;  ///< backoff after a failure; doubles with each further round of all members
     static constexpr Millis kRetryMost = 800;
-    static constexpr Millis kComeBackMost = 1500;  // a member's retryAfterMs counts up to this
-    static constexpr Millis kReturnAfter = 5000;   // without a failure: to the first member of the order
+    static constexpr Millis kMaxRetryAfter = 1500;  ///< a member's retryAfterMs counts up to this
+    static constexpr Millis kReturnAfter = 5000;    ///< without a failure: to the first member of the order
 
+    /// `name`: of this gateway. `seed`: of the jitter.
     ControlLinkState(std::string name, std::uint64_t seed);
 
-    // This gateway's region; empty: not known, all members are alike.
+    /// This gateway's region; empty: not known, all members are alike.
     void region(std::string region);
-    // Internal addresses (IP:PORT) of the seeds; may change at any time.
+    /// Internal addresses (IP:PORT) of the seed nodes; may change at any time.
     void seeds(std::vector<std::string> addresses);
 
     std::optional<LinkCall> start(Millis now);
-    // Asks anew at once.
+    /// Polls again at once, giving up the poll that is out.
     std::optional<LinkCall> pollNow(Millis now);
     std::optional<LinkCall> onTimer(Millis now);
     void stop();
 
-    // An answer with status ok. Answers to polls that were given up teach the members only.
+    /// A reply with status ok. Of one to a poll that was given up only the members are taken.
     void onAnswer(Millis now, std::uint64_t number, const control::PollReply& reply);
-    // No answer, one that can't be read, or one of a member that can't vouch for its table.
+    /// No reply, one that can't be read, or one of a member whose table isn't fresh.
     void onFailure(Millis now, std::uint64_t number);
 
-    bool running() const { return running_; }
-    // When onTimer() is to be called; nothing: a poll is out, or it is stopped.
-    std::optional<Millis> wakeAt() const { return wakeAt_; }
-    // When the last answer of a member that is up to date came; 0: never.
-    Millis heardAt() const { return heardAt_; }
+    [[nodiscard]] bool running() const { return running_; }
+    /// When onTimer() is to be called; nothing: a poll is out, or it is stopped.
+    [[nodiscard]] std::optional<Millis> wakeAt() const { return wakeAt_; }
+    /// When the last reply of a member whose table is fresh came; 0: never.
+    [[nodiscard]] Millis heardAt() const { return heardAt_; }
 
 private:
     std::optional<LinkCall> poll(Millis now);
@@ -79,25 +81,25 @@
     std::string nextAddress() const;
     std::size_t roundsOf(std::size_t failures) const;  // of all members
 
-    struct Known {
+    struct Member {
         std::string address;
         std::string region;  // empty: not known
-        bool operator==(const Known&) const = default;
+        bool operator==(const Member&) const = default;
     };
 
     SplitMix random_;
     std::string name_, region_;
     std::vector<std::string> seeds_;
-    std::vector<Known> members_;
+    std::vector<Member> members_;
     std::vector<std::string> order_;  // of all of them
-    std::size_t turn_ = 0;            // place in the order
+    std::size_t turn_ = 0;            // index in the order, modulo its size
     std::string polled_;              // the member whose answer is awaited
-    Millis silentAt_ = 0;             // when its time is over
+    Millis answerDueAt_ = 0;          // when its time-out ends
     std::string current_;             // the member that answered last
     Millis failedAt_ = 0;             // when a member last failed to answer
     std::size_t failures_ = 0;        // in a row
-    std::size_t silences_ = 0;        // time-outs in a row, without a refusal between them
-    std::uint64_t asked_ = 0;         // number of the poll that is out; earlier ones are given up
+    std::size_t timeouts_ = 0;        // time-outs in a row, without a refusal between them
+    std::uint64_t asked_ = 0;         // number of the last poll; earlier ones are given up
     std::optional<Millis> wakeAt_;
     bool running_ = false;
     Millis heardAt_ = 0;
--- a/src/gateway/drain_timeline.cpp
+++ b/src/gateway/drain_timeline.cpp
@@ -5,9 +5,9 @@
 namespace beechpoint::gateway {
 
 DrainTimeline::DrainTimeline(const DrainSettings& settings)
-    : leavingFor_(
-          std::min({settings.directoryTtl + kDirectoryLag, kMostLeaving, kLeavingPart * settings.grace})),
-      endsAfter_(std::max(settings.grace - kBeforeKill, kLeavingPart * settings.grace)) {
+    : leavingFor_(std::min(
+          {settings.directoryTtl + kDirectoryLag, kMaxLeaving, kMaxLeavingFraction * settings.grace})),
+      endsAfter_(std::max(settings.grace - kBeforeKill, kMaxLeavingFraction * settings.grace)) {
     mayEndAfter_ = std::clamp(settings.seedLag + kLagMargin, leavingFor_, endsAfter_);
 }
 
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,22 +1,28 @@
-// The gateway role: owns its parts and wires them on one Asio loop. It decides nothing but its own life cycle:
-//
-//   starting --table and hosts known--> ready --SIGTERM--> draining --no request left, or time up--> ended
-//
-// What happens when while it drains is decided by the DrainTimeline.
-//
-// A gateway is ready once it has a configuration and a list of hosts, and stays so when control is away: it goes on with what
-// it holds, and reads the platform's list by itself, slowly.
+/// The gateway role: an edge proxy that relays clients' requests to hosts. Owns its parts and wires them on one Asio loop;
+/// all of it is called from that loop's thread only. It decides nothing but its own life cycle:
+///
+///   state      event                                     next
+///   starting   table and host list known                 ready
+///   ready      SIGTERM (stop())                          draining
+///   draining   no request left, or grace time nearly up  shut down
+///
+/// What happens when while it drains is decided by DrainTimeline, which host a request goes to by dispatch::Dispatcher.
+///
+/// A gateway is ready once it has a configuration and a host list, and stays so when control is unreachable: it goes on with
+/// the last of both, and polls the platform's host list by itself, slowly.
 #pragma once
 
 #include <asio/io_context.hpp>
 #include <asio/steady_timer.hpp>
 #include <functional>
 #include <memory>
+#include <vector>
 
 #include "control/directory_service.hpp"
 #include "core/logger.hpp"
 #include "gateway/control_link.hpp"
 #include "gateway/drain_timeline.hpp"
+#include "gateway/gateway_settings.hpp"
 #include "gateway/host_list_copy.hpp"
 #include "gateway/load_sharing.hpp"
 #include "gateway/request_exchange.hpp"
@@ -27,42 +33,48 @@
 
 namespace beechpoint::gateway {
 
-// What an operator may set of the decisions beside the settings file.
-struct Policy {
-    dispatch::Mechanisms mechanisms;
-    dispatch::Prices prices;
-};
-
 class Gateway {
 public:
-    // Throws where it can't listen.
+    /// `io`, `clock` and `log` must outlive it.
     Gateway(asio::io_context& io, settings::ProcessSettings settings, const Policy& policy,
             const Clock& clock, Logger& log);
+
+    /// Listens and begins to poll control. Throws where it can't listen.
     void start();
-    // New settings; only the seeds may differ while it runs.
+    /// New settings; only the seed nodes may differ while it runs.
     void reload(const settings::ProcessSettings& settings);
-    // Drains; `ended` is called once, inside the grace time.
+    /// Drains; `ended` is called once, inside the grace time.
     void stop(std::function<void()> ended);
-    // Where clients connect.
-    asio::ip::tcp::endpoint frontEndpoint() const { return front_.endpoint(); }
-    asio::ip::tcp::endpoint directoryEndpoint() const { return directoryServer_.endpoint(); }
-    asio::ip::tcp::endpoint readinessEndpoint() const { return readiness_.endpoint(); }
-    bool ready() const;
+
+    /// Where clients connect.
+    [[nodiscard]] asio::ip::tcp::endpoint frontEndpoint() const { return front_.endpoint(); }
+    [[nodiscard]] asio::ip::tcp::endpoint directoryEndpoint() const { return directoryServer_.endpoint(); }
+    [[nodiscard]] asio::ip::tcp::endpoint readinessEndpoint() const { return readiness_.endpoint(); }
+    /// Whether clients may be sent here.
+    [[nodiscard]] bool ready() const;
 
 private:
-    control::PollRequest pollRequest() const;
+    void configureFront();
+    void answerReadiness(const net::HttpMessage& message,
+                         const std::shared_ptr<net::HttpConnection>& client) const;
     std::string metrics() const;
-    void onPollReply(const control::PollReply& reply, Millis sentAt);
-    void takeTable(const TableUpdate& update);
-    void tellHosts();
-    void tellServices();
+
+    control::PollRequest pollRequest() const;
+    void onPollReply(const control::PollReply& reply);
+    void updateTable(const TableUpdate& update);
+    void updateDirectory(const control::PollReply& reply);
+    void updateLiveGateways(const control::PollReply& reply);
+    void updateHosts();
     std::vector<leases::Gateway> knownGateways() const;
     leases::Gateway self() const;
-    void look();
-    void lookAfter(Millis pause);
-    void lookWhileStopping();
 
-    asio::io_context& io_;
+    Millis lastControlContact() const;
+    void checkControlContact();
+    void checkPeriodically();
+    void checkDrain();
+    void checkAfter(Millis delay);
+    void shutDown();
+
     settings::ProcessSettings settings_;
     const Clock& clock_;
     Logger& log_;
@@ -73,14 +85,14 @@
     RequestExchange exchange_;
     LoadSharing load_;
     ControlLink control_;
-    host_discovery::Poller platform_;
+    host_discovery::Poller platform_;  // runs only while control is unreachable
     control::DirectoryService directory_;
     net::HttpServer front_, readiness_, directoryServer_;
     asio::steady_timer timer_;
-    std::vector<leases::Gateway> gateways_;  // as control told last
+    std::vector<leases::Gateway> gateways_;  // of control's last reply that had them
     std::uint64_t directoryDigest_ = 0;      // of those
     std::uint32_t liveGateways_ = 0;         // 0: not known
-    Millis liveKnownAt_ = 0;
+    Millis liveGatewaysAt_ = 0;              // when that number was last reported
     Millis startedAt_ = 0;
     DrainTimeline drain_;
     std::function<void()> ended_;
--- /dev/null
+++ b/src/gateway/gateway_metrics.cpp
@@ -0,0 +1,69 @@
+#include "gateway/gateway_metrics.hpp"
+
+#include "core/metrics_text.hpp"
+
+namespace beechpoint::gateway {
+
+namespace {
+
+constexpr double kMillisPerSecond = 1000;
+
+template <class Value>
+double figure(Value value) {
+    return static_cast<double>(value);
+}
+
+void writeState(MetricsText& text, const GatewayFigures& figures) {
+    text.gauge("beechpoint_gateway_ready", "1 while clients may be sent here.", figure(figures.ready));
+    text.gauge("beechpoint_gateway_draining", "1 after SIGTERM.", figure(figures.draining));
+    text.gauge("beechpoint_gateway_position_epoch", "Epoch of the table held.",
+               figure(figures.tablePosition.epoch));
+    text.gauge("beechpoint_gateway_position_sequence", "Sequence of the table held.",
+               figure(figures.tablePosition.sequence));
+    text.gauge("beechpoint_gateway_control_silence_seconds", "Since control last answered a poll.",
+               figures.sinceControlAnswered / kMillisPerSecond);
+    text.gauge("beechpoint_gateway_live_gateways", "Gateways that control last spoke of.",
+               figure(figures.liveGateways));
+    if (!figures.hostList) return;
+    text.gauge("beechpoint_gateway_host_list_hosts", "Hosts of the platform's list.",
+               figure(figures.hostList->hosts));
+    text.gauge("beechpoint_gateway_host_list_age_seconds", "Since the list was last read or confirmed.",
+               figures.hostList->age / kMillisPerSecond);
+}
+
+void writeRequests(MetricsText& text, const GatewayFigures& figures) {
+    text.gauge("beechpoint_gateway_client_connections", "Open connections of clients.",
+               figure(figures.clientConnections));
+    text.gauge("beechpoint_gateway_open_requests", "Requests under way.", figure(figures.openRequests));
+    text.gauge("beechpoint_gateway_open_attempts", "Attempts at hosts under way.",
+               figure(figures.openAttempts));
+    text.counter("beechpoint_gateway_requests_total", "Requests that had a route.",
+                 figure(figures.routedRequests));
+}
+
+void writeHostConnections(MetricsText& text, const GatewayFigures& figures) {
+    const upstream::UpstreamCounts& counts = figures.hostCounts;
+    text.gauge("beechpoint_gateway_host_connections", "Open connections to hosts.",
+               figure(figures.hostConnections));
+    text.counter("beechpoint_gateway_host_exchanges_total", "Requests sent to hosts.",
+                 figure(counts.exchanges));
+    text.counter("beechpoint_gateway_host_dials_total", "Connections begun to hosts.", figure(counts.dials));
+    text.counter("beechpoint_gateway_host_dial_failures_total", "Of these, those that failed.",
+                 figure(counts.dialFailures));
+    text.counter("beechpoint_gateway_host_reuses_total", "Requests on connections used before.",
+                 figure(counts.reuses));
+    text.counter("beechpoint_gateway_host_surplus_total",
+                 "Connections closed for bytes that belong to no request.", figure(counts.surplus));
+}
+
+}  // namespace
+
+std::string metricsPage(const GatewayFigures& figures) {
+    MetricsText text;
+    writeState(text, figures);
+    writeRequests(text, figures);
+    writeHostConnections(text, figures);
+    return text.text();
+}
+
+}  // namespace beechpoint::gateway
--- /dev/null
+++ b/src/gateway/gateway_settings.hpp
@@ -0,0 +1,40 @@
+/// What a gateway's parts need of the settings file, translated for each part. Pure functions.
+#pragma once
+
+#include <asio/ip/tcp.hpp>
+#include <cstddef>
+#include <string>
+#include <vector>
+
+#include "dispatch/dispatcher.hpp"
+#include "gateway/drain_timeline.hpp"
+#include "host_discovery/poller.hpp"
+#include "settings/process_settings.hpp"
+
+namespace beechpoint::gateway {
+
+/// What an operator may set of the decisions beside the settings file.
+struct Policy {
+    dispatch::Mechanisms mechanisms;
+    dispatch::Prices prices;
+};
+
+/// The listen address `address` (ADDRESS:PORT), the value of `listen_addresses.<key>`.
+/// Throws std::runtime_error where it can't be read: the process can't start then.
+[[nodiscard]] asio::ip::tcp::endpoint listenEndpoint(const std::string& address, const char* key);
+
+[[nodiscard]] dispatch::Settings dispatchSettings(const settings::ProcessSettings& settings,
+                                                  const Policy& policy);
+[[nodiscard]] host_discovery::Poller::Settings pollerSettings(const settings::ProcessSettings& settings);
+[[nodiscard]] DrainSettings drainSettings(const settings::ProcessSettings& settings);
+
+/// Time to live of the directory's answers, in seconds.
+[[nodiscard]] double directoryTtlSeconds(const settings::ProcessSettings& settings);
+
+/// Where the seed nodes listen for gateways (IP:PORT): the first internal port. Seeds that can't be read are left out.
+[[nodiscard]] std::vector<std::string> controlAddresses(const settings::ProcessSettings& settings);
+
+/// How many client connections fit into the limit of open files, with as many to hosts beside them.
+[[nodiscard]] std::size_t maxClientConnections(const settings::ProcessSettings& settings);
+
+}  // namespace beechpoint::gateway
--- /dev/null
+++ b/src/gateway/host_answer.cpp
@@ -0,0 +1,60 @@
+#include "gateway/host_answer.hpp"
+
+#include <algorithm>
+#include <charconv>
+
+namespace beechpoint::gateway {
+
+using dispatch::Outcome;
+
+bool promisesNotExecuted(int status) {
+    return status == 408 || status == 421 || status == 429 || status == 503;
+}
+
+bool notExecuted(const upstream::AnswerHead& head) {
+    return head.status == 421 || upstream::findHeader(head.headers, "X-Not-Executed");
+}
+
+bool isEventStream(const upstream::AnswerHead& head) {
+    const std::string* const type = upstream::findHeader(head.headers, "Content-Type");
+    return type && type->starts_with("text/event-stream");
+}
+
+Millis warmupLeft(const upstream::AnswerHead& head) {
+    const std::string* const text = upstream::findHeader(head.headers, "X-Warmup-Remaining");
+    double left = 0;
+    if (text) std::from_chars(text->data(), text->data() + text->size(), left);
+    return std::max(left, 0.0);
+}
+
+Outcome outcomeOf(const upstream::AnswerHead& head) {
+    if (notExecuted(head)) return Outcome::notExecuted;
+    // Without X-Not-Executed such a status is no promise: the host may have run the request.
+    const bool failed = head.status >= 500 || promisesNotExecuted(head.status);
+    return failed ? Outcome::hostError : Outcome::served;
+}
+
+Outcome outcomeOf(const upstream::Failure& failure) {
+    using upstream::FailureKind;
+    switch (failure.kind) {
+        case FailureKind::noCapacity:
+            return Outcome::noCapacity;
+        case FailureKind::notConnected:
+            return Outcome::notConnected;
+        case FailureKind::resetBeforeAnswer:
+            return failure.sent ? Outcome::resetBeforeAnswer : Outcome::notConnected;
+        case FailureKind::brokenAnswer:
+            return Outcome::broken;
+        case FailureKind::malformedAnswer:
+            return Outcome::malformed;
+        case FailureKind::foreignAnswer:
+            return Outcome::foreign;
+        case FailureKind::timedOut:
+            return failure.sent ? Outcome::timedOut : Outcome::notConnected;
+        case FailureKind::cancelled:
+            break;
+    }
+    return Outcome::cancelled;
+}
+
+}  // namespace beechpoint::gateway
--- /dev/null
+++ b/src/gateway/host_attempt.hpp
@@ -0,0 +1,29 @@
+/// One attempt of a request: what has come of it from its host so far.
+#pragma once
+
+#include <string>
+
+#include "core/clock.hpp"
+#include "upstream/event_stream.hpp"
+#include "upstream/upstream.hpp"
+
+namespace beechpoint::gateway {
+
+struct HostAttempt {
+    enum class State {
+        open,      ///< more may come from the host
+        ended,     ///< failed, cancelled, or ended inside an event
+        complete,  ///< the answer has come to its proper end
+    };
+
+    upstream::Handle handle = 0;
+    State state = State::open;
+    upstream::AnswerHead head;
+    bool eventStream = false;        ///< known once the head has come
+    bool firstByteReported = false;  ///< to the dispatcher
+    std::string pendingBody;         ///< bytes of an answer that is not relayed yet
+    upstream::EventSplitter splitter;
+    Millis warmupLeft = 0;  ///< as the host stated it
+};
+
+}  // namespace beechpoint::gateway
--- a/src/gateway/host_list_copy.cpp
+++ b/src/gateway/host_list_copy.cpp
@@ -4,33 +4,34 @@
 
 namespace beechpoint::gateway {
 
-bool HostListCopy::take(const control::PollReply& reply, Millis now) {
-    if (reply.hostChanges) return takeChanges(reply, now);
+bool HostListCopy::apply(const control::PollReply& reply, Millis now) {
+    if (reply.hostChanges) return applyChanges(reply, now);
     if (reply.hostList) {
-        wantsWhole_ = false;
+        needsFullList_ = false;
         const Millis age = reply.hostListAge.value_or(reply.hostList->readAge);
-        return holder_.offer(control::receivedList(*reply.hostList, now), now - age, now);
+        return newest_.offer(control::receivedList(*reply.hostList, now), now - age, now);
     }
-    if (reply.hostListAge) holder_.confirm(reply.hostListVersion, now - *reply.hostListAge);
+    if (reply.hostListAge) newest_.confirm(reply.hostListVersion, now - *reply.hostListAge);
     return false;
 }
 
-bool HostListCopy::takeChanges(const control::PollReply& reply, Millis now) {
-    if (!holder_.list()) return false;
+bool HostListCopy::applyChanges(const control::PollReply& reply, Millis now) {
+    if (!newest_.list()) return false;
     const control::SharedHostChanges& shared = *reply.hostChanges;
-    auto list = host_discovery::applyChanges(*holder_.list(), shared.changes, now - shared.readAge);
-    wantsWhole_ = list == nullptr;
+    auto list = host_discovery::applyChanges(*newest_.list(), shared.changes, now - shared.readAge);
+    needsFullList_ = list == nullptr;
     if (!list) return false;
-    return holder_.offer(std::move(list), now - reply.hostListAge.value_or(shared.readAge), now);
+    return newest_.offer(std::move(list), now - reply.hostListAge.value_or(shared.readAge), now);
 }
 
 bool HostListCopy::offer(std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt,
                          Millis now) {
-    return holder_.offer(std::move(list), confirmedAt, now);
+    return newest_.offer(std::move(list), confirmedAt, now);
 }
 
-host_discovery::HostListVersion HostListCopy::versionToAskWith() const {
-    return wantsWhole_ ? host_discovery::HostListVersion{} : holder_.version();
+host_discovery::HostListVersion HostListCopy::versionToPollWith() const {
+    if (needsFullList_) return {};
+    return newest_.version();
 }
 
 }  // namespace beechpoint::gateway
--- a/src/gateway/load_sharing.cpp
+++ b/src/gateway/load_sharing.cpp
@@ -22,7 +22,7 @@
     if (!error) socket_.bind({address, port}, error);
     if (!error) socket_.non_blocking(true, error);
     if (error) {
-        log_.warn("load is not shared with other gateways: {}", field("error", error.message()));
+        log_.warn("load reports to other gateways are off: {}", field("error", error.message()));
         asio::error_code ignored;
         socket_.close(ignored);
         return;
@@ -47,9 +47,9 @@
         asio::buffer(buffer_), from_, [this](asio::error_code error, std::size_t size) {
             if (error == asio::error::operation_aborted || !socket_.is_open()) return;
             if (!error) {
-                const auto learnt = state_.received(clock_.now(), std::string_view(buffer_.data(), size));
-                if (learnt.load) onPeerLoad_(*learnt.load);
-                send(learnt.forward);
+                const auto received = state_.received(clock_.now(), std::string_view(buffer_.data(), size));
+                if (received.load) onPeerLoad_(*received.load);
+                send(received.forward);
             }
             receive();
         });
@@ -65,7 +65,7 @@
 }
 
 void LoadSharing::armTimer() {
-    timer_.expires_after(toMicroseconds(LoadSharingState::kDigestEvery));
+    timer_.expires_after(toMicroseconds(LoadSharingState::kDigestPeriod));
     timer_.async_wait([this](asio::error_code error) {
         if (error || !socket_.is_open()) return;
         send(state_.onTimer(clock_.now()));
--- a/src/gateway/load_sharing_state.cpp
+++ b/src/gateway/load_sharing_state.cpp
@@ -32,74 +32,87 @@
 
 void LoadSharingState::gateways(const std::vector<leases::Gateway>& all) {
     peers_.clear();
-    near_.clear();
-    far_.clear();
+    near_.zones.clear();
+    far_.zones.clear();
     for (const leases::Gateway& gateway : all) {
         if (gateway.name == locality_.name || gateway.frontAddress.empty()) continue;
         const std::string ip = ipOf(gateway.frontAddress);
         if (gateway.zone == locality_.zone) {
-            if (peers_.size() < kMostPeers) peers_.push_back(ip);
+            if (peers_.size() < kMaxPeers) peers_.push_back(ip);
         } else if (!gateway.draining) {
-            (gateway.region == locality_.region ? near_ : far_)[gateway.zone].push_back(ip);
+            DigestReceivers& receivers = gateway.region == locality_.region ? near_ : far_;
+            receivers.zones[gateway.zone].push_back(ip);
         }
     }
 }
 
 std::vector<LoadSharingState::Outgoing> LoadSharingState::ownLoad(const dispatch::ReportLoad& changed) {
     for (const dispatch::HostLoad& load : changed.hosts) replace(own_, load);
-    keepSpeeds(changed.speeds);
-    return toZone({LoadKind::gateway, locality_.session, ++sequence_, false, changed.hosts, changed.speeds});
+    addSpeeds(changed.speeds);
+    return toOwnZone(
+        {LoadKind::gateway, locality_.session, ++sequence_, false, changed.hosts, changed.speeds});
 }
 
-LoadSharingState::Learnt LoadSharingState::received(Millis now, std::string_view bytes) {
+LoadSharingState::Received LoadSharingState::received(Millis now, std::string_view bytes) {
     const std::optional<LoadDatagram> datagram = decodeLoad(bytes);
     if (!datagram || datagram->source == locality_.session) return {};
-    if (sources_.size() >= kMostSources && !sources_.contains(datagram->source)) return {};
-    Source& source = sources_[datagram->source];
-    if (source.heardAt > 0 && datagram->sequence <= source.sequence) return {};
-    source.sequence = datagram->sequence;
-    source.heardAt = now;
-    source.gateway = datagram->kind == LoadKind::gateway;
-    if (source.gateway) {
-        if (datagram->full) source.hosts.clear();
-        for (const dispatch::HostLoad& load : datagram->hosts) replace(source.hosts, load);
-        keepSpeeds(datagram->speeds);
-    }
-    Learnt learnt;
-    const Millis lasts = source.gateway ? kHeardLately : kDigestLasts;
-    learnt.load =
-        dispatch::PeerLoad{datagram->source, datagram->full, datagram->hosts, lasts, datagram->speeds};
+    if (sources_.size() >= kMaxSources && !sources_.contains(datagram->source)) return {};
+    if (isDuplicate(*datagram)) return {};
+    store(now, *datagram);
+    Received received;
+    const Millis lifetime = datagram->kind == LoadKind::gateway ? kPeerTimeout : kDigestLifetime;
+    received.load =
+        dispatch::PeerLoad{datagram->source, datagram->full, datagram->hosts, lifetime, datagram->speeds};
     if (datagram->kind == LoadKind::zone) {
-        LoadDatagram next = *datagram;
-        next.kind = LoadKind::forwarded;
-        learnt.forward = toZone(next);
+        LoadDatagram forwarded = *datagram;
+        forwarded.kind = LoadKind::forwarded;
+        received.forward = toOwnZone(forwarded);
     }
-    return learnt;
+    return received;
+}
+
+// Or older than the last one of its source.
+bool LoadSharingState::isDuplicate(const LoadDatagram& datagram) const {
+    const auto source = sources_.find(datagram.source);
+    if (source == sources_.end() || source->second.receivedAt <= 0) return false;
+    return datagram.sequence <= source->second.sequence;
+}
+
+void LoadSharingState::store(Millis now, const LoadDatagram& datagram) {
+    Source& source = sources_[datagram.source];
+    source.sequence = datagram.sequence;
+    source.receivedAt = now;
+    source.kind = datagram.kind;
+    if (!isGateway(source)) return;
+    if (datagram.full) source.hosts.clear();
+    for (const dispatch::HostLoad& load : datagram.hosts) replace(source.hosts, load);
+    addSpeeds(datagram.speeds);
 }
 
 std::vector<LoadSharingState::Outgoing> LoadSharingState::onTimer(Millis now) {
     std::vector<Outgoing> out;
-    if (now >= wholeAt_ + kWholeEvery) {
-        wholeAt_ = now;
-        forgetSilent(now);
-        out = toZone({LoadKind::gateway, locality_.session, ++sequence_, true, listOf(own_), {}});
+    if (now >= fullReportAt_ + kFullReportPeriod) {
+        fullReportAt_ = now;
+        removeTimedOut(now);
+        out = toOwnZone({LoadKind::gateway, locality_.session, ++sequence_, true, listOf(own_), {}});
     }
-    if (!speaks(now)) return out;
-    if (now >= digestAt_ + kDigestEvery) {
-        digestAt_ = now;
-        digest(now, false, out);
+    if (!isSpeaker(now)) return out;
+    if (now >= near_.sentAt + kDigestPeriod) {
+        near_.sentAt = now;
+        sendDigest(near_, out);
     }
-    if (now >= farDigestAt_ + kFarDigestEvery) {
-        farDigestAt_ = now;
-        digest(now, true, out);
+    if (now >= far_.sentAt + kFarDigestPeriod) {
+        far_.sentAt = now;
+        sendDigest(far_, out);
     }
     return out;
 }
 
-bool LoadSharingState::speaks(Millis now) const {
+bool LoadSharingState::isSpeaker(Millis now) const {
     return std::ranges::none_of(sources_, [&](const auto& entry) {
         const Source& source = entry.second;
-        return source.gateway && source.heardAt > now - kHeardLately && entry.first < locality_.session;
+        const bool live = isGateway(source) && source.receivedAt > now - kPeerTimeout;
+        return live && entry.first < locality_.session;
     });
 }
 
@@ -116,36 +129,36 @@
     return listOf(sum);
 }
 
-// To another gateway of each zone in turn: one that is dead is not spoken to for long.
-void LoadSharingState::digest(Millis, bool far, std::vector<Outgoing>& out) {
+// To the gateways of each zone in turn: one that is lost does not keep its zone uninformed for long. A digest without load is
+// sent once, so that the receivers know of the end.
+void LoadSharingState::sendDigest(DigestReceivers& receivers, std::vector<Outgoing>& out) {
     const std::vector<dispatch::HostLoad> load = zoneLoad();
-    bool& waited = far ? waitedFar_ : waitedNear_;
-    std::vector<dispatch::HostSpeed>& speeds = far ? speedsFar_ : speedsNear_;
-    if (load.empty() && speeds.empty() && !waited) return;
-    waited = !load.empty();
+    if (load.empty() && receivers.speeds.empty() && !receivers.hadLoad) return;
+    receivers.hadLoad = !load.empty();
     ++turn_;
-    const std::string bytes = encode({LoadKind::zone, zoneSource_, ++digestSequence_, true, load, speeds});
-    speeds.clear();
-    for (const auto& [zone, addresses] : far ? far_ : near_)
+    const std::string bytes =
+        encode({LoadKind::zone, zoneSource_, ++digestSequence_, true, load, receivers.speeds});
+    receivers.speeds.clear();
+    for (const auto& [zone, addresses] : receivers.zones)
         out.push_back({addresses[turn_ % addresses.size()], bytes});
 }
 
-std::vector<LoadSharingState::Outgoing> LoadSharingState::toZone(const LoadDatagram& datagram) const {
+std::vector<LoadSharingState::Outgoing> LoadSharingState::toOwnZone(const LoadDatagram& datagram) const {
     std::vector<Outgoing> out;
     const std::string bytes = encode(datagram);
     for (const std::string& ip : peers_) out.push_back({ip, bytes});
     return out;
 }
 
-// The newest are dropped where there are more than a datagram holds.
-void LoadSharingState::keepSpeeds(const std::vector<dispatch::HostSpeed>& speeds) {
-    for (auto* kept : {&speedsNear_, &speedsFar_})
+// The newest are dropped where there are more than a datagram carries.
+void LoadSharingState::addSpeeds(const std::vector<dispatch::HostSpeed>& speeds) {
+    for (DigestReceivers* receivers : {&near_, &far_})
         for (const dispatch::HostSpeed& speed : speeds)
-            if (kept->size() < LoadDatagram::kMostSpeeds) kept->push_back(speed);
+            if (receivers->speeds.size() < LoadDatagram::kMaxSpeeds) receivers->speeds.push_back(speed);
 }
 
-void LoadSharingState::forgetSilent(Millis now) {
-    std::erase_if(sources_, [&](const auto& entry) { return now - entry.second.heardAt > kHeardLately; });
+void LoadSharingState::removeTimedOut(Millis now) {
+    std::erase_if(sources_, [&](const auto& entry) { return now - entry.second.receivedAt > kPeerTimeout; });
 }
 
 }  // namespace beechpoint::gateway
--- a/src/gateway/request_exchange.hpp
+++ b/src/gateway/request_exchange.hpp
@@ -1,8 +1,9 @@
-// The live requests of a gateway: carries clients' requests to the dispatcher, what the dispatcher decides to hosts and
-// clients, and what hosts answer back to both. It decides nothing itself.
-//
-// A request lives until its final action or the end of its relayed answer, and each of its attempts until its end has
-// been told to the dispatcher. A client that leaves ends its request.
+/// The open requests of a gateway: carries clients' requests to the dispatcher, what the dispatcher decides to hosts and
+/// clients, and what hosts answer back to both. It decides nothing itself. Owns the dispatcher, the connections to hosts and
+/// the requests; called from the loop's thread only.
+///
+/// A request lives until its final action or the end of its relayed answer, and until the end of each of its attempts has
+/// been reported to the dispatcher. A client that leaves ends its request.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -18,64 +19,57 @@
 
 #include "core/logger.hpp"
 #include "dispatch/dispatcher.hpp"
+#include "gateway/client_answer.hpp"
 #include "gateway/client_request.hpp"
+#include "gateway/health_check_client.hpp"
+#include "gateway/host_attempt.hpp"
 #include "net/server.hpp"
 #include "routing/routing_table.hpp"
-#include "upstream/event_stream.hpp"
 #include "upstream/upstream.hpp"
 
 namespace beechpoint::gateway {
 
 class RequestExchange {
 public:
+    /// What this gateway has waiting at hosts, wherever that has changed.
+    using OnLoadReport = std::function<void(const dispatch::ReportLoad&)>;
+    /// Whether a request that may last this long is accepted now.
+    using Admission = std::function<bool(Millis mayLast)>;
+
     RequestExchange(asio::io_context& io, const Clock& clock, Logger& log, dispatch::Settings settings,
                     std::uint64_t seed);
 
-    // The routes from now on; requests keep those that they were routed by.
-    void routes(std::shared_ptr<const routing::RoutingTable> table);
-    // Hosts, services, evacuations, fleet: handed on to the dispatcher.
-    void tell(dispatch::Event event);
-    // How many gateways share the connections to each host, this one included.
-    void sharedBy(std::uint32_t gateways) { gateways_ = std::max<std::uint32_t>(gateways, 1); }
-    // What this gateway has waiting at hosts, wherever that has changed.
-    using LoadTold = std::function<void(const dispatch::ReportLoad&)>;
-    void onLoad(LoadTold told) { loadTold_ = std::move(told); }
-    // Only requests for which this holds are taken from now on, asked with the time that each may last; others are refused.
-    using MayTake = std::function<bool(Millis mayLast)>;
-    void takeOnlyIf(MayTake mayTake) { mayTake_ = std::move(mayTake); }
-    // A client's request; its slices hold during the call only.
-    void take(const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& client);
+    /// The routes from now on; requests keep those that they were routed by.
+    void setRoutes(std::shared_ptr<const routing::RoutingTable> table);
+    /// How many gateways share the connections to each host, this one included; at least 1.
+    void setLiveGateways(std::uint32_t gateways);
+    void setAdmission(Admission admission) { admission_ = std::move(admission); }
+    void onLoadReport(OnLoadReport onLoadReport) { onLoadReport_ = std::move(onLoadReport); }
 
-    std::size_t live() const { return requests_.size(); }
-    std::size_t attemptsOut() const { return dispatcher_.attemptsOut(); }
-    std::uint64_t requestsTaken() const { return lastId_; }
-    const upstream::UpstreamCounts& upstreamCounts() const { return upstream_.counts(); }
-    std::size_t upstreamConnections() const { return upstream_.connections(); }
-    // Ends every request: 503 for what has not run, 502 for what may have, and answers that have begun are broken off.
+    /// A client's request, answered at once where it is not accepted. The message's slices hold during the call only.
+    void accept(const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& client);
+    /// Hands an event (hosts, services, evacuations, fleet, peers' load) to the dispatcher and carries out what it decides.
+    void handle(dispatch::Event event);
+    /// Ends every request: 503 for what has not run, 502 for what may have; answers that have begun are broken off.
     void endAll();
 
+    [[nodiscard]] std::size_t openRequests() const { return requests_.size(); }
+    [[nodiscard]] std::size_t openAttempts() const { return dispatcher_.attemptsOut(); }
+    [[nodiscard]] std::uint64_t routedRequests() const { return lastId_; }
+    [[nodiscard]] const upstream::UpstreamCounts& upstreamCounts() const { return upstream_.counts(); }
+    [[nodiscard]] std::size_t upstreamConnections() const { return upstream_.connections(); }
+
 private:
-    struct Attempt {
-        upstream::Handle handle = 0;
-        std::string instance, service;
-        upstream::AnswerHead head;
-        bool headSeen = false, ended = false, firstByteTold = false, eventStream = false;
-        bool whole = false;  // the answer has come to its proper end
-        std::string held;    // of an answer that is not the client's yet
-        upstream::EventSplitter splitter;
-        Millis warmupLeft = 0;
-    };
-    struct LiveRequest {
-        std::shared_ptr<net::HttpConnection> client;
-        ClientRequest asked;
-        std::map<int, Attempt> attempts;
-        upstream::EventProgress progress;
-        int relayed = -1;
-        bool headSent = false;
-        bool done = false;  // the client has its final answer, or has left
+    struct OpenRequest {
+        ClientRequest request;
+        ClientAnswer answer;
+        std::map<int, HostAttempt> attempts;  // by number
+        std::optional<int> relayed;           // the attempt whose answer is the client's
     };
 
-    void process();
+    void processEvents();
+    void onAttemptEndHandled(const dispatch::AttemptEnded& ended);
+
     void carryOut(const dispatch::Action& action);
     void act(const dispatch::Send& send);
     void act(const dispatch::Cancel& cancel);
@@ -85,40 +79,38 @@
     void act(const dispatch::BreakOff& breakOff);
     void act(const dispatch::Probe& probe);
     void act(const dispatch::SetTimer& timer);
-    void act(const dispatch::ReportLoad& load) { loadTold_(load); }
+    void act(const dispatch::ReportLoad& load) { onLoadReport_(load); }
     void act(const dispatch::Log& line);
 
-    upstream::Request hostRequest(const LiveRequest& request, const dispatch::Send& send) const;
-    std::size_t connectionShare(const std::string& service) const;
+    upstream::Handlers handlersFor(dispatch::RequestId id, int number);
     void onHead(dispatch::RequestId id, int number, const upstream::AnswerHead& head);
     void onData(dispatch::RequestId id, int number, std::string_view bytes);
     void onEnd(dispatch::RequestId id, int number);
     void onFailed(dispatch::RequestId id, int number, const upstream::Failure& failure);
-    void attemptEnded(dispatch::RequestId id, int number, dispatch::Outcome outcome);
-    void firstByte(dispatch::RequestId id, int number, Attempt& attempt);
-    void forward(LiveRequest& request, Attempt& attempt, std::string_view bytes);
-    void write(LiveRequest& request, const Attempt& attempt, std::string_view bytes);
-    bool beginAnswer(LiveRequest& request, const Attempt& attempt);
-    void clientGone(dispatch::RequestId id);
-    void finish(LiveRequest& request);
-    void answer(dispatch::RequestId id, int status, std::string_view error, Millis retryAfter);
-    void forget(dispatch::RequestId id);
-    LiveRequest* find(dispatch::RequestId id);
+    void endAttempt(dispatch::RequestId id, int number, dispatch::Outcome outcome, HostAttempt::State state);
+    void reportFirstByte(dispatch::RequestId id, int number, HostAttempt& attempt);
+    void onClientLeft(dispatch::RequestId id);
+    void failRequest(dispatch::RequestId id, int status, std::string_view error, Millis retryAfter);
+
+    std::size_t connectionQuotaShare(const std::string& service) const;
+    OpenRequest* find(dispatch::RequestId id);
+    HostAttempt* findAttempt(OpenRequest& request, int number);
+    void eraseIfOver(dispatch::RequestId id);
 
-    asio::io_context& io_;
     const Clock& clock_;
     Logger& log_;
     dispatch::Dispatcher dispatcher_;
     upstream::Upstream upstream_;
+    HealthCheckClient healthChecks_;
     asio::steady_timer timer_;
     std::shared_ptr<const routing::RoutingTable> routes_;
-    std::uint32_t gateways_ = 1;
-    MayTake mayTake_ = [](Millis) { return true; };
-    LoadTold loadTold_ = [](const auto&) {};
-    std::unordered_map<dispatch::RequestId, LiveRequest> requests_;
+    std::uint32_t liveGateways_ = 1;
+    Admission admission_ = [](Millis) { return true; };
+    OnLoadReport onLoadReport_ = [](const auto&) {};
+    std::unordered_map<dispatch::RequestId, OpenRequest> requests_;
     dispatch::RequestId lastId_ = 0;
     std::deque<dispatch::Event> events_;
-    bool processing_ = false;
+    bool processing_ = false;  // events that come meanwhile wait in events_
 };
 
 }  // namespace beechpoint::gateway
--- a/src/gateway/run.cpp
+++ b/src/gateway/run.cpp
@@ -27,7 +27,8 @@
             if (changed)
                 gateway.reload(changed.value());
             else
-                log.warn("bad settings, the old ones hold: {}", field("error", changed.error().text()));
+                log.warn("bad settings, the previous ones stay in force: {}",
+                         field("error", changed.error().text()));
             awaitReload();
         });
     };
--- a/src/gateway/run.hpp
+++ b/src/gateway/run.hpp
@@ -1,4 +1,4 @@
-// The gateway role as a process: reads its settings, serves until SIGTERM, reads the settings again on SIGHUP.
+/// The gateway role as a process: reads its settings, serves until SIGTERM or SIGINT, reads the settings again on SIGHUP.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 
 namespace beechpoint::gateway {
 
-// The exit status: 0 after an orderly end.
-int run(const std::string& settingsPath, const Policy& policy, Clock& clock, Logger& log);
+/// Blocks until the end. The exit status: 0 after a graceful shutdown, 1 where the settings can't be read. Throws where it can't
+/// listen.
+[[nodiscard]] int run(const std::string& settingsPath, const Policy& policy, Clock& clock, Logger& log);
 
 }  // namespace beechpoint::gateway
--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -4,7 +4,7 @@
 #include <netinet/tcp.h>
 
 #include <algorithm>
-#include <array>
+#include <asio/post.hpp>
 #include <functional>
 
 namespace beechpoint::upstream {
@@ -13,46 +13,13 @@
 
 namespace {
 
-constexpr int kMostInterimHeads = 16;  // 1xx answers before the final one
-constexpr std::string_view kAnswerBegin = "HTTP/1.";
-constexpr std::string_view kAttemptId = "X-Attempt-Id";
-constexpr int kSwitchingProtocols = 101;
-constexpr int kFirstFinalStatus = 200;
+constexpr int kMaxInterimHeads = 16;  // 1xx answers before the final one
 
 std::chrono::steady_clock::duration fromMillis(Millis ms) {
     return std::chrono::duration_cast<std::chrono::steady_clock::duration>(
         std::chrono::duration<double, std::milli>(ms));
 }
 
-bool carriesBody(std::string_view method) { return method == "POST" || method == "PUT" || method == "PATCH"; }
-
-std::string requestHead(const Request& request) {
-    std::string head = fmt::format("{} {} HTTP/1.1\r\n", request.method, request.target);
-    const Headers headers = endToEndHeaders(request.headers);
-    head += headerLines(headers);
-    if (!request.attemptId.empty() && findHeader(headers, kAttemptId) == nullptr)
-        head += fmt::format("{}: {}\r\n", kAttemptId, request.attemptId);
-    const std::size_t size = request.body ? request.body->size() : 0;
-    if (size > 0 || carriesBody(request.method)) head += fmt::format("Content-Length: {}\r\n", size);
-    return head += "\r\n";
-}
-
-// The time of "timeout=N" in a Keep-Alive header.
-std::optional<Millis> statedIdle(const net::MessageHead& head) {
-    constexpr std::string_view kTimeout = "timeout=";
-    std::string_view rest = head.header("Keep-Alive");
-    while (!rest.empty()) {
-        const auto comma = std::min(rest.find(','), rest.size());
-        std::string_view part = rest.substr(0, comma);
-        rest.remove_prefix(std::min(comma + 1, rest.size()));
-        while (part.starts_with(' ')) part.remove_prefix(1);
-        if (!net::sameName(part.substr(0, kTimeout.size()), kTimeout)) continue;
-        const auto seconds = net::decimalNumber(part.substr(kTimeout.size()));
-        if (seconds) return static_cast<Millis>(*seconds) * 1000;
-    }
-    return std::nullopt;
-}
-
 }  // namespace
 
 Connection::Connection(asio::io_context& io, const Clock& clock, const UpstreamSettings& settings,
@@ -66,14 +33,18 @@
       host_(std::move(host)) {}
 
 void Connection::dial(ExchangePtr exchange) {
-    using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
     exchange_ = std::move(exchange);
     dialBegan_ = clock_.now();
     ++counts_.dials;
+    connect();
+}
+
+void Connection::connect() {
+    using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
     asio::error_code error;
     const tcp::endpoint to(asio::ip::make_address(host_.ip, error), host_.port);
     if (!error) socket_.open(to.protocol(), error);
-    if (error) {  // out of descriptors, most likely; told from the loop
+    if (error) {  // out of descriptors, most likely; reported from the loop
         asio::post(socket_.get_executor(), [self = shared_from_this(), error] { self->onConnected(error); });
         return;
     }
@@ -81,8 +52,8 @@
     socket_.set_option(tcp::no_delay(true), ignored);
     socket_.set_option(UserTimeout(static_cast<int>(settings_.userTimeout)), ignored);
     socket_.non_blocking(true, ignored);
-    setTimer(
-        std::min(exchange_->deadline, std::chrono::steady_clock::now() + fromMillis(settings_.dialTimeout)));
+    const Timepoint dialDeadline = std::chrono::steady_clock::now() + fromMillis(settings_.dialTimeout);
+    setTimer(std::min(exchange_->deadline, dialDeadline));
     socket_.async_connect(to, [self = shared_from_this()](asio::error_code e) { self->onConnected(e); });
 }
 
@@ -107,10 +78,10 @@
 void Connection::sendRequest() {
     state_ = State::busy;
     rememberId(exchange_->request.attemptId);
-    head_ = requestHead(exchange_->request);
-    written_ = 0;
-    writeFailed_ = requestSent_ = answerBegun_ = reusable_ = false;
+    writer_.begin(exchange_->request);
+    answerBegun_ = false;
     interimHeads_ = 0;
+    reusable_ = false;
     hostIdle_.reset();
     setTimer(exchange_->deadline);
     write();
@@ -127,44 +98,32 @@
 }
 
 bool Connection::hasCarried(std::string_view attemptId) const {
-    const std::size_t hash =
-        std::hash<std::string_view>{}(attemptId);  // an equal one of another id costs a dial
+    // An equal hash of another id costs a dial.
+    const std::size_t hash = std::hash<std::string_view>{}(attemptId);
     return std::find(carriedIds_.begin(), carriedIds_.end(), hash) != carriedIds_.end();
 }
 
 // A write that fails is not the end yet: the host may have answered before it closed.
 void Connection::write() {
-    const auto& body = exchange_->request.body;
-    const std::size_t bodySize = body ? body->size() : 0;
-    const std::size_t size = head_.size() + bodySize;
-    asio::error_code error;
-    while (!error && written_ < size) {
-        const std::size_t headLeft = head_.size() - std::min(written_, head_.size());
-        const std::size_t bodyAt = written_ - std::min(written_, head_.size());
-        const std::array<asio::const_buffer, 2> parts = {
-            asio::buffer(head_.data() + head_.size() - headLeft, headLeft),
-            bodySize > 0 ? asio::buffer(body->data() + bodyAt, bodySize - bodyAt) : asio::const_buffer()};
-        written_ += socket_.write_some(parts, error);
-        exchange_->sent = exchange_->sent || written_ > 0;
-    }
-    requestSent_ = written_ == size;
-    if (requestSent_) std::string().swap(head_);
-    writeFailed_ = error && error != asio::error::would_block;
-    if (requestSent_ || writeFailed_) return;
-    waitsWritable_ = true;
+    const RequestWriter::State state = writer_.write(socket_);
+    exchange_->sent = exchange_->sent || writer_.written() > 0;
+    if (state != RequestWriter::State::writing) return;
     socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](asio::error_code) {
-        self->waitsWritable_ = false;
-        if (self->state_ == State::busy && !self->requestSent_) self->write();
+        const bool unfinished = self->writer_.state() == RequestWriter::State::writing;
+        if (self->state_ == State::busy && unfinished) self->write();
     });
 }
 
 void Connection::read() {
-    if (waitsReadable_ || state_ == State::closed) return;
-    waitsReadable_ = true;
+    if (awaitsReadable_ || state_ == State::closed) return;
+    awaitsReadable_ = true;
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](asio::error_code error) {
-        self->waitsReadable_ = false;
+        self->awaitsReadable_ = false;
         if (self->state_ == State::closed) return;
-        error ? self->onHostEnded(error) : self->onReadable();
+        if (error)
+            self->onHostEnded(error);
+        else
+            self->onReadable();
     });
 }
 
@@ -172,29 +131,33 @@
 
 void Connection::onReadable() {
     if (exchange_ && exchange_->paused) return;
-    if (state_ == State::unused) {  // its end, or bytes that belong to no request
-        if (socket_.available() > 0) ++counts_.surplus;
-        ++counts_.idleClosed;
-        return close();
-    }
+    if (state_ == State::unused) return onUnusedReadable();
     asio::error_code error;
-    const std::size_t got = socket_.read_some(buffer_.prepare(settings_.readSize), error);
+    const std::size_t size = socket_.read_some(buffer_.prepare(settings_.readSize), error);
     if (error == asio::error::would_block) return read();
     if (error) return onHostEnded(error);
-    buffer_.commit(got);
-    takeAnswer();
+    buffer_.commit(size);
+    readAnswer();
     if (state_ != State::busy) return;  // read() is under way where it is unused
     buffer_.release();
     if (!exchange_->paused) read();
 }
 
+// Its end, or bytes that belong to no request.
+void Connection::onUnusedReadable() {
+    if (socket_.available() > 0) ++counts_.surplus;
+    ++counts_.idleClosed;
+    close();
+}
+
 void Connection::onHostEnded(asio::error_code error) {
     if (state_ == State::unused) {
         ++counts_.idleClosed;
         return close();
     }
-    // A reset is told once: where a write was told of it, what is read is an end.
-    const bool clean = error == asio::error::eof && !writeFailed_;
+    // A reset is reported once: where a write was told of it, what is read is an end.
+    const bool writeFailed = writer_.state() == RequestWriter::State::failed;
+    const bool clean = error == asio::error::eof && !writeFailed;
     const std::string message = clean ? "the host closed the connection" : error.message();
     if (!answerBegun_) {
         const bool begun = buffer_.size() > 0 || interimHeads_ > 0;
@@ -205,74 +168,62 @@
     fail(FailureKind::brokenAnswer, message);
 }
 
-void Connection::takeAnswer() {
+void Connection::readAnswer() {
     while (state_ == State::busy && !answerBegun_)
-        if (!takeHead()) return;
-    if (state_ == State::busy && answerBegun_) takeBody();
+        if (!readHead()) return;
+    if (state_ == State::busy && answerBegun_) readBody();
 }
 
 // False: more bytes are needed, or the exchange has ended.
-bool Connection::takeHead() {
-    const std::string_view bytes = buffer_.view();
-    const std::size_t size = std::min(bytes.size(), kAnswerBegin.size());
-    const std::size_t end = net::headEnd(bytes);
-    const std::string_view text = bytes.substr(0, end > 0 ? end : bytes.size());
-    const bool sound = bytes.substr(0, size) == kAnswerBegin.substr(0, size) &&
-                       text.size() <= settings_.maxHead && !net::holdsBareLineEnd(text);
-    if (sound && end == 0) return false;
-    const auto head = sound ? net::parseAnswerHead(text) : std::nullopt;
-    const auto framing = head ? net::answerFraming(*head, exchange_->request.method) : std::nullopt;
-    if (!framing || head->status == kSwitchingProtocols) {
-        fail(FailureKind::malformedAnswer, "the bytes received form no answer");
-        return false;
-    }
-    if (head->status < kFirstFinalStatus) {
-        buffer_.consume(end);
-        if (++interimHeads_ <= kMostInterimHeads) return true;
-        fail(FailureKind::malformedAnswer, "no final answer among the interim ones");
-        return false;
+bool Connection::readHead() {
+    const ReceivedHead received =
+        readAnswerHead(buffer_.view(), exchange_->request.method, settings_.maxHead);
+    switch (received.status) {
+        case HeadStatus::incomplete:
+            return false;
+        case HeadStatus::malformed:
+            fail(FailureKind::malformedAnswer, "the bytes received form no answer");
+            return false;
+        case HeadStatus::interim:
+            return readInterimHead(received.size);
+        case HeadStatus::final:
+            break;
     }
-    if (!belongs(*head)) {
-        fail(FailureKind::foreignAnswer, fmt::format("{} is \"{}\"", kAttemptId, head->header(kAttemptId)));
+    if (!belongsTo(received.head, exchange_->request)) {
+        fail(FailureKind::foreignAnswer,
+             fmt::format("X-Attempt-Id is \"{}\"", received.head.header("X-Attempt-Id")));
         return false;
     }
     answerBegun_ = true;
-    passHead(*head, *framing);
-    buffer_.consume(end);  // only now: the head's slices hold until then
+    passHead(received);
+    buffer_.consume(received.size);  // only now: the head's slices hold until then
     return true;
 }
 
-bool Connection::belongs(const net::MessageHead& head) const {
-    const Request& request = exchange_->request;
-    const std::size_t count = head.count(kAttemptId);
-    if (count == 0) return request.attemptId.empty() || !request.requireAttemptId;
-    return count == 1 && head.header(kAttemptId) == request.attemptId;
+bool Connection::readInterimHead(std::size_t size) {
+    buffer_.consume(size);
+    if (++interimHeads_ <= kMaxInterimHeads) return true;
+    fail(FailureKind::malformedAnswer, "no final answer among the interim ones");
+    return false;
 }
 
-void Connection::passHead(const net::MessageHead& head, const net::BodyFraming& framing) {
-    using Kind = net::BodyFraming::Kind;
-    const ExchangePtr exchange = exchange_;
-    decoder_ = net::BodyDecoder(framing);
-    reusable_ = head.keepAlive() && framing.kind != Kind::toEnd;
-    hostIdle_ = statedIdle(head);
-    AnswerHead answer;
-    answer.status = head.status;
-    answer.headers = endToEndHeaders(head.headers);
-    if (head.count("Content-Length") == 1)
-        answer.contentLength = net::decimalNumber(head.header("Content-Length"));
-    answer.noBody = framing.kind == Kind::none;
+void Connection::passHead(const ReceivedHead& received) {
+    const ExchangePtr exchange = exchange_;  // the handler may cancel it
+    decoder_ = net::BodyDecoder(received.framing);
+    reusable_ = received.head.keepAlive() && received.framing.kind != net::BodyFraming::Kind::toEnd;
+    hostIdle_ = statedIdleTime(received.head);
+    AnswerHead answer = answerHead(received.head, received.framing);
     answer.reused = exchange->reused;
-    answer.hostCloses = !head.keepAlive();
     answer.connectTime = connectTime_;
     exchange->headSeen = true;
     if (exchange->handlers.onHead) exchange->handlers.onHead(answer);
 }
 
-void Connection::takeBody() {
+void Connection::readBody() {
     const ExchangePtr exchange = exchange_;
     std::size_t used = 0;
-    const auto state = decoder_.feed(buffer_.view(), used, [&](std::string_view piece) {
-        if (exchange_ == exchange && exchange->handlers.onData) exchange->handlers.onData(piece);
+    const auto state = decoder_.feed(buffer_.view(), used, [&](std::string_view bytes) {
+        if (exchange_ == exchange && exchange->handlers.onData) exchange->handlers.onData(bytes);
     });
     if (exchange_ != exchange) return;  // cancelled meanwhile
     buffer_.consume(used);
@@ -283,7 +234,9 @@
 void Connection::finishAnswer() {
     const ExchangePtr exchange = std::exchange(exchange_, nullptr);
     if (buffer_.size() > 0) ++counts_.surplus;
-    if (reusable_ && requestSent_ && buffer_.size() == 0 && idleTime() > 0)
+    // After an early answer the host still waits for the rest of the request: nothing else may follow.
+    const bool requestSent = writer_.state() == RequestWriter::State::complete;
+    if (reusable_ && requestSent && buffer_.size() == 0 && idleTime() > 0)
         becomeUnused();
     else
         close();
@@ -301,7 +254,7 @@
 
 Millis Connection::idleTime() const {
     const Millis stated = hostIdle_ ? *hostIdle_ - settings_.idleMargin : settings_.idleWithoutKeepAlive;
-    return std::min(stated, settings_.idleMost);
+    return std::min(stated, settings_.idleMax);
 }
 
 bool Connection::usable() {
@@ -327,7 +280,7 @@
             ++counts_.dialFailures;
             return fail(FailureKind::notConnected, "no connection in time");
         case State::busy:
-            return fail(FailureKind::timedOut, "no whole answer in time");
+            return fail(FailureKind::timedOut, "no complete answer in time");
         case State::unused:
             ++counts_.idleClosed;
             return close();
@@ -338,7 +291,7 @@
 
 void Connection::fail(FailureKind kind, std::string message) {
     const ExchangePtr exchange = std::exchange(exchange_, nullptr);
-    resetSocket();
+    resetOnClose();
     close();
     if (!exchange) return;
     owner_.onExchangeOver(exchange);
@@ -348,13 +301,13 @@
 
 void Connection::abandon() {
     const ExchangePtr exchange = std::exchange(exchange_, nullptr);
-    resetSocket();
+    resetOnClose();
     close();
     if (exchange) owner_.onExchangeOver(exchange);
 }
 
-// What the system still holds of the request must not reach the host any more.
-void Connection::resetSocket() {
+// What the system has still to send of the request must not reach the host any more.
+void Connection::resetOnClose() {
     asio::error_code ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
 }
--- a/src/upstream/event_stream.cpp
+++ b/src/upstream/event_stream.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// One line without its end; `rest` goes on behind it.
+// Takes the first line off the front of `rest` and gives it without its end.
 std::string_view takeLine(std::string_view& rest) {
     const auto end = rest.find('\n');
     std::string_view line = rest.substr(0, end);
@@ -53,24 +53,24 @@
 
 bool EventSplitter::feed(std::string_view bytes, const OnEvent& onEvent) {
     if (overlong_) return false;
-    held_ += bytes;
+    pending_ += bytes;
     std::size_t eventBegin = 0;
-    for (auto end = held_.find('\n', lineBegin_); end != std::string::npos;
-         end = held_.find('\n', lineBegin_)) {
-        const std::string_view line = std::string_view(held_).substr(lineBegin_, end - lineBegin_);
+    for (auto end = pending_.find('\n', lineBegin_); end != std::string::npos;
+         end = pending_.find('\n', lineBegin_)) {
+        const std::string_view line = std::string_view(pending_).substr(lineBegin_, end - lineBegin_);
         lineBegin_ = end + 1;
         if (!line.empty() && line != "\r") continue;
-        onEvent(eventOf(std::string_view(held_).substr(eventBegin, lineBegin_ - eventBegin)));
+        onEvent(eventOf(std::string_view(pending_).substr(eventBegin, lineBegin_ - eventBegin)));
         eventBegin = lineBegin_;
     }
-    held_.erase(0, eventBegin);
+    pending_.erase(0, eventBegin);
     lineBegin_ -= eventBegin;
-    overlong_ = held_.size() > kMaxEvent;
+    overlong_ = pending_.size() > kMaxEvent;
     return !overlong_;
 }
 
 void EventSplitter::restart() {
-    held_.clear();
+    pending_.clear();
     lineBegin_ = 0;
     overlong_ = false;
 }
--- a/src/upstream/headers.cpp
+++ b/src/upstream/headers.cpp
@@ -32,7 +32,8 @@
 
 template <class Names>
 bool holds(const Names& names, std::string_view name) {
-    return std::any_of(names.begin(), names.end(), [&](std::string_view one) { return sameName(one, name); });
+    return std::any_of(names.begin(), names.end(),
+                       [&](std::string_view listed) { return sameName(listed, name); });
 }
 
 bool concernsOneConnection(std::string_view name) {
@@ -52,13 +53,13 @@
         return std::any_of(connection.begin(), connection.end(),
                            [&](std::string_view value) { return net::listHolds(value, name); });
     };
-    Headers kept;
+    Headers endToEnd;
     for (const auto& field : headers) {
         const std::string_view name = nameOf(field);
         if (!concernsOneConnection(name) && !named(name))
-            kept.push_back({std::string(name), std::string(valueOf(field))});
+            endToEnd.push_back({std::string(name), std::string(valueOf(field))});
     }
-    return kept;
+    return endToEnd;
 }
 
 }  // namespace
--- a/tests/gateway/client_request_test.cpp
+++ b/tests/gateway/client_request_test.cpp
@@ -6,7 +6,7 @@
 namespace beechpoint::gateway {
 namespace {
 
-TEST(PromptPrefix, ReadsPartsInOrderAndLeavesOutWhatCannotBeRead) {
+TEST(PromptPrefix, ReadsPartsInOrderAndSkipsUnreadableOnes) {
     const auto parts = parsePromptPrefix("5c1e07a2:800, 91bd:410,,nocolon,x:y,:7,e4:0");
     ASSERT_EQ(parts.size(), 3u);
     EXPECT_EQ(parts[0].id, "5c1e07a2");
@@ -15,10 +15,10 @@
     EXPECT_EQ(parts[2].tokens, 0u);
 }
 
-TEST(PromptPrefix, IsBounded) {
+TEST(PromptPrefix, ReadsAtMostMaxParts) {
     std::string text;
     for (int i = 0; i < 1000; ++i) text += "a:1,";
-    EXPECT_EQ(parsePromptPrefix(text).size(), kMostPromptParts);
+    EXPECT_EQ(parsePromptPrefix(text).size(), kMaxPromptParts);
 }
 
 TEST(ClientRequest, KeepsEndToEndHeadersAndReadsFigures) {
@@ -41,7 +41,7 @@
     EXPECT_TRUE(upstream::findHeader(request.headers, "Host"));
 }
 
-TEST(ClientRequest, TakesUnreadableFiguresForAbsent) {
+TEST(ClientRequest, TreatsUnreadableFiguresAsAbsent) {
     net::HttpMessage message;
     message.headers = {{"X-Deadline-Remaining", "soon"}, {"X-Token-Usage", "a,b"}};
     const ClientRequest request = readClientRequest(message);
@@ -50,7 +50,7 @@
     EXPECT_FALSE(request.body);
 }
 
-TEST(Arrival, TakesTheSmallerOfBothTimesLessWhatHasPassed) {
+TEST(Arrival, UsesSmallerOfBothTimeoutsLessElapsedTime) {
     ClientRequest request;
     request.deadline = 5000;
     routing::RouteEntry entry;
--- a/tests/gateway/control_link_state_test.cpp
+++ b/tests/gateway/control_link_state_test.cpp
@@ -32,7 +32,7 @@
     Millis now = 0;
 };
 
-TEST(ControlLinkState, PollsTheMemberThatAnsweredAgainAndWaitsThere) {
+TEST(ControlLinkState, PollsMemberThatAnsweredAgainAsLongPoll) {
     ControlLinkState link("g1", 1);
     link.seeds({"a", "b", "c"});
     const auto first = link.start(0);
@@ -50,7 +50,7 @@
     EXPECT_EQ(second->timeout, second->waitMs + ControlLinkState::kAnswerSlack);
 }
 
-TEST(ControlLinkState, LeavesASilentMemberQuicklyAndGivesMoreTimeInEachRound) {
+TEST(ControlLinkState, DoublesTimeoutInEachRoundOfUnresponsiveMembers) {
     ControlLinkState link("g1", 1);
     link.seeds({"a", "b", "c"});
     Player player(link);
@@ -73,8 +73,8 @@
     EXPECT_EQ(player.next().timeout, ControlLinkState::kFirstTimeout);
 }
 
-// Two of three addresses are of members that are gone for good, and the third can't vouch for its table for a while.
-TEST(ControlLinkState, ARefusalEndsTheGrowthOfTheTimeForSilentMembers) {
+// Two of three addresses are of members that are lost for good, and the third has no fresh table for a while.
+TEST(ControlLinkState, ResetsTimeoutWhenAMemberRefuses) {
     ControlLinkState link("g1", 1);
     link.seeds({"a", "b", "c"});
     Player player(link);
@@ -94,7 +94,7 @@
     EXPECT_EQ(refused, 10u);
 }
 
-TEST(ControlLinkState, ComesBackWhenTheMemberSaysSpreadByJitter) {
+TEST(ControlLinkState, PollsAgainAfterAdvisedTimeWithJitter) {
     std::set<Millis> pauses;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         ControlLinkState link("g1", seed);
@@ -110,17 +110,17 @@
     EXPECT_GT(pauses.size(), 15u);
 }
 
-TEST(ControlLinkState, DoesNotTrustALongTimeToComeBack) {
+TEST(ControlLinkState, BoundsAdvisedRetryTime) {
     ControlLinkState link("g1", 3);
     link.seeds({"a"});
     const auto call = link.start(0);
     auto reply = replyOf({"a"});
     reply.retryAfterMs = 1e9;
     link.onAnswer(0, call->number, reply);
-    EXPECT_LE(*link.wakeAt(), 1.5 * ControlLinkState::kComeBackMost);
+    EXPECT_LE(*link.wakeAt(), 1.5 * ControlLinkState::kMaxRetryAfter);
 }
 
-TEST(ControlLinkState, GoesToAMemberOfItsOwnRegion) {
+TEST(ControlLinkState, PrefersMemberOfItsOwnRegion) {
     for (int number = 0; number < 50; ++number) {
         ControlLinkState link("g" + std::to_string(number), 1);
         link.region("west");
@@ -132,7 +132,7 @@
     }
 }
 
-TEST(ControlLinkState, GoesElsewhereWhereItsOwnRegionIsSilentAndReturns) {
+TEST(ControlLinkState, PollsOtherRegionWhileItsOwnIsUnresponsiveAndReturns) {
     ControlLinkState link("g1", 1);
     link.region("west");
     link.seeds({"a", "b"});
@@ -154,7 +154,7 @@
     EXPECT_GT(player.now, failedAt + ControlLinkState::kReturnAfter);
 }
 
-TEST(ControlLinkState, AnAnswerToAPollThatWasGivenUpTeachesOnlyTheMembers) {
+TEST(ControlLinkState, TakesOnlyMembersFromReplyToPollGivenUp) {
     ControlLinkState link("g1", 1);
     link.seeds({"a"});
     const auto first = link.start(0);
@@ -168,7 +168,7 @@
     EXPECT_EQ(link.wakeAt(), 30 + ControlLinkState::kSpacing);
 }
 
-TEST(ControlLinkState, WithoutSeedsWaitsForThem) {
+TEST(ControlLinkState, WaitsForSeedsWhenItHasNone) {
     ControlLinkState link("g1", 1);
     EXPECT_FALSE(link.start(0));
     ASSERT_TRUE(link.wakeAt());
--- a/tests/gateway/deadline_test.cpp
+++ b/tests/gateway/deadline_test.cpp
@@ -30,7 +30,7 @@
             headers));
         return client;
     }
-    void keepRequests(ScriptedHost& at) {
+    void recordRequests(ScriptedHost& at) {
         at.onRequest = [this](Peer& peer) {
             if (!peer.has("\r\n\r\nhi")) return;
             seen.push_back(peer.got);
@@ -62,8 +62,8 @@
     ScriptedHost second{io};
 };
 
-TEST_F(DeadlineTest, HandsOnNoMoreThanTheClientWaits) {
-    keepRequests(host);
+TEST_F(DeadlineTest, StatesAtMostTheClientsDeadlineToHost) {
+    recordRequests(host);
     start();
     askWith("/p/x", "X-Deadline-Remaining: 1700\r\n");
     ASSERT_TRUE(until(io, [&] { return seen.size() == 1; }));
@@ -71,8 +71,8 @@
     EXPECT_GT(handedOn(seen[0]), 700);
 }
 
-TEST_F(DeadlineTest, HandsOnTheRoutesTimeWhereTheClientStatesNoneOrMore) {
-    keepRequests(host);
+TEST_F(DeadlineTest, StatesRouteTimeoutWhenClientStatesNoneOrMore) {
+    recordRequests(host);
     start();
     askWith("/p/x", "");
     askWith("/e/x", "X-Deadline-Remaining: 60000\r\n");
@@ -83,8 +83,8 @@
     }
 }
 
-TEST_F(DeadlineTest, CountsTheTimeThatTheRequestTookToCome) {
-    keepRequests(host);
+TEST_F(DeadlineTest, CountsTimeSinceFirstByteOfRequest) {
+    recordRequests(host);
     start();
     clock.set(clock.now());
     const PeerPtr client = connectTo(io, gateway->frontEndpoint());
@@ -99,10 +99,10 @@
     EXPECT_LE(handedOn(seen[0]), 2500);
 }
 
-TEST_F(DeadlineTest, ASecondHostIsHandedWhatIsLeft) {
+TEST_F(DeadlineTest, StatesRemainingTimeToHostOfRetry) {
     addHost("i-2", second);
-    keepRequests(host);
-    keepRequests(second);
+    recordRequests(host);
+    recordRequests(second);
     onSeen = [this](Peer& peer) {
         if (seen.size() == 1) {
             clock.set(clock.now() + 700);  // so long it took
@@ -116,10 +116,10 @@
     EXPECT_LE(handedOn(seen[1]), handedOn(seen[0]) - 700);
 }
 
-TEST_F(DeadlineTest, AResumedStreamsHostIsHandedWhatIsLeft) {
+TEST_F(DeadlineTest, StatesRemainingTimeToHostOfResumedStream) {
     addHost("i-2", second);
-    keepRequests(host);
-    keepRequests(second);
+    recordRequests(host);
+    recordRequests(second);
     onSeen = [this](Peer& peer) {
         if (seen.size() > 1) return;
         beginStream();
@@ -133,9 +133,9 @@
     EXPECT_LE(handedOn(seen[1]), handedOn(seen[0]) - 700);
 }
 
-TEST_F(DeadlineTest, AHostThatSaysNothingIsGivenUpAtTheRoutesTime) {
+TEST_F(DeadlineTest, FailsAtRouteTimeoutWhenHostDoesNotAnswer) {
     for (const char* route : {"plain", "safe", "stream", "resumable"}) routeTimeout(route, 300);
-    keepRequests(host);
+    recordRequests(host);
     start();
     for (const char* path : {"/p/x", "/s/x", "/e/x", "/r/x"}) {
         const PeerPtr client = askWith(path, "X-Deadline-Remaining: 4000\r\n");
@@ -146,9 +146,9 @@
     }
 }
 
-TEST_F(DeadlineTest, AStreamIsBrokenOffAtTheRoutesTime) {
+TEST_F(DeadlineTest, BreaksOffStreamAtRouteTimeout) {
     for (const char* route : {"stream", "resumable"}) routeTimeout(route, 300);
-    keepRequests(host);
+    recordRequests(host);
     onSeen = [this](Peer&) { beginStream(); };
     start();
     for (const char* path : {"/e/x", "/r/x"}) {
@@ -160,16 +160,16 @@
     }
 }
 
-TEST_F(DeadlineTest, AHalfAnswerIsBrokenOffAtTheRoutesTime) {
+TEST_F(DeadlineTest, BreaksOffHalfAnswerAtRouteTimeout) {
     for (const char* route : {"plain", "safe"}) routeTimeout(route, 300);
-    keepRequests(host);
+    recordRequests(host);
     onSeen = [](Peer& peer) { peer.send(std::string(kHead) + "Content-Length: 100000\r\n\r\nhalf"); };
     start();
     for (const char* path : {"/p/x", "/s/x"})
         EXPECT_LE(overtime(askWith(path, ""), 300), kFinalAnswerWithin) << path;
 }
 
-TEST_F(DeadlineTest, WhatNoHostMayTakeIsRefusedBeforeItsTime) {
+TEST_F(DeadlineTest, RejectsBeforeTimeoutWhenNoHostIsEligible) {
     control.hosts.clear();
     start();
     const PeerPtr client = askWith("/p/x", "");
--- a/tests/gateway/departure_test.cpp
+++ b/tests/gateway/departure_test.cpp
@@ -10,7 +10,7 @@
 
 class DepartureTest : public GatewayTest {
 protected:
-    void keepRequests(ScriptedHost& at) {
+    void recordRequests(ScriptedHost& at) {
         at.onRequest = [this](Peer& peer) {
             hostSide = peer.shared_from_this();
             if (onSeen) onSeen(peer);
@@ -38,8 +38,8 @@
     ScriptedHost second{io};
 };
 
-TEST_F(DepartureTest, WhatRunsIsCancelledHoweverTheClientLeaves) {
-    keepRequests(host);
+TEST_F(DepartureTest, CancelsRequestInFlightHoweverClientLeaves) {
+    recordRequests(host);
     start();
     for (const char* path : {"/p/x", "/s/x", "/e/x", "/r/x"}) {
         for (const bool reset : {false, true}) {
@@ -52,8 +52,8 @@
     }
 }
 
-TEST_F(DepartureTest, AStreamIsCancelledInTheMiddle) {
-    keepRequests(host);
+TEST_F(DepartureTest, CancelsStreamWhenClientLeavesInTheMiddle) {
+    recordRequests(host);
     onSeen = [this](Peer& peer) { beginStream(peer); };
     start();
     for (const char* path : {"/e/x", "/r/x"}) {
@@ -65,13 +65,13 @@
 }
 
 // Its host is paused then, and much waits for the client.
-TEST_F(DepartureTest, AClientThatReadsNothingAndLeavesIsSeen) {
-    const std::string piece(64 * 1024, 'x');
-    keepRequests(host);
+TEST_F(DepartureTest, CancelsWhenClientThatReadsNothingLeaves) {
+    const std::string chunk(64 * 1024, 'x');
+    recordRequests(host);
     onSeen = [&](Peer& peer) {
         peer.got.clear();
         peer.send(std::string(kHead) + "Content-Length: 100000000\r\n\r\n");
-        for (int i = 0; i < 160; ++i) peer.send(piece);
+        for (int i = 0; i < 160; ++i) peer.send(chunk);
     };
     start();
     const PeerPtr client = connectTo(io, gateway->frontEndpoint(), true);
@@ -83,8 +83,8 @@
 }
 
 // The end of a client lies behind what it sent ahead.
-TEST_F(DepartureTest, AClientThatSentAheadAndLeavesIsSeen) {
-    keepRequests(host);
+TEST_F(DepartureTest, CancelsWhenPipeliningClientLeaves) {
+    recordRequests(host);
     start();
     for (const std::size_t ahead : {100, 200 * 1000, 8 * 1000 * 1000}) {
         hostSide = nullptr;
@@ -100,24 +100,24 @@
     }
 }
 
-TEST_F(DepartureTest, WhatWaitsForAHostIsNotSentLater) {
-    keepRequests(host);
+TEST_F(DepartureTest, DoesNotSendPendingRequestAfterClientLeft) {
+    recordRequests(host);
     control.hosts[0].state = host_discovery::HostState::draining;
     start();
     const PeerPtr client = ask("/s/x");
-    settle(io);
+    runReadyHandlers(io);
     client->close();
-    settle(io);
+    runReadyHandlers(io);
     control.hosts[0].state = host_discovery::HostState::serving;
     publish();
     passPatience();
     EXPECT_EQ(host.requests, 0u);
 }
 
-TEST_F(DepartureTest, AFailedAttemptIsNotRepeatedForAClientThatLeft) {
+TEST_F(DepartureTest, DoesNotRetryAfterClientLeft) {
     addHost("i-2", second);
-    keepRequests(host);
-    keepRequests(second);
+    recordRequests(host);
+    recordRequests(second);
     start();
     const PeerPtr client = ask("/s/x");
     ASSERT_TRUE(until(io, [&] { return hostSide != nullptr; }));
@@ -127,12 +127,12 @@
     EXPECT_EQ(host.requests + second.requests, 1u);
 }
 
-TEST_F(DepartureTest, AHalfReadRequestIsNeverSent) {
-    keepRequests(host);
+TEST_F(DepartureTest, NeverSendsHalfReadRequest) {
+    recordRequests(host);
     start();
     const PeerPtr client = connectTo(io, gateway->frontEndpoint());
     client->send("POST /p/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nh");
-    settle(io);
+    runReadyHandlers(io);
     client->close();
     passPatience();
     EXPECT_EQ(host.requests, 0u);
--- a/tests/gateway/drain_test.cpp
+++ b/tests/gateway/drain_test.cpp
@@ -1,4 +1,4 @@
-// The drain of a whole gateway on sockets: a request at each point of its time line, on kept and on new connections. The
+// The drain of a complete gateway on sockets: a request at each point of its time line, on persistent and on new connections. The
 // program's clock is set by the test; nothing waits for real time but for the loop's own short timers.
 #include <string>
 
@@ -34,7 +34,7 @@
             if (answers) answer();
         };
     }
-    // The whole answer of the host to the request that it has.
+    // The complete answer of the host to the request that it has.
     void answer() {
         const std::string id = hostSide->got.substr(hostSide->got.find("X-Attempt-Id: ") + 14, 2);
         hostSide->got.clear();
@@ -55,7 +55,7 @@
     void at(Millis passed) {
         clock.set(stoppedAt + passed);
         const auto began = std::chrono::steady_clock::now();
-        until(io, [&] { return std::chrono::steady_clock::now() - began > kLooks; });
+        until(io, [&] { return std::chrono::steady_clock::now() - began > kDrainChecks; });
     }
     PeerPtr connect() { return connectTo(io, gateway->frontEndpoint()); }
     PeerPtr served(const std::string& path, Millis deadline = 4000) {
@@ -79,14 +79,15 @@
         EXPECT_TRUE(client->has("Connection: close"));
     }
 
-    static constexpr std::chrono::milliseconds kLooks{150};  // three of the gateway's looks while it drains
+    static constexpr std::chrono::milliseconds kDrainChecks{
+        150};  // three of the checks of a draining gateway
     PeerPtr hostSide;
     bool answers = true;
     bool ended = false;
     Millis stoppedAt = 0;
 };
 
-TEST_F(DrainTest, FromSigtermOnItIsNotReadyAndOutOfTheDirectory) {
+TEST_F(DrainTest, IsNotReadyAndNotInDirectoryAfterSigterm) {
     start();
     stop();
     EXPECT_FALSE(gateway->ready());
@@ -102,7 +103,7 @@
     EXPECT_FALSE(client->has("127.0.0.1:0"));
 }
 
-TEST_F(DrainTest, WhatWasReadBeforeSigtermIsServedToTheEnd) {
+TEST_F(DrainTest, ServesRequestsReadBeforeSigtermToTheEnd) {
     answers = false;
     start();
     const PeerPtr client = connect();
@@ -117,10 +118,10 @@
     EXPECT_TRUE(until(io, [&] { return ended; }));
 }
 
-TEST_F(DrainTest, WhileLeavingItServesNewAndKeptConnectionsOnceMore) {
+TEST_F(DrainTest, LeavingServesNewAndKeptAliveConnectionsOnceMore) {
     start();
-    const PeerPtr kept = served("/p/x");
-    EXPECT_FALSE(kept->has("Connection: close"));
+    const PeerPtr persistent = served("/p/x");
+    EXPECT_FALSE(persistent->has("Connection: close"));
     stop();
     for (const Millis passed : {0.0, 1500.0, kLeaving - 50}) {
         at(passed);
@@ -128,24 +129,24 @@
         EXPECT_TRUE(client->has("Connection: close"));
         EXPECT_TRUE(until(io, [&] { return client->ended; }));
     }
-    kept->got.clear();
-    kept->send(postOf("/p/x", "k2", 4000) + "hi");
-    ASSERT_TRUE(until(io, [&] { return kept->has("hello"); }));
-    EXPECT_TRUE(kept->has("Connection: close"));
+    persistent->got.clear();
+    persistent->send(postOf("/p/x", "k2", 4000) + "hi");
+    ASSERT_TRUE(until(io, [&] { return persistent->has("hello"); }));
+    EXPECT_TRUE(persistent->has("Connection: close"));
 }
 
-TEST_F(DrainTest, FinishingItListensNoMoreAndClosesWhatRests) {
+TEST_F(DrainTest, FinishingClosesPortAndIdleConnections) {
     start();
-    const PeerPtr kept = served("/p/x");
+    const PeerPtr persistent = served("/p/x");
     stop();
     at(kLeaving - 1);
-    EXPECT_FALSE(kept->ended);
+    EXPECT_FALSE(persistent->ended);
     at(kLeaving);
-    EXPECT_TRUE(kept->ended);
+    EXPECT_TRUE(persistent->ended);
     EXPECT_TRUE(refusesConnections());
 }
 
-TEST_F(DrainTest, FinishingItTakesOnlyWhatEndsBeforeIt) {
+TEST_F(DrainTest, FinishingAcceptsOnlyRequestsThatEndBeforeIt) {
     start();
     stop();
     at(kLeaving - 1);
@@ -161,13 +162,13 @@
     EXPECT_EQ(host.requests, before);
 }
 
-TEST_F(DrainTest, AHalfReadRequestIsJudgedOnceItIsWhole) {
+TEST_F(DrainTest, AdmitsHalfReadRequestByTheTimeItIsComplete) {
     start();
     const PeerPtr early = connect(), shortOne = connect(), longOne = connect();
     early->send(postOf("/l/x", "a1", 15'000) + "h");
     shortOne->send(postOf("/p/x", "a2", 4500) + "h");
     longOne->send(postOf("/l/x", "a3", 15'000) + "h");
-    settle(io);
+    runReadyHandlers(io);
     stop();
     at(1000);
     early->send("i");
@@ -181,7 +182,7 @@
     expectRefused(longOne);
 }
 
-TEST_F(DrainTest, AtTheEndAStreamThatOutlastsTheGraceTimeIsVisiblyBroken) {
+TEST_F(DrainTest, EndBreaksOffStreamThatOutlastsGraceTime) {
     answers = false;
     start();
     stop();
@@ -201,7 +202,7 @@
     EXPECT_FALSE(client->has("0\r\n\r\n"));
 }
 
-TEST_F(DrainTest, AtTheEndWhatAHostHasIsNotPromisedNotToHaveRun) {
+TEST_F(DrainTest, EndDoesNotPromiseNotExecutedForRequestInFlight) {
     answers = false;
     start();
     stop();
@@ -213,7 +214,7 @@
     EXPECT_TRUE(client->has("HTTP/1.1 502")) << client->got;
 }
 
-TEST_F(DrainTest, AnIdleOneEndsOnceTheListOfDirectoriesIsNew) {
+TEST_F(DrainTest, EndsWhenIdleAfterSeedLag) {
     start();
     stop();
     at(kMayEnd - 1);
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -1,4 +1,4 @@
-// A whole gateway on loopback: control and hosts are scripted peers on the same loop.
+// A complete gateway on loopback: control and hosts are scripted peers on the same loop.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,8 +17,8 @@
 using test::connectTo;
 using test::Peer;
 using test::PeerPtr;
+using test::runReadyHandlers;
 using test::ScriptedHost;
-using test::settle;
 using test::until;
 
 inline constexpr const char* kHead = "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Server-Seal: seal\r\n";
@@ -35,7 +35,7 @@
     // Table and hosts have changed: polls that wait are answered.
     void publish() {
         ++number;
-        for (auto& [poll, reply] : std::exchange(held_, {})) answerPoll(poll, std::move(reply));
+        for (auto& [poll, reply] : std::exchange(pendingPolls_, {})) answerPoll(poll, std::move(reply));
     }
 
     Table table;
@@ -67,7 +67,7 @@
         answer.directoryDigest = 7;
         if (poll.directoryDigest != answer.directoryDigest) answer.directory = directory;
         if (poll.waitMs > 0 && !answer.table && !answer.hostList) {
-            held_.emplace_back(poll, std::move(reply));  // nothing new: the poll stays open
+            pendingPolls_.emplace_back(poll, std::move(reply));  // nothing new: the poll stays open
             return;
         }
         reply.send(control::encode(answer));
@@ -78,7 +78,7 @@
         return all;
     }
     rpc::Server server_;
-    std::vector<std::pair<control::PollRequest, rpc::Reply>> held_;
+    std::vector<std::pair<control::PollRequest, rpc::Reply>> pendingPolls_;
 };
 
 class GatewayTest : public ::testing::Test {
@@ -115,7 +115,7 @@
     void start() {
         launch();
         ASSERT_TRUE(until(io, [&] { return gateway->ready(); }));
-        settle(io);
+        runReadyHandlers(io);
     }
     void launch() {
         settings.nodeName = "g1";
@@ -141,11 +141,11 @@
         return client;
     }
 
-    // What control says now, in force at the gateway.
+    // Publishes what control has now and waits until it is in force at the gateway.
     void publish() {
         control.publish();
         ASSERT_TRUE(until(io, [&] { return control.lastPoll->position == Position{1, control.number}; }));
-        settle(io);
+        runReadyHandlers(io);
     }
 
     asio::io_context io;
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -4,7 +4,7 @@
 namespace beechpoint::gateway {
 namespace {
 
-TEST_F(GatewayTest, RelaysAnAnswerWithItsSealAndBody) {
+TEST_F(GatewayTest, RelaysAnswerWithSealAndBody) {
     host.onRequest = [](Peer& peer) {
         peer.send(std::string(kHead) + "Content-Length: 5\r\n\r\nhello");
         peer.got.clear();
@@ -16,7 +16,7 @@
     EXPECT_TRUE(client->has("X-Server-Seal: seal"));
 }
 
-TEST_F(GatewayTest, SendsTheRequestUnchangedAndNamesTheInstance) {
+TEST_F(GatewayTest, SendsRequestUnchangedWithTargetInstance) {
     std::string seen;
     host.onRequest = [&](Peer& peer) { seen = peer.got; };
     start();
@@ -28,7 +28,7 @@
     EXPECT_NE(seen.find("X-Deadline-Remaining: "), std::string::npos);
 }
 
-TEST_F(GatewayTest, TakesNoRequestWithTwoIdsOrNone) {
+TEST_F(GatewayTest, RejectsRequestWithTwoAttemptIdsOrNone) {
     start();
     const PeerPtr twice = ask("/p/x", "a1", "X-Attempt-Id: a2\r\n");
     EXPECT_TRUE(until(io, [&] { return twice->has("HTTP/1.1 400"); }));
@@ -37,14 +37,14 @@
     EXPECT_EQ(host.requests, 0u);
 }
 
-TEST_F(GatewayTest, AnswersUnknownRoutesWith404) {
+TEST_F(GatewayTest, AnswersUnknownRouteWith404) {
     start();
     const PeerPtr client = ask("/none/x");
     EXPECT_TRUE(until(io, [&] { return client->has("HTTP/1.1 404"); }));
     EXPECT_EQ(host.requests, 0u);
 }
 
-TEST_F(GatewayTest, AnswersTheDirectoryWithItselfWhileItKnowsNoOther) {
+TEST_F(GatewayTest, DirectoryNamesItselfWhenNoOtherIsKnown) {
     start();
     const PeerPtr client = connectTo(io, gateway->directoryEndpoint());
     client->send("GET /resolve?name=h.example&region=r1&zone=z1 HTTP/1.1\r\nHost: d\r\n\r\n");
@@ -52,7 +52,7 @@
     EXPECT_TRUE(client->has("127.0.0.1:0"));
 }
 
-TEST_F(GatewayTest, NamesOtherReadyGatewaysThatControlTold) {
+TEST_F(GatewayTest, DirectoryNamesReadyGatewaysThatControlReported) {
     leases::Gateway other;
     other.name = "g2";
     other.zone = "z1";
@@ -67,7 +67,7 @@
     EXPECT_TRUE(client->has("10.0.0.9:80"));
 }
 
-TEST_F(GatewayTest, PassesEventsOnOneByOne) {
+TEST_F(GatewayTest, ForwardsStreamEventsOneByOne) {
     PeerPtr hostSide;
     host.onRequest = [&](Peer& peer) {
         hostSide = peer.shared_from_this();
@@ -79,14 +79,14 @@
     start();
     const PeerPtr client = ask("/e/x");
     ASSERT_TRUE(until(io, [&] { return hostSide != nullptr; }));
-    hostSide->send("2\r\n\n\n\r\n");  // only now is the first event whole
+    hostSide->send("2\r\n\n\n\r\n");  // only now is the first event complete
     ASSERT_TRUE(until(io, [&] { return client->has("data: a\n\n"); }));
     EXPECT_FALSE(client->has("0\r\n\r\n"));
     hostSide->send("f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n");
     ASSERT_TRUE(until(io, [&] { return client->has("data: b\n\n") && client->has("0\r\n\r\n"); }));
 }
 
-TEST_F(GatewayTest, EndsACutStreamVisiblyBroken) {
+TEST_F(GatewayTest, BreaksOffStreamThatHostTruncated) {
     host.onRequest = [&](Peer& peer) {
         peer.send(std::string(kHead) +
                   "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -100,14 +100,14 @@
     EXPECT_FALSE(client->has("0\r\n\r\n"));
 }
 
-TEST_F(GatewayTest, TakesAResumableStreamUpElsewhereInsideOneAnswer) {
+TEST_F(GatewayTest, ResumesResumableStreamAtAnotherHostInOneAnswer) {
     ScriptedHost second(io);
     addHost("i-2", second);
     std::string resumed;
-    bool cut = false;
+    bool truncated = false;
     const auto script = [&](Peer& peer) {
-        if (!cut) {
-            cut = true;
+        if (!truncated) {
+            truncated = true;
             peer.send(std::string(kHead) +
                       "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n" +
                       "f\r\nid: 1\ndata: a\n\n\r\n");
@@ -131,7 +131,7 @@
     EXPECT_NE(resumed.find("Last-Event-Id: 1\r\n"), std::string::npos);
 }
 
-TEST_F(GatewayTest, GivesNoPromiseThatTheHostDidNotGive) {
+TEST_F(GatewayTest, DoesNotPromiseNotExecutedWithoutTheHostsWord) {
     host.onRequest = [](Peer& peer) {
         peer.send("HTTP/1.1 503 Busy\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n");
         peer.got.clear();
@@ -142,7 +142,7 @@
     EXPECT_FALSE(client->has("HTTP/1.1 503"));
 }
 
-TEST_F(GatewayTest, CancelsAtTheHostWhenTheClientLeaves) {
+TEST_F(GatewayTest, CancelsAtHostWhenClientLeaves) {
     PeerPtr hostSide;
     host.onRequest = [&](Peer& peer) { hostSide = peer.shared_from_this(); };
     start();
@@ -152,7 +152,7 @@
     EXPECT_TRUE(until(io, [&] { return hostSide->ended; }));
 }
 
-TEST_F(GatewayTest, DrainsOnStopAndServesWhatItHasRead) {
+TEST_F(GatewayTest, DrainsOnStopAndServesRequestsAlreadyRead) {
     PeerPtr hostSide;
     host.onRequest = [&](Peer& peer) { hostSide = peer.shared_from_this(); };
     start();
--- a/tests/gateway/host_list_copy_test.cpp
+++ b/tests/gateway/host_list_copy_test.cpp
@@ -1,4 +1,4 @@
-// A gateway's copy of the host list: whole, changes, confirmation.
+// A gateway's copy of the host list: full list, changes, confirmation.
 #include "gateway/host_list_copy.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
     return host;
 }
 
-control::PollReply whole(std::uint64_t number, std::vector<host_discovery::Host> hosts) {
+control::PollReply fullList(std::uint64_t number, std::vector<host_discovery::Host> hosts) {
     control::PollReply reply;
     reply.hostListVersion = {1, number, 1};
     reply.hostListAge = 0;
@@ -33,40 +33,40 @@
     return reply;
 }
 
-TEST(HostListCopy, TakesAWholeListOnItsOwnClock) {
+TEST(HostListCopy, AppliesFullListOnItsOwnClock) {
     HostListCopy copy;
     EXPECT_FALSE(copy.list());
-    EXPECT_TRUE(copy.take(whole(1, {hostNamed("a")}), 5000));
+    EXPECT_TRUE(copy.apply(fullList(1, {hostNamed("a")}), 5000));
     EXPECT_EQ(copy.list()->readAt, 4900);
-    EXPECT_EQ(copy.versionToAskWith().number, 1u);
+    EXPECT_EQ(copy.versionToPollWith().number, 1u);
 }
 
-TEST(HostListCopy, TakesChangesToWhatItHolds) {
+TEST(HostListCopy, AppliesChangesToItsList) {
     HostListCopy copy;
-    copy.take(whole(1, {hostNamed("a")}), 5000);
-    EXPECT_TRUE(copy.take(changes(1, 2, {hostNamed("b")}), 6000));
+    copy.apply(fullList(1, {hostNamed("a")}), 5000);
+    EXPECT_TRUE(copy.apply(changes(1, 2, {hostNamed("b")}), 6000));
     EXPECT_EQ(copy.list()->hosts.size(), 2u);
     EXPECT_EQ(copy.version().number, 2u);
 }
 
-TEST(HostListCopy, AsksForTheWholeListWhereChangesDoNotFit) {
+TEST(HostListCopy, AsksForFullListWhenChangesDoNotFit) {
     HostListCopy copy;
-    EXPECT_FALSE(copy.take(changes(3, 4, {hostNamed("b")}), 5000));
-    copy.take(whole(1, {hostNamed("a")}), 5000);
-    EXPECT_FALSE(copy.take(changes(3, 4, {hostNamed("b")}), 6000));
+    EXPECT_FALSE(copy.apply(changes(3, 4, {hostNamed("b")}), 5000));
+    copy.apply(fullList(1, {hostNamed("a")}), 5000);
+    EXPECT_FALSE(copy.apply(changes(3, 4, {hostNamed("b")}), 6000));
     EXPECT_EQ(copy.list()->hosts.size(), 1u);
-    EXPECT_EQ(copy.versionToAskWith(), host_discovery::HostListVersion{});
-    EXPECT_TRUE(copy.take(whole(4, {hostNamed("a"), hostNamed("b")}), 7000));
-    EXPECT_EQ(copy.versionToAskWith().number, 4u);
+    EXPECT_EQ(copy.versionToPollWith(), host_discovery::HostListVersion{});
+    EXPECT_TRUE(copy.apply(fullList(4, {hostNamed("a"), hostNamed("b")}), 7000));
+    EXPECT_EQ(copy.versionToPollWith().number, 4u);
 }
 
-TEST(HostListCopy, IsConfirmedUnchanged) {
+TEST(HostListCopy, StaysYoungWhenConfirmedUnchanged) {
     HostListCopy copy;
-    copy.take(whole(1, {hostNamed("a")}), 5000);
+    copy.apply(fullList(1, {hostNamed("a")}), 5000);
     control::PollReply same;
     same.hostListVersion = {1, 1, 1};
     same.hostListAge = 50;
-    EXPECT_FALSE(copy.take(same, 9000));
+    EXPECT_FALSE(copy.apply(same, 9000));
     EXPECT_EQ(copy.age(9000), 50);
 }
 
--- a/tests/gateway/load_sharing_state_test.cpp
+++ b/tests/gateway/load_sharing_state_test.cpp
@@ -1,4 +1,4 @@
-// Who hears what waits at the hosts: datagrams, the zone's speaker, and what is handed on.
+// Who is sent the load that waits at the hosts: datagrams, the zone's speaker, and what is forwarded.
 #include "gateway/load_sharing_state.hpp"
 
 #include <gtest/gtest.h>
@@ -39,24 +39,24 @@
     return addresses;
 }
 
-TEST(LoadDatagram, GoesThereAndBack) {
+TEST(LoadDatagram, DecodesWhatItEncoded) {
     const LoadDatagram datagram{LoadKind::zone, 0x123456789ABCDEF0, 77, true, {{5, 2, 0.25}, {6, 255, 100}},
                                 {{5, 1.5}}};
     EXPECT_EQ(decodeLoad(encode(datagram)), datagram);
 }
 
-TEST(LoadDatagram, OneThatIsNotWholeIsDropped) {
+TEST(LoadDatagram, IsDroppedWhenTruncatedExtendedOrCorrupt) {
     const std::string bytes = encode({LoadKind::gateway, 1, 1, false, {{5, 2, 0.25}}, {{6, 2}}});
     for (std::size_t size = 0; size < bytes.size(); ++size) EXPECT_FALSE(decodeLoad(bytes.substr(0, size)));
     EXPECT_FALSE(decodeLoad(bytes + "x"));
-    for (const std::size_t place : {0u, 1u}) {
-        std::string spoilt = bytes;
-        spoilt[place] = 9;
-        EXPECT_FALSE(decodeLoad(spoilt));
+    for (const std::size_t offset : {0u, 1u}) {
+        std::string corrupt = bytes;
+        corrupt[offset] = 9;
+        EXPECT_FALSE(decodeLoad(corrupt));
     }
 }
 
-TEST(LoadDatagram, FiguresAreBoundedAndSoIsItsSize) {
+TEST(LoadDatagram, EncodesBoundedFiguresInAtMost1200Bytes) {
     LoadDatagram datagram{LoadKind::gateway, 1, 1, false, {}, {}};
     for (std::uint32_t host = 0; host < 1000; ++host) {
         datagram.hosts.push_back({host, 100'000, 1e9});
@@ -64,18 +64,18 @@
     }
     const std::string bytes = encode(datagram);
     EXPECT_LE(bytes.size(), 1200u);
-    EXPECT_EQ(decodeLoad(bytes)->hosts.size(), LoadDatagram::kMostHosts);
+    EXPECT_EQ(decodeLoad(bytes)->hosts.size(), LoadDatagram::kMaxHosts);
     EXPECT_EQ(decodeLoad(bytes)->hosts.front().waiting, 255);
 }
 
-TEST(LoadSharing, TellsItsZoneAtOnce) {
+TEST(LoadSharing, SendsChangedLoadToItsZoneAtOnce) {
     LoadSharingState state = stateOf(kAll[0]);
     const auto out = state.ownLoad({{{7, 1, 0.1}}, {}});
     EXPECT_EQ(receivers(out, LoadKind::gateway), std::multiset<std::string>{"10.0.0.2"});
     EXPECT_EQ(decodeLoad(out.front().bytes)->hosts, (std::vector<dispatch::HostLoad>{{7, 1, 0.1}}));
 }
 
-TEST(LoadSharing, TheLowestOfAZoneSpeaksForItToOneOfEachOther) {
+TEST(LoadSharing, LowestSessionSendsZoneDigestToOneGatewayOfEachOtherZone) {
     LoadSharingState first = stateOf(kAll[0]), second = stateOf(kAll[1]);
     first.onTimer(1000);
     second.onTimer(1000);
@@ -84,7 +84,7 @@
         first.received(1010, each.bytes);
     EXPECT_TRUE(receivers(second.onTimer(1100), LoadKind::zone).empty());
     const auto out = first.onTimer(1100);
-    EXPECT_EQ(receivers(out, LoadKind::zone).size(), 1u);  // of zone b; the far one is told less often
+    EXPECT_EQ(receivers(out, LoadKind::zone).size(), 1u);  // of zone b; the far one is sent one less often
     const auto digest = decodeLoad(out.back().bytes);
     EXPECT_TRUE(digest->full);
     EXPECT_EQ(digest->hosts, (std::vector<dispatch::HostLoad>{{7, 3, 0.75}, {8, 1, 0.1}}));
@@ -92,15 +92,15 @@
     EXPECT_EQ(receivers(first.onTimer(1250), LoadKind::zone).count("10.0.0.5"), 1u);
 }
 
-TEST(LoadSharing, AnotherSpeaksOnceTheFirstIsSilent) {
+TEST(LoadSharing, NextGatewaySendsDigestWhenSpeakerTimedOut) {
     LoadSharingState first = stateOf(kAll[0]), second = stateOf(kAll[1]);
     for (const Outgoing& each : first.onTimer(1000)) second.received(1000, each.bytes);
     second.ownLoad({{{8, 1, 0.1}}, {}});
     EXPECT_TRUE(receivers(second.onTimer(1100), LoadKind::zone).empty());
-    EXPECT_FALSE(receivers(second.onTimer(1100 + LoadSharingState::kHeardLately), LoadKind::zone).empty());
+    EXPECT_FALSE(receivers(second.onTimer(1100 + LoadSharingState::kPeerTimeout), LoadKind::zone).empty());
 }
 
-TEST(LoadSharing, TheEndOfAllWaitingIsToldOnce) {
+TEST(LoadSharing, SendsEmptyDigestOnceWhenNothingWaitsAnyMore) {
     LoadSharingState state = stateOf(kAll[0]);
     state.onTimer(1000);
     state.ownLoad({{{8, 1, 0.1}}, {}});
@@ -112,32 +112,32 @@
     EXPECT_EQ(receivers(state.onTimer(1199), LoadKind::zone).size(), 0u);
 }
 
-TEST(LoadSharing, SpeedsAreToldOnceAndBounded) {
+TEST(LoadSharing, SendsSpeedsOnceAndAtMostMaxSpeeds) {
     LoadSharingState state = stateOf(kAll[0]);
     state.onTimer(1000);
     std::vector<dispatch::HostSpeed> many(200, {8, 1.25});
     state.ownLoad({{{8, 1, 0.1}}, many});
     const auto first = state.onTimer(1060);
-    EXPECT_EQ(decodeLoad(first.back().bytes)->speeds.size(), LoadDatagram::kMostSpeeds);
+    EXPECT_EQ(decodeLoad(first.back().bytes)->speeds.size(), LoadDatagram::kMaxSpeeds);
     const auto second = state.onTimer(1120);
     EXPECT_TRUE(decodeLoad(second.back().bytes)->speeds.empty());
 }
 
-TEST(LoadSharing, AZonesDigestIsHandedOnOnceAndNoFurther) {
+TEST(LoadSharing, ForwardsZoneDigestOnceAndNotAForwardedOne) {
     LoadSharingState state = stateOf(kAll[0]);
     const std::string bytes = encode({LoadKind::zone, 99, 1, true, {{7, 1, 0.5}}, {}});
-    const auto learnt = state.received(1000, bytes);
-    ASSERT_TRUE(learnt.load);
-    EXPECT_EQ(learnt.load->source, 99u);
-    EXPECT_EQ(receivers(learnt.forward, LoadKind::forwarded), std::multiset<std::string>{"10.0.0.2"});
+    const auto received = state.received(1000, bytes);
+    ASSERT_TRUE(received.load);
+    EXPECT_EQ(received.load->source, 99u);
+    EXPECT_EQ(receivers(received.forward, LoadKind::forwarded), std::multiset<std::string>{"10.0.0.2"});
     EXPECT_FALSE(state.received(1001, bytes).load);  // doubled
     LoadSharingState other = stateOf(kAll[1]);
-    const auto heard = other.received(1002, learnt.forward.front().bytes);
-    EXPECT_TRUE(heard.load);
-    EXPECT_TRUE(heard.forward.empty());
+    const auto forwarded = other.received(1002, received.forward.front().bytes);
+    EXPECT_TRUE(forwarded.load);
+    EXPECT_TRUE(forwarded.forward.empty());
 }
 
-TEST(LoadSharing, OlderWordsAndForeignBytesChangeNothing) {
+TEST(LoadSharing, DropsOldSequencesForeignBytesAndItsOwn) {
     LoadSharingState state = stateOf(kAll[0]);
     EXPECT_TRUE(state.received(1000, encode({LoadKind::gateway, 2, 5, false, {{7, 1, 0.5}}, {}})).load);
     EXPECT_FALSE(state.received(1001, encode({LoadKind::gateway, 2, 4, false, {{7, 9, 0.5}}, {}})).load);
--- a/tests/gateway/load_sharing_test.cpp
+++ b/tests/gateway/load_sharing_test.cpp
@@ -34,7 +34,7 @@
         : log(clock, logging::Format::json),
           first(io, clock, log, {"a", "z", "r", 1}, [](const auto&) {}),
           second(io, clock, log, {"b", "z", "r", 2}, [this](const dispatch::PeerLoad& load) {
-              if (!load.hosts.empty()) heard = load;
+              if (!load.hosts.empty()) received = load;
           }) {
         const std::vector<leases::Gateway> both{gateway("a", kFirstIp, 1), gateway("b", kSecondIp, 2)};
         first.gateways(both);
@@ -52,41 +52,41 @@
     Clock clock;
     Logger log;
     LoadSharing first, second;
-    std::optional<dispatch::PeerLoad> heard;
+    std::optional<dispatch::PeerLoad> received;
 };
 
-TEST_F(LoadSharingTest, WhatOneTellsTheOtherHears) {
+TEST_F(LoadSharingTest, PeerReceivesReportedLoad) {
     const std::uint16_t port = freePort(io);
     first.start(kFirstIp, port);
     second.start(kSecondIp, port);
     first.ownLoad({{{7, 2, 0.5}}, {{7, 1.5}}});
-    ASSERT_TRUE(until([&] { return heard.has_value(); }));
-    EXPECT_EQ(heard->source, 1u);
-    EXPECT_EQ(heard->hosts, (std::vector<dispatch::HostLoad>{{7, 2, 0.5}}));
+    ASSERT_TRUE(until([&] { return received.has_value(); }));
+    EXPECT_EQ(received->source, 1u);
+    EXPECT_EQ(received->hosts, (std::vector<dispatch::HostLoad>{{7, 2, 0.5}}));
     first.stop();
     second.stop();
     EXPECT_TRUE(until([&] { return io.stopped() || io.poll() == 0; }));
 }
 
-// What was lost is told again with the next whole word.
-TEST_F(LoadSharingTest, OneThatStartsLaterHearsOfWhatWaitsAlready) {
+// What was lost is reported again with the next full report.
+TEST_F(LoadSharingTest, PeerStartedLaterReceivesLoadThatWaitsAlready) {
     const std::uint16_t port = freePort(io);
     first.start(kFirstIp, port);
     first.ownLoad({{{7, 2, 0.5}}, {}});
     second.start(kSecondIp, port);
-    EXPECT_TRUE(until([&] { return heard.has_value(); }));
+    EXPECT_TRUE(until([&] { return received.has_value(); }));
     first.stop();
     second.stop();
 }
 
-TEST_F(LoadSharingTest, WithoutItsPortNothingIsSharedAndNothingFails) {
+TEST_F(LoadSharingTest, SharesNothingAndDoesNotFailWhenPortIsTaken) {
     const std::uint16_t port = freePort(io);
     asio::ip::udp::socket other(io, {asio::ip::make_address(kFirstIp), port});
     first.start(kFirstIp, port);
     first.ownLoad({{{7, 2, 0.5}}, {}});
     first.start("not an address", port);
     first.stop();
-    EXPECT_FALSE(heard);
+    EXPECT_FALSE(received);
 }
 
 }  // namespace
--- a/tests/gateway/rules_test.cpp
+++ b/tests/gateway/rules_test.cpp
@@ -23,7 +23,7 @@
 
 class RulesTest : public GatewayTest {
 protected:
-    // Each request is answered alike; the requests are kept.
+    // Each request is answered alike; the requests are recorded.
     static void answerAll(ScriptedHost& at, std::vector<std::string>& seen, const std::string& head,
                           const std::string& body = "ok") {
         at.onRequest = [&seen, head, body](Peer& peer) {
@@ -42,7 +42,7 @@
                 return client->ended || client->has("\r\n\r\n");
             });
         }));
-        settle(io);
+        runReadyHandlers(io);
         return clients;
     }
     static long served(const std::vector<PeerPtr>& clients) {
@@ -57,7 +57,7 @@
     int round_ = 0;
 };
 
-TEST_F(RulesTest, MixedAnAnswerToAnotherRequestIsNobodys) {
+TEST_F(RulesTest, MixedAnswerToAnotherRequestReachesNoClient) {
     host.onRequest = [](Peer& peer) {
         peer.send(
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno");
@@ -68,7 +68,7 @@
     EXPECT_FALSE(client->has("HTTP/1.1 2"));
 }
 
-TEST_F(RulesTest, MixedASecondAnswerBehindTheFirstReachesNoOtherClient) {
+TEST_F(RulesTest, MixedSurplusAnswerReachesNoOtherClient) {
     host.onRequest = [&](Peer& peer) {
         if (!peer.has("hi")) return;
         const std::string request = peer.got;
@@ -83,14 +83,14 @@
     }
 }
 
-TEST_F(RulesTest, MixedASuccessWithoutTheHostsSealIsNone) {
+TEST_F(RulesTest, MixedSuccessWithoutSealIsNotRelayed) {
     answerAll(host, seen, "200 OK");
     start();
     EXPECT_EQ(served(askMany(1, "/p/x")), 0);
     EXPECT_EQ(seen.size(), 1u);
 }
 
-TEST_F(RulesTest, MixedABodyThatIsCutDoesNotLookWhole) {
+TEST_F(RulesTest, MixedTruncatedBodyDoesNotLookComplete) {
     host.onRequest = [](Peer& peer) {
         peer.send(
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Server-Seal: s\r\nContent-Length: 10\r\n\r\nhalf");
@@ -105,7 +105,7 @@
 }
 
 // An answer without a length ends with its connection; the reset of that is no end.
-TEST_F(RulesTest, MixedAnUnframedAnswerIsWholeOnlyWhereItsConnectionWasClosed) {
+TEST_F(RulesTest, MixedUnframedAnswerIsCompleteOnlyAfterCleanClose) {
     const std::string begun = std::string(kHead) + "Connection: close\r\n\r\nabc";
     PeerPtr hostSide;
     host.onRequest = [&](Peer& peer) {
@@ -116,16 +116,16 @@
     };
     start();
     for (const char* path : {"/p/x", "/s/x"}) {
-        const PeerPtr whole = ask(path);
-        ASSERT_TRUE(until(io, [&] { return whole->has("abc"); })) << path;
-        EXPECT_FALSE(whole->has("0\r\n\r\n")) << path;
+        const PeerPtr complete = ask(path);
+        ASSERT_TRUE(until(io, [&] { return complete->has("abc"); })) << path;
+        EXPECT_FALSE(complete->has("0\r\n\r\n")) << path;
         hostSide->close();
-        EXPECT_TRUE(until(io, [&] { return whole->has("0\r\n\r\n"); })) << path;
-        const PeerPtr cut = ask(path);
-        ASSERT_TRUE(until(io, [&] { return cut->has("abc"); })) << path;
+        EXPECT_TRUE(until(io, [&] { return complete->has("0\r\n\r\n"); })) << path;
+        const PeerPtr truncated = ask(path);
+        ASSERT_TRUE(until(io, [&] { return truncated->has("abc"); })) << path;
         hostSide->reset();
-        ASSERT_TRUE(until(io, [&] { return cut->ended; })) << path;
-        EXPECT_FALSE(cut->has("0\r\n\r\n")) << path;
+        ASSERT_TRUE(until(io, [&] { return truncated->ended; })) << path;
+        EXPECT_FALSE(truncated->has("0\r\n\r\n")) << path;
     }
     const PeerPtr old = connectTo(io, gateway->frontEndpoint());
     old->send("POST /p/x HTTP/1.0\r\nHost: h.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nhi");
@@ -135,7 +135,7 @@
     EXPECT_TRUE(old->wasReset);  // its answer lasts until a proper close
 }
 
-TEST_F(RulesTest, UnaskedThePromptsHeadersAreHandedOnAsTheyCame) {
+TEST_F(RulesTest, UnaskedPromptHeadersAreForwardedUnchanged) {
     answerAll(host, seen, kServed);
     start();
     std::string prefix = "5c1e07a2:800, 91bd3f06:410,,odd:x,";
@@ -150,7 +150,7 @@
 }
 
 // The host answers before it has read the body, keeps the connection and reads on later.
-TEST_F(RulesTest, UnaskedNothingTakesThePlaceOfABodyThatIsStillDue) {
+TEST_F(RulesTest, UnaskedMissingBodyIsNotReplaced) {
     constexpr std::size_t kSize = 4'000'000;
     PeerPtr early;
     host.onRequest = [&](Peer& peer) {
@@ -167,7 +167,7 @@
         std::string(kSize, 'b')));
     ASSERT_TRUE(until(io, [&] { return first->has("first"); }));
     const PeerPtr next = ask("/p/x", "a2");
-    settle(io);
+    runReadyHandlers(io);
     early->slow = false;
     early->read();
     ASSERT_TRUE(until(io, [&] { return next->has("second") || early->ended || early->has("a2"); }));
@@ -175,7 +175,7 @@
     EXPECT_EQ(body.find_first_not_of('b'), std::string::npos);
 }
 
-TEST_F(RulesTest, DeniedNothingIsBeforeAConfigurationIsKnown) {
+TEST_F(RulesTest, DeniedNoRequestBeforeConfigurationIsKnown) {
     answerAll(host, seen, kServed);
     control.status = control::PollStatus::notFresh;
     launch();
@@ -206,7 +206,7 @@
     EXPECT_EQ(host.requests, 0u);
 }
 
-TEST_F(RulesTest, UnaskedARequestInsideABodyStaysABody) {
+TEST_F(RulesTest, UnaskedRequestInsideBodyStaysBody) {
     answerAll(host, seen, kServed);
     start();
     const std::string body = "POST /p/y HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a2\r\n\r\nhi";
@@ -219,7 +219,7 @@
     EXPECT_EQ(seen[0].substr(seen[0].find("\r\n\r\n") + 4), body);
 }
 
-TEST_F(RulesTest, TwiceWhatMayHaveRunIsNotSentAgain) {
+TEST_F(RulesTest, TwiceRequestThatMayHaveRunIsNotRetried) {
     addHost("i-2", second);
     const auto resets = [](Peer& peer) {
         if (peer.has("hi")) peer.reset();
@@ -234,7 +234,7 @@
         EXPECT_FALSE(client->has(promise));
 }
 
-TEST_F(RulesTest, RefusedIsSaidWhereTheHostProvedThatItDidNotRun) {
+TEST_F(RulesTest, RefusedIsAnsweredWhenHostProvedNotExecuted) {
     answerAll(host, seen, "503 Busy\r\nX-Not-Executed: 1", "");
     start();
     const auto clients = askMany(1, "/p/x");
@@ -242,7 +242,7 @@
     EXPECT_TRUE(clients[0]->has("Retry-After: "));
 }
 
-TEST_F(RulesTest, RouteAHostThatIsAnotherNowDoesNotServe) {
+TEST_F(RulesTest, RouteHostThatIsAnotherInstanceNowDoesNotServe) {
     addHost("i-2", second);
     answerAll(host, seen, "421 Misdirected\r\nX-Not-Executed: 1", "");
     answerAll(second, seenBySecond, kServed);
@@ -255,7 +255,7 @@
         EXPECT_NE(request.find("X-Target-Instance: i-2\r\n"), std::string::npos);
 }
 
-TEST_F(RulesTest, DrainAHostThatLeavesGetsNothingMore) {
+TEST_F(RulesTest, DrainHostThatIsDrainingGetsNoRequest) {
     addHost("i-2", second);
     answerAll(host, seen, kServed);
     answerAll(second, seenBySecond, kServed);
@@ -267,7 +267,7 @@
     EXPECT_EQ(seenBySecond.size(), 12u);
 }
 
-TEST_F(RulesTest, EvacAZoneThatIsEvacuatedGetsNothing) {
+TEST_F(RulesTest, EvacEvacuatedZoneGetsNoRequest) {
     addHost("i-2", second, "z2");
     answerAll(host, seen, kServed);
     answerAll(second, seenBySecond, kServed);
@@ -278,7 +278,7 @@
     EXPECT_EQ(seen.size(), 0u);
 }
 
-TEST_F(RulesTest, HomeARequestStaysInItsRegions) {
+TEST_F(RulesTest, HomeRequestStaysInItsRegions) {
     addHost("i-2", second, "z2");
     addRoute("home", "/h/", R"("type":"non_idempotent","max_attempts":2,"allowed_regions":["r1"])");
     answerAll(host, seen, kServed);
@@ -291,7 +291,7 @@
     EXPECT_EQ(seenBySecond.size(), 0u);
 }
 
-TEST_F(RulesTest, ConfigTheNewestRoutesDecideAndStay) {
+TEST_F(RulesTest, ConfigNewestRoutesApplyAndStay) {
     addHost("i-2", second, "z1", "other");
     control.table["service/other"] =
         R"(1 {"name":"other","health_check_path":"/health","max_connections":50})";
@@ -316,7 +316,7 @@
     EXPECT_EQ(seen.size(), 3u);
 }
 
-TEST_F(RulesTest, BudgetFurtherSendsAreAShareOfTheRequests) {
+TEST_F(RulesTest, BudgetRetriesStayInRatioToRequests) {
     settings.timingBounds.retryBudgetSlack = 0;
     addHost("i-2", second);
     answerAll(host, seen, "500 Broken", "");
@@ -329,13 +329,13 @@
     EXPECT_LE(arrivals, kRequests * (1 + settings.timingBounds.retryBudgetRatio));
 }
 
-TEST_F(RulesTest, OrderAResumedStreamHasEachEventOnce) {
+TEST_F(RulesTest, OrderResumedStreamHasEachEventOnce) {
     addHost("i-2", second);
-    bool cut = false;
+    bool truncated = false;
     host.onRequest = second.onRequest = [&](Peer& peer) {
         const std::string head =
             std::string(kHead) + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-        if (!std::exchange(cut, true)) {
+        if (!std::exchange(truncated, true)) {
             peer.send(head + "f\r\nid: 1\ndata: a\n\n\r\nf\r\nid: 2\ndata: b\n\n\r\n6\r\nid: 3\n\r\n");
             peer.close();
             return;
@@ -352,7 +352,7 @@
     EXPECT_EQ(client->got.find("id: 3\n"), client->got.rfind("id: 3\n"));
 }
 
-TEST_F(RulesTest, FailbackAColdHostGetsNoMoreThanItBears) {
+TEST_F(RulesTest, FailbackWarmingUpHostGetsNoMoreThanItsRate) {
     settings.timingBounds.warmupOvershoot = 1.5;
     settings.timingBounds.warmupSlack = 1;
     control.table["service/llm"] =
@@ -364,7 +364,7 @@
     EXPECT_LE(seen.size(), 4u);  // 2 x 1.5 + 1
 }
 
-TEST_F(RulesTest, LostARequestOnAKeptConnectionIsServedWhileDraining) {
+TEST_F(RulesTest, LostRequestOnKeptAliveConnectionIsServedWhileDraining) {
     answerAll(host, seen, kServed);
     start();
     const PeerPtr client = ask("/p/x", "k1");
--- a/tests/golden/control/load_datagram_test.cpp
+++ b/tests/golden/control/load_datagram_test.cpp
@@ -28,9 +28,9 @@
     LoadDatagram datagram = sampleDatagram(LoadKind::gateway);
     datagram.hosts.clear();
     datagram.speeds.clear();
-    for (std::uint32_t host = 0; host < LoadDatagram::kMostHosts; ++host)
+    for (std::uint32_t host = 0; host < LoadDatagram::kMaxHosts; ++host)
         datagram.hosts.push_back({host, static_cast<int>(host), host / 4.0});
-    for (std::uint32_t host = 0; host < LoadDatagram::kMostSpeeds; ++host)
+    for (std::uint32_t host = 0; host < LoadDatagram::kMaxSpeeds; ++host)
         datagram.speeds.push_back({host, host / 64.0});
     return datagram;
 }
--- a/tests/golden/names/gateway_refusals_test.cpp
+++ b/tests/golden/names/gateway_refusals_test.cpp
@@ -86,7 +86,7 @@
     clock.set(Clock::kOrigin);
     start();
     const test::PeerPtr kept = test::connectTo(io, gateway->frontEndpoint());
-    test::settle(io);
+    test::runReadyHandlers(io);
     gateway->stop([] {});
     clock.set(Clock::kOrigin + kLateInTheDrain);
     kept->send(request("POST", "/p/x", std::string(kId) + "X-Deadline-Remaining: 4000\r\n", "hi"));
--- a/tests/upstream/crossing_test.cpp
+++ b/tests/upstream/crossing_test.cpp
@@ -35,7 +35,7 @@
 // ---- a second answer that bears the right id
 
 // The host said that it did not run the request, and says so once more while it runs the same request, sent again.
-TEST_F(Crossings, ASurplusAnswerIsNotTakenForThatOfTheSameRequestSentAgain) {
+TEST_F(Crossings, SurplusAnswerIsNotUsedForRetryWithSameId) {
     host.onRequest = [&](Peer& peer) { peer.send(notExecuted("a1")); };
     EXPECT_TRUE(answeredWith(exchange(request("a1")), 503, "full"));
     ASSERT_EQ(upstream->unused(address()), 1u);
@@ -51,7 +51,7 @@
     EXPECT_EQ(arrivals("a1"), 2u);
 }
 
-TEST_F(Crossings, ARequestWithoutAnIdIsNotTheSecondOnAConnection) {
+TEST_F(Crossings, RequestWithoutIdIsNotSecondOnItsConnection) {
     const std::string healthy = "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok";
     host.onRequest = [&](Peer& peer) { peer.send(healthy); };
     EXPECT_TRUE(exchange(request("")).ended);
@@ -63,7 +63,7 @@
     EXPECT_EQ(host.peers.size(), 2u);
 }
 
-TEST_F(Crossings, AConnectionThatCarriedTheIdGivesItsPlaceToANewOne) {
+TEST_F(Crossings, ConnectionThatCarriedTheIdIsReplacedByNewOne) {
     host.onRequest = [&](Peer& peer) { peer.send(counted("a1", "x")); };
     EXPECT_TRUE(exchange(request("a1")).ended);
     Outcome again;
@@ -77,7 +77,7 @@
     EXPECT_TRUE(until(io, [&] { return host.peers[0]->ended; }));
 }
 
-TEST_F(Crossings, OtherIdsGoOnUsingTheConnection) {
+TEST_F(Crossings, OtherIdsReuseTheConnection) {
     std::string id;
     host.onRequest = [&](Peer& peer) { peer.send(counted(id, "x")); };
     for (int number = 0; number < 40; ++number) {
@@ -92,7 +92,7 @@
 
 // ---- bytes that come before they could be an answer
 
-TEST_F(Crossings, BytesAheadOfTheRequestAreNoAnswerToIt) {
+TEST_F(Crossings, BytesBeforeTheRequestAreNotItsAnswer) {
     const std::vector<std::pair<std::string, FailureKind>> cases = {
         {counted("of-another", "x"), FailureKind::foreignAnswer},
         {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", FailureKind::foreignAnswer},
@@ -112,9 +112,9 @@
     }
 }
 
-// ---- a kept connection that the host resets
+// ---- a persistent connection that the host resets
 
-TEST_F(Crossings, AKeptConnectionThatIsResetBeforeItIsUsedIsNotUsed) {
+TEST_F(Crossings, UnusedConnectionThatWasResetIsNotReused) {
     host.onRequest = [&](Peer& peer) { peer.send(counted("a1", "x")); };
     EXPECT_TRUE(exchange(request("a1")).ended);
     host.peers[0]->reset();
@@ -125,7 +125,7 @@
     EXPECT_EQ(arrivals("a2"), 1u);
 }
 
-TEST_F(Crossings, ARequestOnAKeptConnectionThatIsResetIsNotSentAgainFromHere) {
+TEST_F(Crossings, RequestOnReusedConnectionIsNotRetriedWhenReset) {
     host.onRequest = [&](Peer& peer) { peer.send(counted("a1", "x")); };
     EXPECT_TRUE(exchange(request("a1")).ended);
     host.onRequest = [&](Peer& peer) { peer.reset(); };
@@ -134,13 +134,13 @@
     EXPECT_EQ(next.failure->kind, FailureKind::resetBeforeAnswer);
     EXPECT_TRUE(next.failure->reused);
     EXPECT_TRUE(next.failure->sent);  // it may have run
-    settle(io);
+    runReadyHandlers(io);
     EXPECT_EQ(arrivals("a2"), 1u);
     EXPECT_EQ(host.peers.size(), 1u);
 }
 
-// Only a part of the request was taken by the host's system.
-TEST_F(Crossings, ARequestOfWhichAPartHasLeftCountsAsSent) {
+// Only a part of the request reached the host's system.
+TEST_F(Crossings, PartlyWrittenRequestCountsAsSent) {
     bool reset = false;
     host.onRequest = [&](Peer& peer) {
         reset = true;
@@ -153,9 +153,9 @@
     EXPECT_TRUE(outcome.failure->sent);
 }
 
-// ---- an answer before the whole request was read
+// ---- an answer before the complete request was read
 
-TEST_F(Crossings, NothingFollowsABodyThatWasCutByAnEarlyAnswer) {
+TEST_F(Crossings, ConnectionIsNotReusedAfterBodyTruncatedByEarlyAnswer) {
     constexpr std::size_t kBody = 32 * 1024 * 1024;  // more than the systems hold between them
     host.onRequest = [&](Peer& peer) {
         peer.onData = nullptr;
@@ -178,8 +178,8 @@
     EXPECT_LT(first->got.size() - body, kBody);
 }
 
-// The whole body was with the systems already: the next request stands behind it.
-TEST_F(Crossings, TheNextRequestFollowsAWholeBodyThatWasAnsweredEarly) {
+// The complete body was with the systems already: the next request stands behind it.
+TEST_F(Crossings, ConnectionIsReusedAfterCompleteBodyAnsweredEarly) {
     constexpr std::size_t kBody = 16 * 1024;
     host.onRequest = [&](Peer& peer) {
         peer.onData = nullptr;
@@ -208,7 +208,7 @@
 
 // ---- an answer without a length
 
-TEST_F(Crossings, AnAnswerWithoutALengthIsWholeOnlyAtACleanEnd) {
+TEST_F(Crossings, AnswerWithoutLengthIsCompleteOnlyAtCleanClose) {
     for (const bool clean : {true, false}) {
         host.onRequest = [&](Peer& peer) { peer.send(answer("a1", "", "so far")); };
         Outcome outcome;
@@ -227,7 +227,7 @@
 }
 
 // The reset meets a write that waits: the system tells it to the write alone, and the end to who reads.
-TEST_F(Crossings, AResetThatTheRequestsOwnWriteIsToldOfIsNoCleanEnd) {
+TEST_F(Crossings, ResetReportedToWriteIsNoCleanClose) {
     host.onRequest = [](Peer& peer) {
         peer.onData = nullptr;
         peer.slow = true;  // reads no more
@@ -245,7 +245,7 @@
 }
 
 // Whatever it says of the connection, what follows would be body.
-TEST_F(Crossings, AnAnswerWithoutALengthTakesAllThatFollowsForItsBody) {
+TEST_F(Crossings, AnswerWithoutLengthReadsBodyToTheEnd) {
     host.onRequest = [&](Peer& peer) {
         peer.send(answer("a1", "Connection: keep-alive\r\n", "body") + counted("a2", "no answer"));
     };
@@ -261,29 +261,29 @@
     EXPECT_FALSE(outcome.over());
 }
 
-// ---- an answer that is cut at any byte
+// ---- an answer that is truncated at any byte
 
-TEST_F(Crossings, AnAnswerThatIsCutAtAnyByteIsNotWhole) {
+TEST_F(Crossings, AnswerTruncatedAtAnyByteIsNotComplete) {
     const std::vector<std::string> answers = {
         counted("a1", "body"),
         answer("a1", "Transfer-Encoding: chunked\r\n", "4\r\nbody\r\n0\r\nTrailer: x\r\n\r\n"),
         "HTTP/1.1 100 Continue\r\n\r\n" + counted("a1", "body")};
-    for (const std::string& whole : answers) {
-        for (std::size_t size = 0; size < whole.size(); ++size) {
+    for (const std::string& complete : answers) {
+        for (std::size_t size = 0; size < complete.size(); ++size) {
             const bool clean = size % 2 == 0;
             host.onRequest = [&](Peer& peer) {
-                asio::write(peer.socket, asio::buffer(whole.substr(0, size)));
+                asio::write(peer.socket, asio::buffer(complete.substr(0, size)));
                 clean ? peer.close() : peer.reset();
             };
             const Outcome outcome = exchange(request("a1"));
-            EXPECT_FALSE(outcome.ended) << size << " bytes of " << whole;
+            EXPECT_FALSE(outcome.ended) << size << " bytes of " << complete;
             EXPECT_TRUE(outcome.failure && outcome.failure->sent);
         }
     }
 }
 
-// HEAD, 204 and 304: bytes in the place of a body belong to no request, in the same piece and late.
-TEST_F(Crossings, ABodyWhereThereIsNoneIsNotTheNextAnswer) {
+// HEAD, 204 and 304: bytes where a body would stand belong to no request, in the same chunk and late.
+TEST_F(Crossings, UnexpectedBodyIsNotTheNextAnswer) {
     const std::string late = counted("a2", "forged");
     for (const std::string status : {"204 No Content", "304 Not Modified", "200 OK"}) {
         const std::string head = "HTTP/1.1 " + status +
--- a/tests/upstream/erratic_host.hpp
+++ b/tests/upstream/erratic_host.hpp
@@ -1,5 +1,5 @@
-// A host on loopback that answers by chance in every way that a host may: whole, cut, reset, doubled, early, late, not at all. It
-// notes what it ran and which bodies it sent whole, and checks that nothing but requests and their bodies reaches it.
+// A host on loopback that answers by chance in every way that a host may: complete, truncated, reset, duplicated, early, late, not at all. It
+// notes what it ran and which bodies it sent completely, and checks that nothing but requests and their bodies reaches it.
 #pragma once
 
 #include <fmt/format.h>
@@ -20,17 +20,17 @@
     chunked,
     unframed,         // ends with the connection
     unframedReset,    // the same, and the connection is reset
-    cutClosed,        // a part of a framed answer, then the end
-    cutReset,         // then a reset
+    truncatedClosed,  // a part of a framed answer, then the end
+    truncatedReset,   // then a reset
     resetUnanswered,  // nothing
-    closedAfter,      // a whole answer, then the end without a word
-    doubled,          // a second copy in the same piece
+    closedAfter,      // a complete answer, then the end of the connection
+    doubled,          // a second copy in the same chunk
     doubledLate,      // a second copy when the next request has come, ahead of its answer
     doubledIdle,      // a second copy once the first has left
     interim,          // 1xx answers first
-    bodiless,         // 204, and bytes in the place of a body
+    bodiless,         // 204, and bytes where a body would stand
     foreign,          // an answer with another id
-    silent,
+    unresponsive,
     notExecuted,
     notExecutedDoubledLate,
 };
@@ -53,7 +53,7 @@
 public:
     struct Request {
         int runs = 0;
-        std::set<std::string> wholeBodies;  // that may look complete to its caller
+        std::set<std::string> completeBodies;  // that may look complete to its caller
     };
 
     ErraticHost(asio::io_context& io, std::uint64_t seed) : acceptor_(io), random_(seed) {
@@ -71,7 +71,7 @@
 
     std::map<std::string, Request> requests;
     std::array<std::size_t, kActs> met{};
-    std::size_t early = 0;              // answers before the whole body
+    std::size_t early = 0;              // answers before the complete body
     std::size_t lateCopiesAhead = 0;    // copies that went out ahead of another answer
     std::vector<std::string> offences;  // bytes that are neither a request nor its body
 
@@ -153,45 +153,45 @@
         void perform(Act act, Request& request) {
             switch (act) {
                 case Act::counted:
-                    return whole(request, counted());
+                    return sendComplete(request, counted());
                 case Act::chunked:
-                    return whole(request, chunked());
+                    return sendComplete(request, chunked());
                 case Act::unframed:
                     after_ = After::close;
-                    return whole(request, head("200 OK", "") + body_);
+                    return sendComplete(request, head("200 OK", "") + body_);
                 case Act::unframedReset:
                     after_ = After::reset;
                     out_ += head("200 OK", "") + body_;
                     return;
-                case Act::cutClosed:
+                case Act::truncatedClosed:
                     after_ = After::close;
-                    return cut();
-                case Act::cutReset:
+                    return sendTruncated();
+                case Act::truncatedReset:
                     after_ = After::reset;
-                    return cut();
+                    return sendTruncated();
                 case Act::resetUnanswered:
                     after_ = After::reset;
                     return;
                 case Act::closedAfter:
                     after_ = After::close;
-                    return whole(request, counted());
+                    return sendComplete(request, counted());
                 case Act::doubled:
-                    whole(request, counted());
+                    sendComplete(request, counted());
                     out_ += counted();
                     return;
                 case Act::doubledLate:
-                    whole(request, counted());
+                    sendComplete(request, counted());
                     lateCopy_ = counted();
                     return;
                 case Act::doubledIdle:
-                    whole(request, counted());
+                    sendComplete(request, counted());
                     copyOnceIdle_ = counted();
                     return;
                 case Act::interim:
                     out_ += "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
-                    return whole(request, chunked());
+                    return sendComplete(request, chunked());
                 case Act::bodiless:
-                    request.wholeBodies.insert("");
+                    request.completeBodies.insert("");
                     out_ += head("204 No Content", "") + (host_.random_() % 2 == 0 ? counted() : "");
                     return;
                 case Act::foreign: {
@@ -200,7 +200,7 @@
                     id_ = own;
                     return;
                 }
-                case Act::silent:
+                case Act::unresponsive:
                     return;
                 case Act::notExecuted:
                     out_ += refusal();
@@ -211,11 +211,11 @@
                     return;
             }
         }
-        void whole(Request& request, const std::string& bytes) {
-            request.wholeBodies.insert(body_);
+        void sendComplete(Request& request, const std::string& bytes) {
+            request.completeBodies.insert(body_);
             out_ += bytes;
         }
-        void cut() {
+        void sendTruncated() {
             const std::string bytes = host_.random_() % 2 == 0 ? counted() : chunked();
             out_ += bytes.substr(0, host_.random_() % bytes.size());
         }
@@ -229,8 +229,8 @@
         std::string chunked() const {
             std::string bytes = head("200 OK", "Transfer-Encoding: chunked\r\n");
             const std::size_t half = body_.size() / 2;
-            for (const std::string& piece : {body_.substr(0, half), body_.substr(half)})
-                if (!piece.empty()) bytes += fmt::format("{:x}\r\n{}\r\n", piece.size(), piece);
+            for (const std::string& chunk : {body_.substr(0, half), body_.substr(half)})
+                if (!chunk.empty()) bytes += fmt::format("{:x}\r\n{}\r\n", chunk.size(), chunk);
             return bytes + "0\r\nTrailer: x\r\n\r\n";
         }
         std::string refusal() const {
@@ -276,12 +276,12 @@
             accept();
         });
     }
-    // Half of the answers are whole and keep the connection, so that connections are used again; silence costs time.
+    // Half of the answers are complete and leave the connection open, so that connections are reused; time-outs cost time.
     Act drawAct() {
         const auto number = random_() % 100;
         if (number < 50) return number % 2 == 0 ? Act::counted : Act::chunked;
-        if (number == 50) return Act::silent;
-        return static_cast<Act>(random_() % kActs == static_cast<std::size_t>(Act::silent)
+        if (number == 50) return Act::unresponsive;
+        return static_cast<Act>(random_() % kActs == static_cast<std::size_t>(Act::unresponsive)
                                     ? static_cast<std::size_t>(Act::counted)
                                     : random_() % kActs);
     }
--- a/tests/upstream/event_stream_test.cpp
+++ b/tests/upstream/event_stream_test.cpp
@@ -1,4 +1,4 @@
-// Events split whole from pieces of any size, and none passed on twice.
+// Complete events from chunks of any size, and none passed on twice.
 #include "upstream/event_stream.hpp"
 
 #include <gtest/gtest.h>
@@ -16,16 +16,16 @@
     bool operator==(const Seen&) const = default;
 };
 
-std::vector<Seen> split(EventSplitter& splitter, const std::string& stream, std::size_t piece) {
+std::vector<Seen> split(EventSplitter& splitter, const std::string& stream, std::size_t chunk) {
     std::vector<Seen> seen;
-    for (std::size_t at = 0; at < stream.size(); at += piece)
-        splitter.feed(std::string_view(stream).substr(at, piece), [&](const StreamEvent& event) {
+    for (std::size_t at = 0; at < stream.size(); at += chunk)
+        splitter.feed(std::string_view(stream).substr(at, chunk), [&](const StreamEvent& event) {
             seen.push_back({std::string(event.bytes), std::string(event.id.value_or("-")), event.hasData});
         });
     return seen;
 }
 
-TEST(EventSplitter, SplitsWhateverTheBorders) {
+TEST(EventSplitter, SplitsEventsWhateverTheChunkBorders) {
     const std::vector<Seen> events = {{"id: 1\ndata: a\n\n", "1", true},
                                       {"versions: 7\r\nid:2\r\ndata: b\r\ndata: c\r\n\r\n", "2", true},
                                       {": comment\n\n", "-", false},
@@ -33,14 +33,14 @@
                                       {"id\ndata\n\n", "", true}};
     std::string stream;
     for (const Seen& event : events) stream += event.bytes;
-    for (std::size_t piece = 1; piece <= stream.size(); ++piece) {
+    for (std::size_t chunk = 1; chunk <= stream.size(); ++chunk) {
         EventSplitter splitter;
-        EXPECT_EQ(split(splitter, stream, piece), events) << "pieces of " << piece;
+        EXPECT_EQ(split(splitter, stream, chunk), events) << "chunks of " << chunk;
         EXPECT_EQ(splitter.pending(), 0u);
     }
 }
 
-TEST(EventSplitter, KeepsBackWhatIsNotWhole) {
+TEST(EventSplitter, BuffersIncompleteEvent) {
     EventSplitter splitter;
     EXPECT_EQ(split(splitter, "id: 1\ndata: a\n\nid: 2\ndata: b\n", 4).size(), 1u);
     EXPECT_GT(splitter.pending(), 0u);
@@ -49,7 +49,7 @@
     EXPECT_EQ(split(splitter, "id: 2\ndata: b\n\n", 100).front().bytes, "id: 2\ndata: b\n\n");
 }
 
-TEST(EventSplitter, RefusesAnOverlongEvent) {
+TEST(EventSplitter, RejectsOverlongEvent) {
     EventSplitter splitter;
     const std::string part(EventSplitter::kMaxEvent / 2, 'x');
     int events = 0;
@@ -61,7 +61,7 @@
     EXPECT_EQ(events, 0);
 }
 
-TEST(StreamEvent, FieldsByName) {
+TEST(StreamEvent, FindsFieldsByName) {
     EventSplitter splitter;
     splitter.feed("versions: 12\nid: 3\ndata: x\n\n", [](const StreamEvent& event) {
         EXPECT_EQ(event.field("versions"), "12");
@@ -77,7 +77,7 @@
     return admitted;
 }
 
-TEST(EventProgress, DropsWhatTheClientHas) {
+TEST(EventProgress, DropsEventsThatTheClientHas) {
     EventProgress progress;
     EXPECT_EQ(progress.lastId(), std::nullopt);
     EXPECT_TRUE(admit(progress, "id: 9\ndata\n\n"));
@@ -91,15 +91,15 @@
     EXPECT_EQ(progress.admitted(), 4u);
 }
 
-TEST(EventProgress, StartsBehindTheClientsId) {
+TEST(EventProgress, StartsAfterTheClientsLastEventId) {
     EventProgress progress;
     progress.startBehind("4");
     EXPECT_FALSE(admit(progress, "id: 4\n\n"));
     EXPECT_TRUE(admit(progress, "id: 5\n\n"));
-    EventProgress words;
-    words.startBehind("b");
-    EXPECT_FALSE(admit(words, "id: b\n\n"));
-    EXPECT_TRUE(admit(words, "id: a\n\n"));
+    EventProgress textIds;
+    textIds.startBehind("b");
+    EXPECT_FALSE(admit(textIds, "id: b\n\n"));
+    EXPECT_TRUE(admit(textIds, "id: a\n\n"));
 }
 
 }  // namespace
--- a/tests/upstream/exchange_fixture.hpp
+++ b/tests/upstream/exchange_fixture.hpp
@@ -14,14 +14,14 @@
 namespace beechpoint::upstream {
 
 using test::Peer;
+using test::runReadyHandlers;
 using test::ScriptedHost;
-using test::settle;
 using test::until;
 
 struct Outcome {
     std::optional<AnswerHead> head;
     std::string body;
-    std::size_t pieces = 0;
+    std::size_t chunks = 0;
     bool ended = false;
     std::optional<Failure> failure;
     bool over() const { return ended || failure.has_value(); }
@@ -34,7 +34,7 @@
 protected:
     ~Exchanges() override {
         upstream.reset();
-        settle(io);
+        runReadyHandlers(io);
     }
     static HostAddress addressOf(const asio::ip::tcp::endpoint& at) {
         return {at.address().to_string(), at.port()};
@@ -54,7 +54,7 @@
         handlers.onData = [&outcome](std::string_view bytes) {
             EXPECT_FALSE(outcome.over());
             outcome.body += bytes;
-            ++outcome.pieces;
+            ++outcome.chunks;
         };
         handlers.onEnd = [&outcome] {
             EXPECT_FALSE(outcome.over());
--- a/tests/upstream/exchange_test.cpp
+++ b/tests/upstream/exchange_test.cpp
@@ -12,7 +12,7 @@
         EXPECT_FALSE(HostAddress::parse(wrong)) << wrong;
 }
 
-TEST_F(Exchanges, SendsTheRequestAsItIs) {
+TEST_F(Exchanges, SendsRequestUnchanged) {
     std::string got;
     host.onRequest = [&](Peer& peer) {
         got = peer.got;
@@ -34,7 +34,7 @@
     EXPECT_EQ(outcome.body, "fine");
 }
 
-TEST_F(Exchanges, AddsTheAttemptIdAndFramesEmptyBodies) {
+TEST_F(Exchanges, AddsAttemptIdAndFramesEmptyBodies) {
     std::string got;
     host.onRequest = [&](Peer& peer) {
         got = std::exchange(peer.got, "");
@@ -46,7 +46,7 @@
     EXPECT_TRUE(got.ends_with("Content-Length: 0\r\n\r\n"));
 }
 
-TEST_F(Exchanges, FailsByKind) {
+TEST_F(Exchanges, ReportsKindOfFailure) {
     const std::string partHead = "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nContent-";
     EXPECT_EQ(kindOf("", true), FailureKind::resetBeforeAnswer);
     EXPECT_EQ(kindOf(partHead, true), FailureKind::brokenAnswer);
@@ -72,7 +72,7 @@
     EXPECT_EQ(upstream->exchanges(), 0u);
 }
 
-TEST_F(Exchanges, AResetIsNoEndOfAnAnswer) {
+TEST_F(Exchanges, ResetDoesNotCompleteAnswer) {
     host.onRequest = [](Peer& peer) {
         asio::write(peer.socket, asio::buffer(answer("a1", "", "part")));
         peer.reset();
@@ -83,7 +83,7 @@
                 outcome.failure->kind == FailureKind::resetBeforeAnswer);
 }
 
-TEST_F(Exchanges, NobodyListens) {
+TEST_F(Exchanges, ReportsNotConnectedWhenNobodyListens) {
     const HostAddress nobody = address();
     host.stop();
     const Outcome outcome = exchange(request("a1"), kLong, nobody);
@@ -95,7 +95,7 @@
 }
 
 // A full backlog leaves dials without an answer.
-TEST_F(Exchanges, DialsTimeOutAsNotConnected) {
+TEST_F(Exchanges, ReportsNotConnectedWhenDialTimesOut) {
     asio::ip::tcp::acceptor full(io);
     full.open(asio::ip::tcp::v4());
     full.bind(test::anyPort());
@@ -105,19 +105,19 @@
         fillers.emplace_back(io);
         fillers.back().async_connect(full.local_endpoint(), [](asio::error_code) {});
     }
-    settle(io);
+    runReadyHandlers(io);
     const Outcome outcome = exchange(request("a1"), 50, addressOf(full.local_endpoint()));
     ASSERT_TRUE(outcome.failure);
     EXPECT_EQ(outcome.failure->kind, FailureKind::notConnected);
     EXPECT_FALSE(outcome.failure->sent);
 }
 
-TEST_F(Exchanges, TimesOut) {
+TEST_F(Exchanges, ReportsTimedOutWhenHostDoesNotAnswer) {
     script("");
-    const Outcome silent = exchange(request("a1"), 50);
-    ASSERT_TRUE(silent.failure);
-    EXPECT_EQ(silent.failure->kind, FailureKind::timedOut);
-    EXPECT_TRUE(silent.failure->sent);
+    const Outcome unresponsive = exchange(request("a1"), 50);
+    ASSERT_TRUE(unresponsive.failure);
+    EXPECT_EQ(unresponsive.failure->kind, FailureKind::timedOut);
+    EXPECT_TRUE(unresponsive.failure->sent);
     script(answer("a1", "Content-Length: 9\r\n", "part"));
     const Outcome half = exchange(request("a1"), 50);
     ASSERT_TRUE(half.failure);
@@ -129,9 +129,9 @@
 
 TEST_F(Exchanges, BoundsConnectionsPerHost) {
     script("");
-    std::vector<Outcome> held(kConnections);
+    std::vector<Outcome> inFlight(kConnections);
     std::vector<Handle> handles;
-    for (Outcome& outcome : held) handles.push_back(begin(outcome, request("a1")));
+    for (Outcome& outcome : inFlight) handles.push_back(begin(outcome, request("a1")));
     const Outcome refused = exchange(request("a2"));
     ASSERT_TRUE(refused.failure);
     EXPECT_EQ(refused.failure->kind, FailureKind::noCapacity);
@@ -142,12 +142,12 @@
     Outcome cancelled;
     begin(cancelled, request("a3"));
     upstream->cancel(begin(cancelled, request("a4")));  // its refusal was on its way
-    settle(io);
+    runReadyHandlers(io);
     EXPECT_FALSE(cancelled.over());
-    for (const Outcome& outcome : held) EXPECT_FALSE(outcome.over());
+    for (const Outcome& outcome : inFlight) EXPECT_FALSE(outcome.over());
 }
 
-TEST_F(Exchanges, ReusesConnections) {
+TEST_F(Exchanges, ReusesUnusedConnection) {
     host.onRequest = [](Peer& peer) {
         const bool first = peer.has("a1");
         peer.got.clear();
@@ -165,7 +165,7 @@
 }
 
 // From within onEnd the connection can be had again.
-TEST_F(Exchanges, SendsAgainFromAHandler) {
+TEST_F(Exchanges, SendsNextRequestFromHandler) {
     int left = 5;
     const auto id = [&] { return "a" + std::to_string(left); };
     host.onRequest = [&](Peer& peer) {
@@ -183,7 +183,7 @@
     EXPECT_EQ(host.peers.size(), 1u);
 }
 
-TEST_F(Exchanges, DoesNotReuseWhatTheHostCloses) {
+TEST_F(Exchanges, DoesNotReuseConnectionThatHostCloses) {
     script(answer("a1", "Connection: close\r\nContent-Length: 1\r\n", "x"));
     EXPECT_TRUE(exchange(request("a1")).head->hostCloses);
     EXPECT_EQ(upstream->connections(), 0u);
@@ -195,8 +195,8 @@
     EXPECT_EQ(upstream->connections(), 0u);
 }
 
-TEST_F(Exchanges, SurplusBytesBelongToNoRequest) {
-    script(counted("a1", "one") + counted("a2", "forged"));  // in one piece
+TEST_F(Exchanges, ClosesConnectionWithSurplusBytes) {
+    script(counted("a1", "one") + counted("a2", "forged"));  // in one chunk
     EXPECT_EQ(exchange(request("a1")).body, "one");
     EXPECT_EQ(upstream->connections(), 0u);
     EXPECT_EQ(upstream->counts().surplus, 1u);
@@ -210,7 +210,7 @@
     EXPECT_FALSE(second.head->reused);
 }
 
-TEST_F(Exchanges, ALateSurplusAnswerIsForeign) {
+TEST_F(Exchanges, LateSurplusAnswerIsForeign) {
     host.onRequest = [](Peer& peer) {
         const bool first = peer.has("a1");
         peer.got.clear();
@@ -225,7 +225,7 @@
     EXPECT_EQ(upstream->connections(), 0u);
 }
 
-TEST_F(Exchanges, AnswersToRequestsWithoutAnId) {
+TEST_F(Exchanges, AcceptsAnswerToRequestWithoutId) {
     script("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     EXPECT_TRUE(exchange(request("")).ended);
     script(counted("a1", "of another"));
@@ -238,7 +238,7 @@
     EXPECT_TRUE(exchange(lenient).ended);
 }
 
-TEST_F(Exchanges, SeesThatTheHostEndedAnUnusedConnection) {
+TEST_F(Exchanges, DoesNotReuseConnectionThatHostEnded) {
     script(counted("a1", "x"));
     EXPECT_TRUE(exchange(request("a1")).ended);
     host.peers.back()->close();
@@ -250,7 +250,7 @@
     EXPECT_TRUE(until(io, [&] { return upstream->connections() == 0; }));
 }
 
-TEST_F(Exchanges, UnusedConnectionsEndBeforeTheHostEndsThem) {
+TEST_F(Exchanges, ClosesUnusedConnectionBeforeHostDoes) {
     UpstreamSettings settings;
     settings.idleWithoutKeepAlive = 20;
     settings.idleMargin = 980;
@@ -264,7 +264,7 @@
     }
 }
 
-TEST_F(Exchanges, CancelClosesAtOnceAndSaysNothing) {
+TEST_F(Exchanges, CancelClosesAtOnceAndCallsNoHandler) {
     script("");
     Outcome outcome;
     const Handle handle = begin(outcome, request("a1"));
@@ -279,26 +279,26 @@
     EXPECT_FALSE(outcome.over());
     Outcome dialling;
     upstream->cancel(begin(dialling, request("a1")));
-    settle(io);
+    runReadyHandlers(io);
     EXPECT_FALSE(dialling.over());
 }
 
-TEST_F(Exchanges, CancelFromWithinHandlers) {
+TEST_F(Exchanges, CancelWorksFromWithinHandlers) {
     script(answer("a1", "Transfer-Encoding: chunked\r\n", "1\r\na\r\n1\r\nb\r\n0\r\n\r\n"));
     Handle handle = 0;
-    int heads = 0, pieces = 0, ends = 0;
+    int heads = 0, chunks = 0, ends = 0;
     Handlers handlers;
     handlers.onHead = [&](const AnswerHead&) { ++heads; };
     handlers.onData = [&](std::string_view) {
-        ++pieces;
+        ++chunks;
         upstream->cancel(handle);
     };
     handlers.onEnd = [&] { ++ends; };
     handlers.onFailed = [&](const Failure&) { ++ends; };
     handle = upstream->send(address(), kConnections, request("a1"), kLong, handlers);
-    ASSERT_TRUE(until(io, [&] { return pieces > 0; }));
-    settle(io);
-    EXPECT_EQ(pieces, 1);
+    ASSERT_TRUE(until(io, [&] { return chunks > 0; }));
+    runReadyHandlers(io);
+    EXPECT_EQ(chunks, 1);
     EXPECT_EQ(ends, 0);
     handlers.onHead = [&](const AnswerHead&) {
         ++heads;
@@ -306,12 +306,12 @@
     };
     handle = upstream->send(address(), kConnections, request("a1"), kLong, handlers);
     ASSERT_TRUE(until(io, [&] { return heads == 2; }));
-    settle(io);
-    EXPECT_EQ(pieces, 1);
+    runReadyHandlers(io);
+    EXPECT_EQ(chunks, 1);
     EXPECT_EQ(ends, 0);
 }
 
-TEST_F(Exchanges, PassesPiecesOnBeforeTheEnd) {
+TEST_F(Exchanges, PassesOnDataBeforeTheEnd) {
     script(answer("a1", "Transfer-Encoding: chunked\r\n", "6\r\nid: 1\n\r\n"));
     Outcome outcome;
     begin(outcome, request("a1"));
@@ -324,7 +324,7 @@
     EXPECT_EQ(upstream->unused(address()), 1u);
 }
 
-TEST_F(Exchanges, AnswersToTheEndOfTheConnection) {
+TEST_F(Exchanges, ReadsAnswerToEndOfConnection) {
     script(answer("a1", "", "to the end"), true);
     const Outcome outcome = exchange(request("a1"));
     EXPECT_TRUE(outcome.ended);
@@ -332,7 +332,7 @@
     EXPECT_EQ(upstream->connections(), 0u);
 }
 
-TEST_F(Exchanges, AnswersWithoutABody) {
+TEST_F(Exchanges, ReadsAnswersWithoutBody) {
     for (const std::string status : {"204 No Content", "304 Not Modified"}) {
         const std::string id = status.substr(0, 3);
         script("HTTP/1.1 " + status + "\r\nX-Attempt-Id: " + id + "\r\n\r\n");
@@ -382,13 +382,13 @@
         const Outcome outcome = exchange(std::move(post));
         ASSERT_TRUE(outcome.ended);
         EXPECT_TRUE(outcome.body == *body);
-        EXPECT_GT(outcome.pieces, 1u);
+        EXPECT_GT(outcome.chunks, 1u);
     }
     EXPECT_EQ(host.peers.size(), 1u);
 }
 
-// An answer before the whole request was read: taken, but its connection is of no more use.
-TEST_F(Exchanges, AnEarlyAnswerIsTaken) {
+// An answer before the complete request was read: accepted, but its connection is not reused.
+TEST_F(Exchanges, AcceptsEarlyAnswer) {
     host.onRequest = [](Peer& peer) {
         peer.onData = nullptr;
         peer.slow = true;  // reads no more
@@ -402,7 +402,7 @@
     EXPECT_EQ(upstream->connections(), 0u);
 }
 
-TEST_F(Exchanges, PausesAndResumes) {
+TEST_F(Exchanges, PausesAndResumesReading) {
     const std::string body(8 * 1024 * 1024, 'x');
     script("");
     Outcome outcome;
@@ -411,9 +411,9 @@
     host.peers[0]->send(counted("a1", body));
     ASSERT_TRUE(until(io, [&] { return !outcome.body.empty(); }));
     upstream->pauseReading(handle);
-    settle(io);
+    runReadyHandlers(io);
     const std::size_t before = outcome.body.size();
-    settle(io);
+    runReadyHandlers(io);
     EXPECT_EQ(outcome.body.size(), before);
     EXPECT_LT(before, body.size());
     upstream->resumeReading(handle);
@@ -421,7 +421,7 @@
     EXPECT_EQ(outcome.body.size(), body.size());
 }
 
-TEST_F(Exchanges, DropsTheConnectionsOfVanishedHosts) {
+TEST_F(Exchanges, ClosesConnectionsOfRemovedHosts) {
     ScriptedHost other(io);
     script(counted("a1", "x"));
     other.onRequest = host.onRequest;
@@ -441,7 +441,7 @@
     EXPECT_EQ(upstream->connections(address()), 0u);
 }
 
-TEST_F(Exchanges, PoolsAreBounded) {
+TEST_F(Exchanges, BoundsNumberOfHosts) {
     UpstreamSettings settings;
     settings.hosts = 2;
     upstream = std::make_unique<Upstream>(io, clock, settings);
@@ -459,7 +459,7 @@
     EXPECT_EQ(upstream->connections(addressOf(hosts[3]->endpoint())), 1u);
 }
 
-TEST_F(Exchanges, ClosingAllTellsOpenExchanges) {
+TEST_F(Exchanges, CloseAllEndsOpenExchangesAsCancelled) {
     script("");
     Outcome open;
     begin(open, request("a1"));
@@ -469,11 +469,11 @@
     EXPECT_EQ(open.failure->kind, FailureKind::cancelled);
     EXPECT_TRUE(open.failure->sent);
     EXPECT_EQ(upstream->connections(), 0u);
-    Outcome silent;
-    begin(silent, request("a1"));
+    Outcome unresponsive;
+    begin(unresponsive, request("a1"));
     upstream.reset();
-    settle(io);
-    EXPECT_FALSE(silent.over());
+    runReadyHandlers(io);
+    EXPECT_FALSE(unresponsive.over());
 }
 
 }  // namespace
--- a/tests/upstream/framing_test.cpp
+++ b/tests/upstream/framing_test.cpp
@@ -1,4 +1,4 @@
-// Heads and bodies: what is taken, and what is refused since it could be read in two ways.
+// Heads and bodies: what is accepted, and what is rejected since it could be read in two ways.
 #include "net/framing.hpp"
 
 #include <gtest/gtest.h>
@@ -17,8 +17,8 @@
     std::string method, target, body, rest;
 };
 
-// What the strict reader makes of `bytes`, fed in pieces of that size.
-Read readStrictly(const std::string& bytes, std::size_t piece, std::size_t maxHead = 1024,
+// What the strict reader makes of `bytes`, fed in chunks of that size.
+Read readStrictly(const std::string& bytes, std::size_t chunk, std::size_t maxHead = 1024,
                   std::size_t maxBody = 64 * 1024) {
     Buffer buffer;
     HttpReader reader(HttpReader::Kind::request, buffer);
@@ -27,7 +27,7 @@
     Read read;
     std::size_t at = 0;
     while (at < bytes.size() && read.state == HttpReader::State::more) {
-        const std::size_t size = std::min(piece, bytes.size() - at);
+        const std::size_t size = std::min(chunk, bytes.size() - at);
         std::memcpy(buffer.prepare(size).data(), bytes.data() + at, size);
         buffer.commit(size);
         at += size;
@@ -44,11 +44,11 @@
 }
 
 void expectState(const std::string& bytes, HttpReader::State state) {
-    for (const std::size_t piece : {std::size_t{1}, std::size_t{7}, bytes.size()})
-        EXPECT_EQ(readStrictly(bytes, piece).state, state) << "in pieces of " << piece << ": " << bytes;
+    for (const std::size_t chunk : {std::size_t{1}, std::size_t{7}, bytes.size()})
+        EXPECT_EQ(readStrictly(bytes, chunk).state, state) << "in chunks of " << chunk << ": " << bytes;
 }
 
-TEST(StrictReading, TakesWhatIsPlain) {
+TEST(StrictReading, AcceptsPlainRequests) {
     const std::pair<std::string, std::string> cases[] = {
         {head("Content-Length: 3\r\n") + "abc", "abc"},
         {head("content-length:3\r\n") + "abc", "abc"},
@@ -61,8 +61,8 @@
         {"GET /x?y=%20 HTTP/1.0\r\n\r\n", ""},
         {"OPTIONS * HTTP/1.1\r\nHost: h\r\nEmpty:\r\nBlank: a b\t c \r\n\r\n", ""}};
     for (const auto& [bytes, body] : cases) {
-        for (const std::size_t piece : {std::size_t{1}, std::size_t{5}, bytes.size()}) {
-            const Read read = readStrictly(bytes + "GET", piece);
+        for (const std::size_t chunk : {std::size_t{1}, std::size_t{5}, bytes.size()}) {
+            const Read read = readStrictly(bytes + "GET", chunk);
             EXPECT_EQ(read.state, HttpReader::State::complete) << bytes;
             EXPECT_EQ(read.body, body) << bytes;
             EXPECT_EQ(read.rest, "GET") << bytes;
@@ -70,7 +70,7 @@
     }
 }
 
-TEST(StrictReading, RefusesWhatCouldHideARequest) {
+TEST(StrictReading, RejectsAmbiguousFraming) {
     const std::string smuggled = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
     const std::string cases[] = {
         head("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + smuggled,
@@ -160,7 +160,7 @@
 }
 
 // Chunks of one byte take no more room than the body itself.
-TEST(StrictReading, SmallChunksAreMovedTogether) {
+TEST(StrictReading, JoinsSmallChunks) {
     Buffer buffer;
     HttpReader reader(HttpReader::Kind::request, buffer);
     reader.strict();
@@ -177,7 +177,7 @@
     EXPECT_EQ(reader.message().body, std::string(5000, 'x'));
 }
 
-TEST(StrictReading, TrailersAreNoHeaders) {
+TEST(StrictReading, DoesNotTakeTrailersForHeaders) {
     Buffer buffer;
     HttpReader reader(HttpReader::Kind::request, buffer);
     reader.strict();
@@ -188,7 +188,7 @@
     EXPECT_EQ(reader.message().count("X-Attempt-Id"), 0u);
 }
 
-TEST(AnswerHead, TakesAndRefuses) {
+TEST(AnswerHead, AcceptsSoundAndRejectsMalformedHeads) {
     for (const std::string line :
          {"HTTP/1.1 200 OK", "HTTP/1.1 200", "HTTP/1.1 200 ", "HTTP/1.0 404 Not Found"})
         EXPECT_TRUE(parseAnswerHead(line + "\r\n\r\n")) << line;
@@ -197,7 +197,7 @@
         EXPECT_FALSE(parseAnswerHead(line + "\r\n\r\n")) << line;
 }
 
-TEST(AnswerHead, Framing) {
+TEST(AnswerHead, DeterminesBodyFraming) {
     using Kind = BodyFraming::Kind;
     const auto framing = [](const std::string& text, std::string_view method = "GET") {
         return answerFraming(*parseAnswerHead("HTTP/1.1 " + text + "\r\n\r\n"), method);
--- a/tests/upstream/headers_test.cpp
+++ b/tests/upstream/headers_test.cpp
@@ -6,7 +6,7 @@
 namespace beechpoint::upstream {
 namespace {
 
-TEST(EndToEndHeaders, DropsWhatConcernsOneConnection) {
+TEST(EndToEndHeaders, DropsHopByHopHeaders) {
     const Headers all = {{"Host", "h"},
                          {"connection", "keep-alive, X-Hop ,Host, X-Attempt-Id"},
                          {"Keep-Alive", "timeout=5"},
@@ -23,15 +23,15 @@
                          {"X-Server-Seal", "s"},
                          {"Accept", "a"},
                          {"Accept", "b"}};
-    const Headers kept = {
+    const Headers endToEnd = {
         {"Host", "h"}, {"X-Attempt-Id", "a1"}, {"X-Server-Seal", "s"}, {"Accept", "a"}, {"Accept", "b"}};
-    EXPECT_EQ(endToEndHeaders(all), kept);
+    EXPECT_EQ(endToEndHeaders(all), endToEnd);
     HeaderViews views;
     for (const Header& header : all) views.emplace_back(header.name, header.value);
-    EXPECT_EQ(endToEndHeaders(views), kept);
+    EXPECT_EQ(endToEndHeaders(views), endToEnd);
 }
 
-TEST(EndToEndHeaders, SeveralConnectionHeadersCount) {
+TEST(EndToEndHeaders, DropsHeadersNamedBySeveralConnectionHeaders) {
     EXPECT_EQ(endToEndHeaders(Headers{
                   {"Connection", "A"}, {"Connection", "close,B"}, {"a", "1"}, {"b", "2"}, {"c", "3"}}),
               (Headers{{"c", "3"}}));
--- a/tests/upstream/loopback.hpp
+++ b/tests/upstream/loopback.hpp
@@ -32,7 +32,7 @@
 }
 
 // Carries out what is due now.
-inline void settle(asio::io_context& io) {
+inline void runReadyHandlers(asio::io_context& io) {
     io.restart();
     while (io.poll() > 0) io.restart();
 }
@@ -55,8 +55,8 @@
                                });
     }
     void send(std::string_view bytes) {
-        const auto kept = std::make_shared<std::string>(bytes);
-        asio::async_write(socket, asio::buffer(*kept), [kept](asio::error_code, std::size_t) {});
+        const auto shared = std::make_shared<std::string>(bytes);
+        asio::async_write(socket, asio::buffer(*shared), [shared](asio::error_code, std::size_t) {});
     }
     void close() {
         asio::error_code ignored;
@@ -103,7 +103,7 @@
     void stop() { acceptor_.close(); }
 
     std::vector<PeerPtr> peers;
-    // Called with the bytes that have come on that connection since it was last called with a whole head among them.
+    // Called with the bytes that have come on that connection since it was last called with a complete head among them.
     std::function<void(Peer&)> onRequest = [](Peer&) {};
     std::size_t requests = 0;
 
--- a/tests/upstream/random_exchange_test.cpp
+++ b/tests/upstream/random_exchange_test.cpp
@@ -1,6 +1,6 @@
 // Exchanges with a host that misbehaves by chance, under callers who retry as the failures allow, leave, and read slowly. Three
 // things must hold on every seed: no answer is taken for another request's, a request that must not be repeated runs at most once,
-// and nothing that is not whole looks complete.
+// and nothing incomplete looks complete.
 #include <algorithm>
 
 #include "erratic_host.hpp"
@@ -17,10 +17,10 @@
 constexpr std::size_t kCallers = 6;
 constexpr std::size_t kLargeBody = 8 * 1024 * 1024;  // more than the systems hold between them
 constexpr int kMostAttempts = 4;
-constexpr Millis kPatience = 150;  // short, since silence is one of the host's ways
+constexpr Millis kPatience = 150;  // short, since not answering is one of the host's ways
 
 struct Tally {
-    std::map<std::string, bool> repeatable;  // the requests of this seed
+    std::map<std::string, bool> idempotent;  // the requests of this seed
     std::size_t complete = 0, failed = 0, refused = 0, again = 0, left = 0, reused = 0;
 };
 
@@ -40,7 +40,7 @@
     void next() {
         if (begun_ >= kRequests) return;
         id_ = "r" + std::to_string(++begun_);
-        repeatable_ = tally_.repeatable[id_] = random_() % 2 == 0;
+        idempotent_ = tally_.idempotent[id_] = random_() % 2 == 0;
         const std::size_t size = random_() % 4 == 0 ? random_() % kLargeBody : random_() % 5000;
         body_ =
             random_() % 2 == 0 ? std::make_shared<const std::string>(test::requestBody(id_, size)) : nullptr;
@@ -76,18 +76,18 @@
         const ErraticHost::Request& seen = host_.requests[id_];
         if (head_.status == 503) {
             ++tally_.refused;
-            if (!repeatable_) {
-                EXPECT_EQ(seen.runs, 0) << id_ << ": told that it did not run";
+            if (!idempotent_) {
+                EXPECT_EQ(seen.runs, 0) << id_ << ": reported as not executed";
             }
             return again();
         }
         ++tally_.complete;
-        EXPECT_TRUE(seen.wholeBodies.contains(got_)) << id_ << ": " << got_.substr(0, 60);
+        EXPECT_TRUE(seen.completeBodies.contains(got_)) << id_ << ": " << got_.substr(0, 60);
     }
     void onFailed(const Failure& failure) {
         handle_ = 0;
         ++tally_.failed;
-        if (repeatable_ || !failure.sent) again();
+        if (idempotent_ || !failure.sent) again();
     }
     void again() {
         if (attempts_ >= kMostAttempts) return;
@@ -103,7 +103,7 @@
     Tally& tally_;
     std::string id_, got_;
     AnswerHead head_;
-    bool repeatable_ = false;
+    bool idempotent_ = false;
     std::shared_ptr<const std::string> body_;
     int attempts_ = 0;
     Handle handle_ = 0;
@@ -116,7 +116,7 @@
         upstream = std::make_unique<Upstream>(io, clock);
         std::mt19937_64 random(seed * 7919);
         std::size_t begun = 0;
-        tally.repeatable.clear();
+        tally.idempotent.clear();
         std::vector<std::unique_ptr<Caller>> callers;
         for (std::size_t i = 0; i < kCallers; ++i)
             callers.push_back(std::make_unique<Caller>(*upstream, addressOf(erratic.endpoint()), erratic,
@@ -139,9 +139,9 @@
                               return done();
                           }))
             << "seed " << seed;
-        settle(io);
+        runReadyHandlers(io);
         for (const auto& [id, request] : erratic.requests) {
-            if (!tally.repeatable.at(id)) {
+            if (!tally.idempotent.at(id)) {
                 EXPECT_LE(request.runs, 1) << id << " of seed " << seed;
             }
         }
@@ -151,7 +151,7 @@
         lateCopiesAhead += erratic.lateCopiesAhead;
         EXPECT_EQ(upstream->exchanges(), 0u);
         upstream.reset();
-        settle(io);
+        runReadyHandlers(io);
     }
 
     Tally tally;
@@ -159,7 +159,7 @@
     std::size_t early = 0, lateCopiesAhead = 0;
 };
 
-TEST_F(RandomExchanges, AreToldTruly) {
+TEST_F(RandomExchanges, AreReportedTruly) {
     for (int seed = 1; seed <= kSeeds; ++seed) play(static_cast<std::uint64_t>(seed));
     for (std::size_t act = 0; act < test::kActs; ++act) EXPECT_GT(met[act], 5u) << "way " << act;
     EXPECT_GT(early, 50u);
