--- a/tests/upstream/server_test.cpp
+++ b/tests/upstream/server_test.cpp
@@ -14,10 +14,10 @@
 using net::HttpMessage;
 using ConnectionPtr = std::shared_ptr<HttpConnection>;
 using test::PeerPtr;
-using test::settle;
+using test::runReadyHandlers;
 using test::until;
 
-struct Taken {
+struct Received {
     std::string method, target, body;
     ConnectionPtr connection;
 };
@@ -27,9 +27,9 @@
     StrictServer() { start(limits()); }
     ~StrictServer() override {
         for (const PeerPtr& peer : peers) peer->close();
-        taken.clear();
+        received.clear();
         server.reset();
-        settle(io);
+        runReadyHandlers(io);
     }
 
     static net::HttpLimits limits() {
@@ -42,7 +42,7 @@
     void start(const net::HttpLimits& limits) {
         server = std::make_unique<net::HttpServer>(
             io, clock, log, 64, [this](const HttpMessage& m, const ConnectionPtr& c) {
-                taken.push_back({std::string(m.method), std::string(m.target), std::string(m.body), c});
+                received.push_back({std::string(m.method), std::string(m.target), std::string(m.body), c});
                 if (onRequest) onRequest(c);
             });
         server->limits(limits);
@@ -58,13 +58,13 @@
         return peer;
     }
     // The connection of the request that comes next.
-    ConnectionPtr take(const std::string& bytes, PeerPtr* peer = nullptr, bool slow = false) {
-        const std::size_t before = taken.size();
+    ConnectionPtr receive(const std::string& bytes, PeerPtr* peer = nullptr, bool slow = false) {
+        const std::size_t before = received.size();
         const PeerPtr asker = connect(slow);
         asker->send(bytes);
         if (peer != nullptr) *peer = asker;
-        EXPECT_TRUE(until(io, [&] { return taken.size() > before; }));
-        return taken.back().connection;
+        EXPECT_TRUE(until(io, [&] { return received.size() > before; }));
+        return received.back().connection;
     }
     void pass(Millis ms) { clock.set(clock.now() + ms); }
 
@@ -72,7 +72,7 @@
     Clock clock;
     Logger log{clock, logging::Format::text, -1};
     std::unique_ptr<net::HttpServer> server;
-    std::vector<Taken> taken;
+    std::vector<Received> received;
     std::vector<PeerPtr> peers;
     std::function<void(const ConnectionPtr&)> onRequest;
 };
@@ -80,7 +80,7 @@
 const std::string kGet = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
 const std::string kPost = "POST /a HTTP/1.1\r\nHost: h\r\n";
 
-TEST_F(StrictServer, RefusesAndCloses) {
+TEST_F(StrictServer, RejectsMalformedRequestAndCloses) {
     const std::pair<std::string, std::string> cases[] = {
         {kPost + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + kGet, " 400 "},
         {kPost + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + kGet, " 400 "},
@@ -95,11 +95,11 @@
         EXPECT_TRUE(peer->has("Connection: close")) << peer->got;
         EXPECT_EQ(peer->got.find("HTTP/1.1", 1), std::string::npos) << "more than one answer: " << peer->got;
     }
-    EXPECT_TRUE(taken.empty());
+    EXPECT_TRUE(received.empty());
 }
 
 // Closing with bytes unread would reset the connection, and the client would lose the answer with it.
-TEST_F(StrictServer, AClientThatIsStillSendingGetsItsRefusalWhole) {
+TEST_F(StrictServer, SendsCompleteRejectionToClientThatIsStillSending) {
     constexpr std::size_t kBody = 24 * 1024 * 1024;  // more than the systems hold between them
     const PeerPtr peer = ask(kPost + "Content-Length: " + std::to_string(kBody) + "\r\n\r\n");
     peer->send(std::string(kBody, 'x'));
@@ -107,31 +107,31 @@
     ASSERT_TRUE(until(io, [&] { return peer->ended; }));
     EXPECT_FALSE(peer->wasReset);
     EXPECT_EQ(peer->got.find("HTTP/1.1", 1), std::string::npos) << "more than one answer";
-    EXPECT_TRUE(taken.empty());
+    EXPECT_TRUE(received.empty());
 }
 
 // An answer that is given late, or once more, is for the request in hand or for none.
-TEST_F(StrictServer, AnAnswerGivenTwiceOrLateReachesNoOtherRequest) {
+TEST_F(StrictServer, DropsAnswerGivenTwiceOrLate) {
     PeerPtr peer;
-    const ConnectionPtr first = take(kGet, &peer);
+    const ConnectionPtr first = receive(kGet, &peer);
     first->respond(200, "text/plain", "first");
     first->respond(200, "text/plain", "once more");
     EXPECT_FALSE(first->beginStream(200, "", 1));
     ASSERT_TRUE(until(io, [&] { return peer->has("first"); }));
     first->respond(200, "text/plain", "once more");
-    const std::size_t before = taken.size();
+    const std::size_t before = received.size();
     peer->send(kGet);
-    ASSERT_TRUE(until(io, [&] { return taken.size() > before; }));
-    ASSERT_EQ(taken.back().connection, first);
+    ASSERT_TRUE(until(io, [&] { return received.size() > before; }));
+    ASSERT_EQ(received.back().connection, first);
     first->respond(200, "text/plain", "second");
     ASSERT_TRUE(until(io, [&] { return peer->has("second"); }));
     EXPECT_FALSE(peer->has("once more"));
 
-    PeerPtr gone, other;
-    const ConnectionPtr left = take(kGet, &gone);
-    gone->reset();
+    PeerPtr leaver, other;
+    const ConnectionPtr left = receive(kGet, &leaver);
+    leaver->reset();
     ASSERT_TRUE(until(io, [&] { return !left->waiting(); }));
-    const ConnectionPtr next = take(kGet, &other);
+    const ConnectionPtr next = receive(kGet, &other);
     ASSERT_NE(left, next);
     left->respond(200, "text/plain", "late");
     next->respond(200, "text/plain", "own");
@@ -140,25 +140,25 @@
 }
 
 // The limits change while one client's request is half read and another's is in hand.
-TEST_F(StrictServer, ARequestInHandKeepsItsAnswerWhenTheLimitsShrink) {
+TEST_F(StrictServer, AnswersRequestInFlightWhenLimitsShrink) {
     PeerPtr inHand;
     const std::string body(10'000, 'x');
-    const std::string whole = kPost + "Content-Length: 10000\r\n\r\n" + body;
-    const ConnectionPtr handled = take(whole, &inHand);
-    const PeerPtr half = ask(whole.substr(0, whole.size() - 1));
-    settle(io);
+    const std::string complete = kPost + "Content-Length: 10000\r\n\r\n" + body;
+    const ConnectionPtr handled = receive(complete, &inHand);
+    const PeerPtr half = ask(complete.substr(0, complete.size() - 1));
+    runReadyHandlers(io);
     net::HttpLimits small = limits();
     small.body = 5000;
     server->limits(small);
-    half->send(whole.substr(whole.size() - 1));
+    half->send(complete.substr(complete.size() - 1));
     ASSERT_TRUE(until(io, [&] { return half->ended; }));
     EXPECT_TRUE(half->has(" 413 ")) << half->got;
-    EXPECT_EQ(taken.size(), 1u);  // the half one was not taken
+    EXPECT_EQ(received.size(), 1u);  // the incomplete one was not handled
     handled->respond(200, "text/plain", "own");
     ASSERT_TRUE(until(io, [&] { return inHand->has("own"); }));
 }
 
-TEST_F(StrictServer, TakesLargeBodiesInBothCodings) {
+TEST_F(StrictServer, AcceptsLargeBodiesInBothCodings) {
     std::string body;
     for (int i = 0; body.size() < 4 * 1024 * 1024; ++i) body += std::to_string(i) + ",";
     std::string chunks;
@@ -166,28 +166,28 @@
         const std::string chunk = body.substr(at, size);
         chunks += fmt::format("{:x}\r\n{}\r\n", chunk.size(), chunk);
     }
-    take(kPost + fmt::format("Content-Length: {}\r\n\r\n", body.size()) + body);
-    EXPECT_EQ(taken.back().body, body);
-    take(kPost + "Transfer-Encoding: chunked\r\n\r\n" + chunks + "0\r\n\r\n");
-    EXPECT_EQ(taken.back().body, body);
+    receive(kPost + fmt::format("Content-Length: {}\r\n\r\n", body.size()) + body);
+    EXPECT_EQ(received.back().body, body);
+    receive(kPost + "Transfer-Encoding: chunked\r\n\r\n" + chunks + "0\r\n\r\n");
+    EXPECT_EQ(received.back().body, body);
 }
 
 TEST_F(StrictServer, ServesPipelinedRequestsInOrderOneAtATime) {
     const PeerPtr peer = ask(kPost + "Content-Length: 3\r\n\r\none" + kPost +
                              "Transfer-Encoding: chunked\r\n\r\n3\r\ntwo\r\n0\r\n\r\n" + kGet);
-    ASSERT_TRUE(until(io, [&] { return taken.size() == 1; }));
-    settle(io);
-    ASSERT_EQ(taken.size(), 1u);
+    ASSERT_TRUE(until(io, [&] { return received.size() == 1; }));
+    runReadyHandlers(io);
+    ASSERT_EQ(received.size(), 1u);
     for (std::size_t i = 0; i < 3; ++i) {
-        ASSERT_TRUE(until(io, [&] { return taken.size() == i + 1; }));
-        const ConnectionPtr connection = taken[i].connection;
+        ASSERT_TRUE(until(io, [&] { return received.size() == i + 1; }));
+        const ConnectionPtr connection = received[i].connection;
         ASSERT_TRUE(connection->beginStream(200, "", std::nullopt));
         connection->writeSome("answer" + std::to_string(i));
         connection->endStream();
     }
     ASSERT_TRUE(until(io, [&] { return peer->has("answer2\r\n0\r\n\r\n"); }));
-    EXPECT_EQ(taken[0].body, "one");
-    EXPECT_EQ(taken[1].body, "two");
+    EXPECT_EQ(received[0].body, "one");
+    EXPECT_EQ(received[1].body, "two");
     EXPECT_LT(peer->got.find("answer0"), peer->got.find("answer1"));
     EXPECT_LT(peer->got.find("answer1"), peer->got.find("answer2"));
     EXPECT_FALSE(peer->ended);
@@ -201,8 +201,8 @@
         c->endStream();
     };
     const PeerPtr peer = ask(kGet + kPost + "Content-Length: 1\r\n\r\nx" + kGet);
-    ASSERT_TRUE(until(io, [&] { return taken.size() == 3; }));
-    EXPECT_EQ(taken[1].body, "x");
+    ASSERT_TRUE(until(io, [&] { return received.size() == 3; }));
+    EXPECT_EQ(received[1].body, "x");
     ASSERT_TRUE(until(io, [&] {
         std::size_t answers = 0;
         for (auto at = peer->got.find("\r\n\r\nok"); at != std::string::npos;
@@ -216,9 +216,9 @@
     const PeerPtr peer = ask(kPost + "Expect: 100-continue\r\nContent-Length: 3\r\n\r\n");
     ASSERT_TRUE(until(io, [&] { return peer->has("HTTP/1.1 100 Continue\r\n\r\n"); }));
     peer->send("abc");
-    ASSERT_TRUE(until(io, [&] { return taken.size() == 1; }));
-    EXPECT_EQ(taken[0].body, "abc");
-    taken[0].connection->respond(200, "text/plain", "fine");
+    ASSERT_TRUE(until(io, [&] { return received.size() == 1; }));
+    EXPECT_EQ(received[0].body, "abc");
+    received[0].connection->respond(200, "text/plain", "fine");
     ASSERT_TRUE(until(io, [&] { return peer->has("fine"); }));
     const PeerPtr large = ask(kPost + "Expect: 100-continue\r\nContent-Length: 6000000\r\n\r\n");
     ASSERT_TRUE(until(io, [&] { return large->ended; }));
@@ -226,24 +226,24 @@
     EXPECT_FALSE(large->has(" 100 "));
 }
 
-TEST_F(StrictServer, HeadIsAnsweredWithoutABody) {
+TEST_F(StrictServer, AnswersHeadRequestWithoutBody) {
     PeerPtr peer;
-    ConnectionPtr connection = take("HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n", &peer);
+    ConnectionPtr connection = receive("HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n", &peer);
     ASSERT_TRUE(connection->beginStream(200, "", 5));
     connection->writeSome("12345");
     connection->endStream();
     ASSERT_TRUE(until(io, [&] { return peer->has("Content-Length: 5\r\n\r\n"); }));
     peer->send("HEAD /b HTTP/1.1\r\nHost: h\r\n\r\n");
-    ASSERT_TRUE(until(io, [&] { return taken.size() == 2; }));
+    ASSERT_TRUE(until(io, [&] { return received.size() == 2; }));
     connection->respond(404, "text/plain", "nothing here");
     ASSERT_TRUE(until(io, [&] { return peer->has("Content-Length: 12\r\n\r\n"); }));
     EXPECT_TRUE(peer->got.ends_with("\r\n\r\n")) << peer->got;
     EXPECT_FALSE(peer->has("12345"));
 }
 
-TEST_F(StrictServer, LimitsChangeWhileItRuns) {
+TEST_F(StrictServer, AppliesChangedLimitsWhileItRuns) {
     PeerPtr first;
-    ConnectionPtr connection = take(kPost + "Content-Length: 10\r\n\r\n0123456789", &first);
+    ConnectionPtr connection = receive(kPost + "Content-Length: 10\r\n\r\n0123456789", &first);
     net::HttpLimits smaller = limits();
     smaller.body = 9;
     smaller.head = 100;
@@ -256,12 +256,12 @@
     const PeerPtr second = ask("GET /" + std::string(100, 'x') + " HTTP/1.1\r\n\r\n");
     ASSERT_TRUE(until(io, [&] { return second->ended; }));
     EXPECT_TRUE(second->has(" 431 "));
-    EXPECT_EQ(taken.size(), 1u);
+    EXPECT_EQ(received.size(), 1u);
 }
 
-TEST_F(StrictServer, HalfAHeadIsAnswered408) {
+TEST_F(StrictServer, Answers408ToHalfAHead) {
     const PeerPtr peer = ask("GET /a HTTP/1.1\r\nHos");
-    settle(io);
+    runReadyHandlers(io);
     ASSERT_TRUE(until(io, [&] {
         pass(100);
         return peer->ended;
@@ -270,19 +270,19 @@
     EXPECT_TRUE(peer->has("Connection: close"));
 }
 
-// A body may take long as a whole, as long as it goes on.
-TEST_F(StrictServer, ABodyMayTakeLongButNotStall) {
+// A body may take long in total, as long as it goes on.
+TEST_F(StrictServer, ClosesWhenBodyStallsButNotWhenItIsSlow) {
     const PeerPtr peer = ask(kPost + "Content-Length: 10\r\n\r\n");
     ASSERT_TRUE(until(io, [&] { return server->connections() == 1; }));
     for (int i = 0; i < 10; ++i) {
-        settle(io);
+        runReadyHandlers(io);
         pass(1500);
         peer->send("x");
-        const std::size_t before = taken.size();
-        if (i < 9) settle(io);
-        EXPECT_EQ(taken.size(), before);
+        const std::size_t before = received.size();
+        if (i < 9) runReadyHandlers(io);
+        EXPECT_EQ(received.size(), before);
     }
-    ASSERT_TRUE(until(io, [&] { return taken.size() == 1; }));
+    ASSERT_TRUE(until(io, [&] { return received.size() == 1; }));
     EXPECT_FALSE(peer->has(" 408 "));
     const PeerPtr stalled = ask(kPost + "Content-Length: 10\r\n\r\nx");
     ASSERT_TRUE(until(io, [&] {
@@ -292,13 +292,13 @@
     EXPECT_TRUE(stalled->has(" 408 "));
 }
 
-TEST_F(StrictServer, IdleConnectionsAreAnnouncedAndClosed) {
+TEST_F(StrictServer, AnnouncesIdleTimeoutAndClosesIdleConnections) {
     net::HttpLimits announced = limits();
     announced.idle = 4500;
     announced.announceIdle = true;
     server->limits(announced);
     PeerPtr peer;
-    take(kGet, &peer)->respond(200, "text/plain", "fine");
+    receive(kGet, &peer)->respond(200, "text/plain", "fine");
     ASSERT_TRUE(until(io, [&] { return peer->has("fine"); }));
     EXPECT_TRUE(peer->has("Keep-Alive: timeout=3\r\n"));
     ASSERT_TRUE(until(io, [&] {
@@ -308,12 +308,12 @@
 }
 
 // Whoever has a request on its way when the server closes is answered before its connection ends.
-TEST_F(StrictServer, ClosingServesWhatCameBehind) {
+TEST_F(StrictServer, ClosingServesPipelinedRequest) {
     PeerPtr peer;
-    ConnectionPtr connection = take(kGet + kGet, &peer);
+    ConnectionPtr connection = receive(kGet + kGet, &peer);
     server->closing(true);
     connection->respond(200, "text/plain", "first");
-    ASSERT_TRUE(until(io, [&] { return taken.size() == 2; }));
+    ASSERT_TRUE(until(io, [&] { return received.size() == 2; }));
     EXPECT_FALSE(peer->has("Connection: close"));
     connection->respond(200, "text/plain", "second");
     ASSERT_TRUE(until(io, [&] { return peer->ended; }));
@@ -322,22 +322,22 @@
     EXPECT_FALSE(peer->wasReset);
 }
 
-TEST_F(StrictServer, ClosingIdleSparesARequestThatHasCome) {
+TEST_F(StrictServer, CloseIdleSparesConnectionWithRequest) {
     PeerPtr peer;
-    take(kGet, &peer)->respond(200, "text/plain", "first");
+    receive(kGet, &peer)->respond(200, "text/plain", "first");
     ASSERT_TRUE(until(io, [&] { return peer->has("first"); }));
     asio::write(peer->socket, asio::buffer(kGet));  // in the system's hands, not read yet
     server->closing(true);
     server->closeIdle(0);
-    ASSERT_TRUE(until(io, [&] { return taken.size() == 2; }));
-    taken[1].connection->respond(200, "text/plain", "second");
+    ASSERT_TRUE(until(io, [&] { return received.size() == 2; }));
+    received[1].connection->respond(200, "text/plain", "second");
     ASSERT_TRUE(until(io, [&] { return peer->ended; }));
     EXPECT_TRUE(peer->has("second"));
 }
 
-TEST_F(StrictServer, StreamsEachPieceAtOnce) {
+TEST_F(StrictServer, StreamsEachChunkAtOnce) {
     PeerPtr peer;
-    const ConnectionPtr connection = take(kGet, &peer);
+    const ConnectionPtr connection = receive(kGet, &peer);
     ASSERT_TRUE(connection->beginStream(200, "Content-Type: text/event-stream\r\n", std::nullopt));
     ASSERT_TRUE(until(io, [&] { return peer->has("\r\n\r\n"); }));
     EXPECT_TRUE(peer->has("Transfer-Encoding: chunked\r\n"));
@@ -354,24 +354,24 @@
     ASSERT_TRUE(until(io, [&] { return handedOver; }));
     EXPECT_FALSE(peer->ended);
     peer->send(kGet);  // the connection goes on
-    ASSERT_TRUE(until(io, [&] { return taken.size() == 2; }));
+    ASSERT_TRUE(until(io, [&] { return received.size() == 2; }));
 }
 
-TEST_F(StrictServer, TheHeadGoesWithTheFirstBytes) {
+TEST_F(StrictServer, SendsHeadWithFirstBytes) {
     PeerPtr peer;
-    const ConnectionPtr connection = take(kGet, &peer);
-    std::size_t pieces = 0;
-    peer->onData = [&](test::Peer&) { ++pieces; };
+    const ConnectionPtr connection = receive(kGet, &peer);
+    std::size_t chunks = 0;
+    peer->onData = [&](test::Peer&) { ++chunks; };
     connection->beginStream(200, "", 2);
     connection->writeSome("ok");
     connection->endStream();
     ASSERT_TRUE(until(io, [&] { return peer->has("\r\n\r\nok"); }));
-    EXPECT_EQ(pieces, 1u);
+    EXPECT_EQ(chunks, 1u);
 }
 
-TEST_F(StrictServer, AnAbortedStreamIsVisiblyBroken) {
+TEST_F(StrictServer, BreaksOffAbortedStreamVisibly) {
     PeerPtr chunked;
-    ConnectionPtr connection = take(kGet, &chunked);
+    ConnectionPtr connection = receive(kGet, &chunked);
     connection->beginStream(200, "", std::nullopt);
     connection->writeSome("part");
     connection->abortStream();
@@ -380,7 +380,7 @@
     EXPECT_FALSE(chunked->has("0\r\n\r\n"));
 
     PeerPtr counted;
-    connection = take(kGet, &counted);
+    connection = receive(kGet, &counted);
     connection->beginStream(200, "", 10);
     connection->writeSome("part");
     connection->endStream();  // short of its length
@@ -388,7 +388,7 @@
     EXPECT_TRUE(counted->got.ends_with("\r\n\r\npart"));
 
     PeerPtr old;
-    connection = take("GET /a HTTP/1.0\r\n\r\n", &old);
+    connection = receive("GET /a HTTP/1.0\r\n\r\n", &old);
     connection->beginStream(200, "", std::nullopt);
     connection->writeSome("part");
     ASSERT_TRUE(until(io, [&] { return old->has("part"); }));
@@ -398,9 +398,9 @@
     EXPECT_TRUE(old->wasReset) << "a plain close would be the end of the answer";
 }
 
-TEST_F(StrictServer, OldClientsGetTheBodyToTheEnd) {
+TEST_F(StrictServer, SendsBodyToEndOfConnectionToHttp10Client) {
     PeerPtr peer;
-    const ConnectionPtr connection = take("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", &peer);
+    const ConnectionPtr connection = receive("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", &peer);
     connection->beginStream(200, "", std::nullopt);
     connection->writeSome("whole");
     connection->endStream();
@@ -410,58 +410,58 @@
     EXPECT_FALSE(peer->wasReset);
 }
 
-TEST_F(StrictServer, MoreThanTheLengthIsNotSent) {
+TEST_F(StrictServer, SendsNoMoreThanTheLength) {
     PeerPtr peer;
-    const ConnectionPtr connection = take(kGet, &peer);
-    bool gone = false;
+    const ConnectionPtr connection = receive(kGet, &peer);
+    bool clientLeft = false;
     connection->beginStream(200, "", 3);
-    connection->whenGone([&] { gone = true; });
+    connection->whenGone([&] { clientLeft = true; });
     connection->writeSome("1234");
-    EXPECT_FALSE(gone) << "told from the loop";
-    ASSERT_TRUE(until(io, [&] { return gone && peer->ended; }));
+    EXPECT_FALSE(clientLeft) << "reported from the loop";
+    ASSERT_TRUE(until(io, [&] { return clientLeft && peer->ended; }));
     EXPECT_FALSE(peer->has("1234"));
 }
 
-TEST_F(StrictServer, TellsWhenTheClientLeavesAStream) {
+TEST_F(StrictServer, ReportsThatClientLeftStream) {
     PeerPtr peer;
-    ConnectionPtr connection = take(kGet, &peer);
-    bool gone = false;
-    connection->whenGone([&] { gone = true; });
+    ConnectionPtr connection = receive(kGet, &peer);
+    bool clientLeft = false;
+    connection->whenGone([&] { clientLeft = true; });
     connection->beginStream(200, "", std::nullopt);
     connection->writeSome("part");
     ASSERT_TRUE(until(io, [&] { return peer->has("part"); }));
-    EXPECT_FALSE(gone);
+    EXPECT_FALSE(clientLeft);
     peer->close();
-    ASSERT_TRUE(until(io, [&] { return gone; }));
+    ASSERT_TRUE(until(io, [&] { return clientLeft; }));
     EXPECT_EQ(connection->writeSome("more"), 0u);
     connection->endStream();
-    settle(io);
+    runReadyHandlers(io);
     EXPECT_EQ(server->connections(), 0u);
 }
 
-TEST_F(StrictServer, ASlowClientIsBoundedAndHoldsNoOther) {
+TEST_F(StrictServer, BoundsBufferOfSlowClientAndServesOthers) {
     PeerPtr slow;
-    const ConnectionPtr connection = take(kGet, &slow, true);
-    bool gone = false;
+    const ConnectionPtr connection = receive(kGet, &slow, true);
+    bool clientLeft = false;
     connection->beginStream(200, "", std::nullopt);
-    connection->whenGone([&] { gone = true; });
-    const std::string piece(64 * 1024, 'x');
+    connection->whenGone([&] { clientLeft = true; });
+    const std::string chunk(64 * 1024, 'x');
     std::size_t most = 0;
-    for (int i = 0; i < 1000 && !gone; ++i) {
-        most = std::max(most, connection->writeSome(piece));
-        settle(io);
+    for (int i = 0; i < 1000 && !clientLeft; ++i) {
+        most = std::max(most, connection->writeSome(chunk));
+        runReadyHandlers(io);
     }
-    EXPECT_TRUE(gone);
+    EXPECT_TRUE(clientLeft);
     EXPECT_GT(most, 0u);
     EXPECT_LE(most, limits().streamQueue);
     PeerPtr other;
-    take(kGet, &other)->respond(200, "text/plain", "fine");
+    receive(kGet, &other)->respond(200, "text/plain", "fine");
     ASSERT_TRUE(until(io, [&] { return other->has("fine"); }));
 }
 
-TEST_F(StrictServer, DrainsToAClientThatReadsLater) {
+TEST_F(StrictServer, ReportsDrainedWhenClientReadsLater) {
     PeerPtr slow;
-    const ConnectionPtr connection = take(kGet, &slow, true);
+    const ConnectionPtr connection = receive(kGet, &slow, true);
     std::string body;
     for (int i = 0; body.size() < 4 * 1024 * 1024; ++i) body += std::to_string(i) + ",";
     connection->beginStream(200, "", body.size());
@@ -473,7 +473,7 @@
     }
     ASSERT_GT(connection->queued(), 0u);
     connection->whenDrained([&] { drained = true; });
-    settle(io);
+    runReadyHandlers(io);
     EXPECT_FALSE(drained);
     slow->slow = false;
     slow->read();
@@ -487,27 +487,27 @@
     EXPECT_TRUE(drained);
 }
 
-TEST_F(StrictServer, AClientThatReadsNothingIsClosedInTime) {
+TEST_F(StrictServer, ClosesClientThatReadsNothing) {
     PeerPtr slow;
-    const ConnectionPtr connection = take(kGet, &slow, true);
-    bool gone = false;
+    const ConnectionPtr connection = receive(kGet, &slow, true);
+    bool clientLeft = false;
     connection->beginStream(200, "", std::nullopt);
-    connection->whenGone([&] { gone = true; });
-    const std::string piece(32 * 1024, 'x');
-    while (connection->queued() < 10 * piece.size()) {  // more than the system takes in between
-        connection->writeSome(piece);
-        settle(io);
+    connection->whenGone([&] { clientLeft = true; });
+    const std::string chunk(32 * 1024, 'x');
+    while (connection->queued() < 10 * chunk.size()) {  // more than the system takes in between
+        connection->writeSome(chunk);
+        runReadyHandlers(io);
     }
     ASSERT_TRUE(until(io, [&] {
         pass(500);
-        return gone;
+        return clientLeft;
     }));
 }
 
 // A quiet stream is not late: nothing waits for its client.
-TEST_F(StrictServer, AQuietStreamStays) {
+TEST_F(StrictServer, KeepsQuietStreamOpen) {
     PeerPtr peer;
-    const ConnectionPtr connection = take(kGet, &peer);
+    const ConnectionPtr connection = receive(kGet, &peer);
     connection->beginStream(200, "", std::nullopt);
     connection->writeSome("part");
     const PeerPtr witness = ask("GET /a HTTP/1.1\r\nHos");  // is closed by the sweep
@@ -519,9 +519,9 @@
     EXPECT_FALSE(peer->ended);
 }
 
-TEST_F(StrictServer, ClosingAllBreaksStreamsVisibly) {
+TEST_F(StrictServer, CloseAllBreaksOffStreamsVisibly) {
     PeerPtr peer;
-    const ConnectionPtr connection = take(kGet, &peer);
+    const ConnectionPtr connection = receive(kGet, &peer);
     connection->beginStream(200, "", std::nullopt);
     connection->writeSome("part");
     ASSERT_TRUE(until(io, [&] { return peer->has("part"); }));
@@ -531,14 +531,14 @@
 }
 
 // What the loop was about to call when the server ended does not touch it: here its timer has run out.
-TEST_F(StrictServer, MayEndWithItsTimerDue) {
-    const auto sweepDue = std::chrono::steady_clock::now() + std::chrono::milliseconds(300);
+TEST_F(StrictServer, MayBeDestroyedWithTimerDue) {
+    const auto sweepAt = std::chrono::steady_clock::now() + std::chrono::milliseconds(300);
     const PeerPtr peer = connect();
-    while (std::chrono::steady_clock::now() < sweepDue) std::this_thread::yield();
+    while (std::chrono::steady_clock::now() < sweepAt) std::this_thread::yield();
     io.restart();
     io.poll_one();  // finds what is due, and carries out only the first of it
     server.reset();
-    settle(io);
+    runReadyHandlers(io);
     EXPECT_TRUE(until(io, [&] { return peer->ended; }));
 }
 
