--- a/src/host_discovery/poller.cpp
+++ b/src/host_discovery/poller.cpp
@@ -48,7 +48,8 @@
         const Millis wait = std::max(0.0, *at - clock_.now());
         timer_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(wait * 1000)));
         timer_.async_wait([weak = weak_from_this(), generation = generation_](const asio::error_code& error) {
-            const auto self = weak.lock();  // a timer that has expired calls back also after its poller was destroyed
+            // A timer that has expired calls back also after its poller was destroyed.
+            const auto self = weak.lock();
             if (!error && self && generation == self->generation_) self->call();
         });
     }
--- a/src/upstream/connection.hpp
+++ b/src/upstream/connection.hpp
@@ -1,5 +1,5 @@
 /// One connection to a host: dials, carries one exchange at a time, and stays unused in between. Private to the module; its
-/// handlers keep it alive until its socket and timer have let go of it. Called from the loop's thread only.
+/// handlers keep it alive until their operations have ended. Called from the loop's thread only.
 ///
 ///   state      events
 ///   dialling   connected -> busy; refused, dial time-out -> closed
@@ -26,7 +26,7 @@
 class Connection;
 using ConnectionPtr = std::shared_ptr<Connection>;
 
-/// Who keeps the connections. Called before the exchange's own handler.
+/// The owner of the connections. Called before the exchange's own handler.
 class ConnectionOwner {
 public:
     /// The exchange is over. Its connection is unused or closed by then.
