--- a/src/control/host_list_distributor.cpp
+++ b/src/control/host_list_distributor.cpp
@@ -36,7 +36,7 @@
 bool HostListDistributor::offer(Millis now, std::shared_ptr<const host_discovery::HostList> list,
                                 Millis confirmedAt) {
     if (!consumer_.offer(std::move(list), confirmedAt, now)) return false;
-    history_.take(consumer_.list());
+    history_.add(consumer_.list());
     replacedAt_ = now;
     packedList_.clear();
     packedChanges_.clear();
--- a/src/control/host_list_distributor.hpp
+++ b/src/control/host_list_distributor.hpp
@@ -77,7 +77,7 @@
     [[nodiscard]] Millis readAge(Millis now) const;
 
     HostListReaderRole role_;
-    host_discovery::HostListConsumer consumer_;
+    host_discovery::NewestHostList consumer_;
     host_discovery::HostListHistory history_;  // of consumer_'s lists
     Millis replacedAt_ = 0;                    // when consumer_ accepted its list
     std::string packedList_;                   // empty: not packed yet
--- a/src/control/host_list_reader_role.cpp
+++ b/src/control/host_list_reader_role.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 void HostListReaderRole::update(Millis now, const CommittedTableSource* replica,
-                                const host_discovery::HostListConsumer& known) {
+                                const host_discovery::NewestHostList& known) {
     if (!replica || !replica->inView() || !replica->fresh(now)) {
         stop();
         return;
@@ -57,7 +57,7 @@
     return std::any_of(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(rank), reportsReading);
 }
 
-void HostListReaderRole::read(std::uint64_t epoch, const host_discovery::HostListConsumer& known) {
+void HostListReaderRole::read(std::uint64_t epoch, const host_discovery::NewestHostList& known) {
     fencingToken_ = epoch;
     const host_discovery::HostListVersion version = known.version();
     const std::uint64_t lastNumber = version.fencingToken == epoch ? version.number : 0;
--- a/src/control/host_list_reader_role.hpp
+++ b/src/control/host_list_reader_role.hpp
@@ -34,7 +34,7 @@
     /// @param replica null: this process may not read
     /// @param known the newest list known here
     void update(Millis now, const CommittedTableSource* replica,
-                const host_discovery::HostListConsumer& known);
+                const host_discovery::NewestHostList& known);
     void stop() { source_.stop(); }
 
     /// Another member reports whether it reads, and the newest version that it knows.
@@ -48,7 +48,7 @@
 private:
     [[nodiscard]] bool isReadBefore(const std::vector<std::string>& order, std::size_t rank,
                                     Millis now) const;
-    void read(std::uint64_t epoch, const host_discovery::HostListConsumer& known);
+    void read(std::uint64_t epoch, const host_discovery::NewestHostList& known);
 
     Millis startedAt_;
     HostListSource& source_;
--- a/src/gateway/drain_timeline.cpp
+++ b/src/gateway/drain_timeline.cpp
@@ -5,9 +5,9 @@
 namespace beechpoint::gateway {
 
 DrainTimeline::DrainTimeline(const DrainSettings& settings)
-    : leavingFor_(
-          std::min({settings.directoryTtl + kDirectoryLag, kMostLeaving, kLeavingPart * settings.grace})),
-      endsAfter_(std::max(settings.grace - kBeforeKill, kLeavingPart * settings.grace)) {
+    : leavingFor_(std::min(
+          {settings.directoryTtl + kDirectoryLag, kMaxLeaving, kMaxLeavingFraction * settings.grace})),
+      endsAfter_(std::max(settings.grace - kBeforeKill, kMaxLeavingFraction * settings.grace)) {
     mayEndAfter_ = std::clamp(settings.seedLag + kLagMargin, leavingFor_, endsAfter_);
 }
 
@@ -24,7 +24,7 @@
     return passed < endsAfter_ ? Phase::finishing : Phase::ended;
 }
 
-bool DrainTimeline::takes(Millis now, Millis mayLast) const {
+bool DrainTimeline::accepts(Millis now, Millis mayLast) const {
     if (listens(now)) return true;
     return now - beganAt_ + mayLast <= endsAfter_;
 }
--- a/src/host_discovery/host_list.cpp
+++ b/src/host_discovery/host_list.cpp
@@ -7,7 +7,7 @@
 namespace beechpoint::host_discovery {
 namespace {
 
-// Two ends of a span, in the same clock. Both over by `now`: the same.
+// Ends of two time spans, on the same clock. Both over by `now`: the same.
 bool sameMoment(Millis one, Millis other, Millis now, Millis tolerance) {
     if (one <= now && other <= now) return true;
     return std::abs(one - other) <= tolerance;
@@ -35,26 +35,26 @@
     return std::equal(one.hosts.begin(), one.hosts.end(), other.hosts.begin(), other.hosts.end(), same);
 }
 
-bool HostListConsumer::offer(std::shared_ptr<const HostList> list, Millis confirmedAt, Millis now) {
+bool NewestHostList::offer(std::shared_ptr<const HostList> list, Millis confirmedAt, Millis now) {
     if (!list) return false;
     if (list_ && list->version == list_->version) {
         confirm(list->version, confirmedAt);
         return false;
     }
-    const bool heldIsStale = list_ && now - confirmedAt_ > kStale && confirmedAt > confirmedAt_;
-    if (list_ && list->version < list_->version && !heldIsStale) return false;
+    const bool isStale = list_ && now - confirmedAt_ > kStale && confirmedAt > confirmedAt_;
+    if (list_ && list->version < list_->version && !isStale) return false;
     list_ = std::move(list);
     confirmedAt_ = confirmedAt;
     return true;
 }
 
-bool HostListConsumer::confirm(const HostListVersion& version, Millis confirmedAt) {
+bool NewestHostList::confirm(const HostListVersion& version, Millis confirmedAt) {
     if (!list_ || list_->version != version) return false;
     confirmedAt_ = std::max(confirmedAt_, confirmedAt);
     return true;
 }
 
-std::optional<Millis> HostListConsumer::age(Millis now) const {
+std::optional<Millis> NewestHostList::age(Millis now) const {
     if (!list_) return std::nullopt;
     return std::max(0.0, now - confirmedAt_);
 }
--- a/src/operator_client/call_plan.cpp
+++ b/src/operator_client/call_plan.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::string_view kScheme = "http://";
-constexpr double kLeastJitter = 0.75;  // of a pause
+constexpr double kMinJitter = 0.75;  // of a backoff
 constexpr double kJitterRange = 0.5;
 constexpr int kTemporaryRedirect = 307;
 constexpr int kRequestTimeout = 408;
@@ -33,20 +33,20 @@
     if (isSuccess(status)) return Over{Ending::done};
     if (isRefusal(status)) return Over{Ending::refused};
     if (status == kTemporaryRedirect) return follow(now, location);
-    maybeTaken_ = maybeTaken_ || settings_.changes;
-    return moveOn(now);
+    maybeApplied_ = maybeApplied_ || settings_.changes;
+    return callNext(now);
 }
 
 Step CallPlan::onFailure(Millis now, bool sent) {
-    maybeTaken_ = maybeTaken_ || (sent && settings_.changes);
-    return moveOn(now);
+    maybeApplied_ = maybeApplied_ || (sent && settings_.changes);
+    return callNext(now);
 }
 
-Step CallPlan::onPauseOver(Millis now) { return callMember(now); }
+Step CallPlan::onBackoffOver(Millis now) { return callMember(now); }
 
 Step CallPlan::follow(Millis now, std::string_view location) {
     Location there = parseLocation(location);
-    if (there.address.empty() || redirects_ >= kMaxRedirects) return moveOn(now);
+    if (there.address.empty() || redirects_ >= kMaxRedirects) return callNext(now);
     redirects_++;
     return call(now, std::move(there.address), std::move(there.target));
 }
@@ -62,17 +62,17 @@
     return Send{std::move(address), std::move(target), std::min(left, callTimeout_)};
 }
 
-Step CallPlan::moveOn(Millis now) {
+Step CallPlan::callNext(Millis now) {
     redirects_ = 0;
     member_ = (member_ + 1) % settings_.members.size();
     if (member_ != 0) return callMember(now);
-    const Millis length = pause_ * (kLeastJitter + kJitterRange * random_());
-    pause_ = std::min(2 * pause_, kLongestPause);
+    const Millis length = backoff_ * (kMinJitter + kJitterRange * random_());
+    backoff_ = std::min(2 * backoff_, kMaxBackoff);
     if (now + length + kShortestCall > deadline_) return giveUp();
-    return Pause{length};
+    return Backoff{length};
 }
 
-Step CallPlan::giveUp() const { return Over{maybeTaken_ ? Ending::unknown : Ending::unreachable}; }
+Step CallPlan::giveUp() const { return Over{maybeApplied_ ? Ending::unknown : Ending::unreachable}; }
 
 Location parseLocation(std::string_view location) {
     if (!location.starts_with(kScheme)) return {};
--- a/src/routing/routing_table.cpp
+++ b/src/routing/routing_table.cpp
@@ -8,13 +8,6 @@
 namespace beechpoint::routing {
 namespace {
 
-template <class Entry>
-std::shared_ptr<const Entry> entryNamed(const StringMap<std::shared_ptr<const Entry>>& entries,
-                                        std::string_view name) {
-    const auto found = entries.find(name);
-    return found == entries.end() ? nullptr : found->second;
-}
-
 std::string_view withoutPort(std::string_view host) {
     const std::size_t bracket = host.rfind(']');  // of an IPv6 address
     const std::size_t colon = host.find(':', bracket == std::string_view::npos ? 0 : bracket);
@@ -44,14 +37,14 @@
 }  // namespace
 
 const std::string& RouteEntry::backendFor(double draw) const {
-    for (const BackendWeight& share : shares)
-        if (draw < share.upTo) return share.service;
-    return shares.back().service;
+    for (const BackendWeight& weight : weights)
+        if (draw < weight.upTo) return weight.service;
+    return weights.back().service;
 }
 
 bool RouteEntry::leadsTo(std::string_view service) const {
-    return std::any_of(shares.begin(), shares.end(),
-                       [service](const BackendWeight& share) { return share.service == service; });
+    return std::any_of(weights.begin(), weights.end(),
+                       [service](const BackendWeight& weight) { return weight.service == service; });
 }
 
 bool RouteEntry::allows(std::string_view region) const {
@@ -71,11 +64,11 @@
 }
 
 std::shared_ptr<const RouteEntry> RoutingTable::routeNamed(std::string_view name) const {
-    return entryNamed(routes_, name);
+    return findEntry(routes_, name);
 }
 
 std::shared_ptr<const ServiceEntry> RoutingTable::service(std::string_view name) const {
-    return entryNamed(services_, name);
+    return findEntry(services_, name);
 }
 
 std::shared_ptr<const RoutingTable> RoutingTable::fromTable(const Table& table, Position position) {
--- a/tests/control/host_changes_test.cpp
+++ b/tests/control/host_changes_test.cpp
@@ -81,7 +81,7 @@
         ASSERT_TRUE(reply_->hostChanges) << member;
         EXPECT_FALSE(reply_->hostList);
         EXPECT_EQ(reply_->hostChanges->changes.changed.size(), 1u);
-        EXPECT_TRUE(reply_->hostChanges->changes.gone.empty());
+        EXPECT_TRUE(reply_->hostChanges->changes.removed.empty());
         newest_ = host_discovery::applyChanges(held_, reply_->hostChanges->changes, 0);
         ASSERT_TRUE(newest_);
     }
