--- a/src/control/host_list_reader_role.hpp
+++ b/src/control/host_list_reader_role.hpp
@@ -33,8 +33,7 @@
     /// Starts or stops reading as the view and the other members' reports say.
     /// @param replica null: this process may not read
     /// @param known the newest list known here
-    void update(Millis now, const CommittedTableSource* replica,
-                const host_discovery::NewestHostList& known);
+    void update(Millis now, const CommittedTableSource* replica, const host_discovery::NewestHostList& known);
     void stop() { source_.stop(); }
 
     /// Another member reports whether it reads, and the newest version that it knows.
--- a/src/gateway/dispatcher_updates.cpp
+++ b/src/gateway/dispatcher_updates.cpp
@@ -54,7 +54,7 @@
 }
 
 dispatch::HostList hostsOf(const host_discovery::HostList& list, const settings::ProcessSettings& settings,
-                        Millis now) {
+                           Millis now) {
     const Millis sinceRead = now - list.readAt;
     dispatch::HostList hosts;
     for (const host_discovery::Host& listed : list.hosts)
--- a/src/gateway/dispatcher_updates.hpp
+++ b/src/gateway/dispatcher_updates.hpp
@@ -13,6 +13,6 @@
 
 /// The hosts with their remaining times counted from `now`. The settings tell the zones' regions.
 [[nodiscard]] dispatch::HostList hostsOf(const host_discovery::HostList& list,
-                                      const settings::ProcessSettings& settings, Millis now);
+                                         const settings::ProcessSettings& settings, Millis now);
 
 }  // namespace beechpoint::gateway
