--- a/src/control/committed_table_source.hpp
+++ b/src/control/committed_table_source.hpp
@@ -16,7 +16,7 @@
 class CommittedTableSource {
 public:
     virtual ~CommittedTableSource() = default;
-    /// Whether the table may be served: this member is known to hold all that was acknowledged (replica::Replica::fresh()).
+    /// Whether the table may be served: this member is known to hold all that was acknowledged (replica::Replica::isFresh()).
     [[nodiscard]] virtual bool fresh(Millis now) const = 0;
     [[nodiscard]] virtual Position committedPosition() const = 0;
     /// Identity of the cluster by the committed table (configuration/cluster_identity.hpp); 0: it has none yet.
@@ -34,7 +34,7 @@
 class ReplicaTableSource final : public CommittedTableSource {
 public:
     explicit ReplicaTableSource(const replica::Replica& replica) : replica_(replica) {}
-    bool fresh(Millis now) const override { return replica_.fresh(now); }
+    bool fresh(Millis now) const override { return replica_.isFresh(now); }
     Position committedPosition() const override { return replica_.committedPosition(); }
     std::uint64_t clusterId() const override { return configuration::clusterId(replica_.committedTable()); }
     std::optional<TableUpdate> updateSince(Position held) const override {
@@ -42,7 +42,7 @@
     }
     const replica::Member& self() const override { return replica_.self(); }
     const replica::View& view() const override { return replica_.view(); }
-    bool inView() const override { return replica_.inView(); }
+    bool inView() const override { return replica_.isInView(); }
 
 private:
     const replica::Replica& replica_;
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -151,7 +151,7 @@
     }
 
     void answerReadiness(const std::shared_ptr<net::HttpConnection>& connection) const {
-        const bool ready = phase_ == Phase::serving && driver_.replica() && driver_.replica()->inView();
+        const bool ready = phase_ == Phase::serving && driver_.replica() && driver_.replica()->isInView();
         if (ready)
             connection->respond(kOk, kJson, R"({"ready":true})");
         else
--- a/src/control/control_settings.cpp
+++ b/src/control/control_settings.cpp
@@ -22,7 +22,7 @@
 leases::LeaseTable::Settings leaseSettingsOf(const settings::ProcessSettings& settings) {
     leases::LeaseTable::Settings leases;
     leases.leaseMs = std::clamp(kLeaseHeartbeats * settings.heartbeatMs, kShortestLease, kLongestLease);
-    leases.windowMs = settings.timingBounds.retryWindowS * kMillisPerSecond;
+    leases.peakWindowMs = settings.timingBounds.retryWindowS * kMillisPerSecond;
     return leases;
 }
 
@@ -62,7 +62,7 @@
     replica.self.internalAddress = settings.advertised(internalAddressOf(settings));
     replica.self.controlAddress = settings.advertised(settings.listenAddresses.control);
     replica.self.zone = settings.zone;
-    replica.self.counted = settings.countsAsLoss;
+    replica.self.countsAsLoss = settings.countsAsLoss;
     replica.seeds = settings.seedNodes;
     replica.bootstrap = settings.bootstrap;
     replica.tolerance.machines = static_cast<std::size_t>(std::max(0, settings.faultTolerance.machines));
--- a/src/control/directory_sample.cpp
+++ b/src/control/directory_sample.cpp
@@ -33,7 +33,7 @@
 std::uint64_t digestOf(const std::vector<leases::Gateway>& gateways) {
     std::uint64_t digest = 1;
     for (const leases::Gateway& gateway : gateways)
-        digest = SplitMix(digest ^ leases::idOf(gateway)).bits() | 1;
+        digest = SplitMix(digest ^ leases::registrationId(gateway)).bits() | 1;
     return digest;
 }
 
--- a/src/control/duty_service.cpp
+++ b/src/control/duty_service.cpp
@@ -100,7 +100,7 @@
         DutyReplica state;
         const replica::Replica* const replica = driver_.replica();
         if (!replica) return state;
-        state.fresh = replica->inView() && replica->fresh(clock_.now());
+        state.fresh = replica->isInView() && replica->isFresh(clock_.now());
         state.view = replica->view();
         state.table = replica->committedSnapshot();
         return state;
--- a/src/control/gateway_count_monitor.hpp
+++ b/src/control/gateway_count_monitor.hpp
@@ -16,7 +16,7 @@
 
 class GatewayCountMonitor {
 public:
-    /// A new value of LeaseTable::largestLive().
+    /// A new value of LeaseTable::peakLiveCount().
     /// @param largestLive nothing: the count is not known at the moment
     void observe(Millis now, std::optional<std::uint32_t> largestLive);
 
--- a/src/control/gateway_service.cpp
+++ b/src/control/gateway_service.cpp
@@ -50,7 +50,7 @@
     void tick() { perform(state_.tick(clock_.now(), table())); }
     void drain() { perform(state_.drain()); }
 
-    std::vector<leases::Gateway> liveGateways() const { return state_.leases().live(clock_.now()); }
+    std::vector<leases::Gateway> liveGateways() const { return state_.leases().liveGateways(clock_.now()); }
     bool readsHosts() const { return state_.hosts().reads(); }
     std::size_t pendingLongPolls() const { return state_.pendingLongPolls(); }
     bool waitsForFreshness() const { return state_.waitsForFreshness(); }
--- a/src/control/gateway_service_state.cpp
+++ b/src/control/gateway_service_state.cpp
@@ -65,7 +65,7 @@
     const bool isNewList = hosts_.onPeerUpdate(now, peerUpdate);
     reply.hostListVersion = hosts_.version();
     peerUpdates_.onPeerHostList(table, peerUpdate.member, peerUpdate.hostListVersion);
-    count_.observe(now, leases_.largestLive(now));
+    count_.observe(now, leases_.peakLiveCount(now));
     actions.gatewaysChanged = true;
     if (isNewList) answerAnswerable(now, table, 0, actions);
     return actions;
@@ -103,7 +103,7 @@
 ServiceActions GatewayServiceState::tick(Millis now, const CommittedTableSource* table) {
     ServiceActions actions;
     leases_.advanceTo(now);
-    const auto largestLive = leases_.largestLive(now);
+    const auto largestLive = leases_.peakLiveCount(now);
     count_.observe(now, largestLive);
     updateReaderRole(now, table);
     if (count_.shouldAnnounce(now, largestLive)) answerAll(now, table, polls_.takeAll(), actions);
@@ -128,7 +128,7 @@
     if (!leases_.renew(now, gateway)) return Renewal::refused;
     responder_.onRenewal(gateway);
     if (!isChanged) return Renewal::unchanged;
-    count_.observe(now, leases_.largestLive(now));
+    count_.observe(now, leases_.peakLiveCount(now));
     return Renewal::changed;
 }
 
--- a/src/control/intent_writer.cpp
+++ b/src/control/intent_writer.cpp
@@ -27,7 +27,7 @@
 // A write that has begun leaves the replica not writable until it ends.
 void IntentWriter::proceed() {
     endOverdue();
-    while (!waiting_.empty() && driver_.replica() && driver_.replica()->writable() && membersRespond()) {
+    while (!waiting_.empty() && driver_.replica() && driver_.replica()->isWritable() && membersRespond()) {
         Waiting next = std::move(waiting_.front());
         waiting_.pop_front();
         std::visit([this](auto& request) { write(request); }, next.request);
--- a/src/control/long_polls.hpp
+++ b/src/control/long_polls.hpp
@@ -26,7 +26,7 @@
 /// How long a poll waits for this member's table to become fresh. Milliseconds.
 inline constexpr Millis kNotFreshWait = 300;
 
-/// Whether this member may answer from its table (replica::Replica::fresh()).
+/// Whether this member may answer from its table (replica::Replica::isFresh()).
 enum class Freshness { fresh, notFresh };
 
 struct LongPoll {
--- a/src/control/peer_updates.cpp
+++ b/src/control/peer_updates.cpp
@@ -92,11 +92,11 @@
 
 void PeerUpdates::addLeases(Millis now, Peer& peer, PeerUpdate& peerUpdate) const {
     if (!peer.acceptsIncrements) {
-        peerUpdate.leases = leases_.granted(now);
+        peerUpdate.leases = leases_.grantedLeases(now);
         return;
     }
     if (peer.knownLeases.size() > 2 * maxGateways_) peer.knownLeases.clear();
-    for (const auto& granted : leases_.grantedSince(peer.acknowledgedUntil, now)) {
+    for (const auto& granted : leases_.leasesGrantedSince(peer.acknowledgedUntil, now)) {
         const bool isKnown = !peer.knownLeases.insert(granted.id).second;
         if (isKnown)
             peerUpdate.renewals.push_back({granted.id, static_cast<std::uint32_t>(std::floor(granted.age))});
--- a/src/control/poll_responder.cpp
+++ b/src/control/poll_responder.cpp
@@ -82,7 +82,7 @@
 void PollResponder::addDirectory(Millis now, const PollRequest& request, PollReply& reply) {
     if (!directoryUpdatedAt_ || now - *directoryUpdatedAt_ >= kDirectoryRefresh) {
         directoryUpdatedAt_ = now;
-        directory_.update(leases_.live(now));
+        directory_.update(leases_.liveGateways(now));
     }
     const DirectorySamples::Sample& sample = directory_.sampleFor(request.gateway);
     reply.directoryDigest = sample.digest;
@@ -96,8 +96,8 @@
 void PollResponder::addSmallState(Millis now, const CommittedTableSource& table, const PollRequest& request,
                                   PollReply& reply) {
     addDirectory(now, request, reply);
-    reply.liveGateways = leases_.count(now);
-    reply.largestLive = leases_.largestLive(now);
+    reply.liveGateways = leases_.liveCount(now);
+    reply.largestLive = leases_.peakLiveCount(now);
     addMembers(table, reply);
     if (request.wantsLoad) reply.othersLoad = leases_.loadOfOthers(now, request.gateway.name);
     reply.leaseMs = leaseMs_;
--- a/src/control/replica_codec.cpp
+++ b/src/control/replica_codec.cpp
@@ -15,7 +15,7 @@
 struct Fields<replica::Member> {
     static auto of(auto& member) {
         return std::tie(member.name, member.incarnation, member.session, member.internalAddress,
-                        member.controlAddress, member.zone, member.counted);
+                        member.controlAddress, member.zone, member.countsAsLoss);
     }
 };
 template <>
@@ -45,7 +45,7 @@
 template <>
 struct Fields<replica::HeartbeatReply> {
     static auto of(auto& message) {
-        return std::tie(message.sequence, message.sentAt, message.askedBySession, message.status);
+        return std::tie(message.sequence, message.sentAt, message.requesterSession, message.status);
     }
 };
 template <>
@@ -55,7 +55,7 @@
 template <>
 struct Fields<replica::Prepare> {
     static auto of(auto& message) {
-        return std::tie(message.proposal, message.base, message.founders, message.observed);
+        return std::tie(message.proposal, message.base, message.founders, message.observedDirectly);
     }
 };
 template <>
@@ -66,7 +66,7 @@
     }
 };
 template <>
-struct Fields<replica::Refuse> {
+struct Fields<replica::Reject> {
     static auto of(auto& message) { return std::tie(message.proposal, message.target, message.promised); }
 };
 template <>
--- a/src/control/replica_state.cpp
+++ b/src/control/replica_state.cpp
@@ -25,10 +25,10 @@
         return ChainEnd{member.controlAddress, isPeer && isResponsive(member.internalAddress)};
     };
     const auto& members = replica->view().members;
-    state.inView = replica->inView();
+    state.inView = replica->isInView();
     state.isHead = replica->isHead();
     state.isTail = replica->isTail();
-    state.writable = replica->writable();
+    state.writable = replica->isWritable();
     if (!members.empty()) {
         state.head = chainEnd(members.front());
         state.tail = chainEnd(members.back());
--- a/src/control/status.cpp
+++ b/src/control/status.cpp
@@ -86,9 +86,9 @@
 }  // namespace
 
 void describeReplica(const replica::Replica& replica, Millis now, MemberStatus& status) {
-    status.inView = replica.inView();
-    status.fresh = replica.fresh(now);
-    status.writable = replica.writable();
+    status.inView = replica.isInView();
+    status.fresh = replica.isFresh(now);
+    status.writable = replica.isWritable();
     status.view = replica.view();
     status.position = replica.committedPosition();
     status.revision = configuration::currentRevision(replica.committedTable());
--- a/src/leases/lease_table.hpp
+++ b/src/leases/lease_table.hpp
@@ -9,7 +9,7 @@
 ///   Invariant: the count of live gateways errs on the high side only. Whoever divides a budget by it stays within the budget.
 ///
 /// Completeness: in the first `leaseMs` after the start, and after a pause of the process (its leases ran out meanwhile,
-///   whether or not the gateways renewed them elsewhere), a live gateway may be missing here. count() and largestLive() are
+///   whether or not the gateways renewed them elsewhere), a live gateway may be missing here. liveCount() and peakLiveCount() are
 ///   empty until then.
 ///
 /// Ownership and threads: owns its leases; one thread uses it at a time, there is no lock.
@@ -56,20 +56,21 @@
 /// A renewal of a lease that was reported in full before: the id stands for all that the gateway reports of itself, so that
 /// the regular exchange between members stays small.
 struct Renewal {
-    std::uint64_t id = 0;     ///< idOf() the gateway
+    std::uint64_t id = 0;     ///< registrationId() the gateway
     std::uint32_t ageMs = 0;  ///< since the renewal
     bool operator==(const Renewal&) const = default;
 };
 
 /// Hash of all that a gateway reports of itself but its load.
-[[nodiscard]] std::uint64_t idOf(const Gateway& gateway);
+[[nodiscard]] std::uint64_t registrationId(const Gateway& gateway);
 
 class LeaseTable {
 public:
     struct Settings {
         Millis leaseMs = 3000;
-        Millis windowMs = 10000;   ///< over which largestLive() takes its maximum
-        Millis lateWakeMs = 1000;  ///< a longer time between two calls means that the process did not run
+        Millis peakWindowMs = 10000;  ///< over which peakLiveCount() takes its maximum
+        Millis maxAdvanceGapMs =
+            1000;  ///< a longer time between two calls means that the process did not run
         std::size_t maxGateways = 1024;  ///< at this size a further name is rejected and counted
     };
 
@@ -84,23 +85,23 @@
     /// What another member renewed. Returns the ids that name no lease known here: they have to be reported in full.
     [[nodiscard]] std::vector<std::uint64_t> mergeRenewals(Millis now, const std::vector<Renewal>& renewals);
 
-    /// To be called every few hundred ms (less than `lateWakeMs`): expires leases, records the count, notices a late wake.
+    /// To be called every few hundred ms (less than `maxAdvanceGapMs`): expires leases, records the count, notices a late wake.
     void advanceTo(Millis now);
 
     /// The live leases granted here, by name. All of them are reported each time, so that a lost report does no harm.
-    [[nodiscard]] std::vector<ReportedLease> granted(Millis now) const;
+    [[nodiscard]] std::vector<ReportedLease> grantedLeases(Millis now) const;
 
     /// A lease granted here; the pointer is valid until the next call that is not const.
-    struct Granted {
+    struct GrantedLease {
         const Gateway* gateway;
         std::uint64_t id;
         Millis age;
     };
-    /// Those of granted() whose grant or renewal is of `since` or later, by name.
-    [[nodiscard]] std::vector<Granted> grantedSince(Millis since, Millis now) const;
+    /// Those of grantedLeases() whose grant or renewal is of `since` or later, by name.
+    [[nodiscard]] std::vector<GrantedLease> leasesGrantedSince(Millis since, Millis now) const;
 
     /// The gateways whose lease runs, by name.
-    [[nodiscard]] std::vector<Gateway> live(Millis now) const;
+    [[nodiscard]] std::vector<Gateway> liveGateways(Millis now) const;
     /// The same with the ages of their leases.
     [[nodiscard]] std::vector<ReportedLease> liveLeases(Millis now) const;
     [[nodiscard]] bool isLive(const std::string& name, Millis now) const {
@@ -110,9 +111,9 @@
     [[nodiscard]] const Gateway* find(const std::string& name, Millis now) const;
 
     /// How many gateways have a lease; nothing while leases may be missing here.
-    [[nodiscard]] std::optional<std::uint32_t> count(Millis now) const;
-    /// The largest count within `windowMs`; nothing while leases may be missing here.
-    [[nodiscard]] std::optional<std::uint32_t> largestLive(Millis now) const;
+    [[nodiscard]] std::optional<std::uint32_t> liveCount(Millis now) const;
+    /// The largest count within `peakWindowMs`; nothing while leases may be missing here.
+    [[nodiscard]] std::optional<std::uint32_t> peakLiveCount(Millis now) const;
     /// Requests in flight by host, summed over all live gateways but `except`; by host name.
     [[nodiscard]] std::vector<InstanceLoad> loadOfOthers(Millis now, const std::string& except) const;
 
@@ -134,14 +135,16 @@
         std::uint32_t live = 0;
     };
 
-    bool runs(const Lease& lease, Millis now) const { return now - lease.grantedAt < settings_.leaseMs; }
+    bool isUnexpired(const Lease& lease, Millis now) const {
+        return now - lease.grantedAt < settings_.leaseMs;
+    }
     bool isComplete(Millis now) const { return now - incompleteSince_ >= settings_.leaseMs; }
     std::uint32_t countLive(Millis now) const;
     void expire(Millis now);
     void recordCount(Millis now);
     Lease* findOrAdd(const std::string& name);
-    bool acceptGrant(Lease& lease, Millis now, Millis grantedAt, Granter granter) const;
-    bool put(Millis now, Gateway gateway, Millis grantedAt, Granter granter);
+    bool updateGrant(Lease& lease, Millis now, Millis grantedAt, Granter granter) const;
+    bool storeGrant(Millis now, Gateway gateway, Millis grantedAt, Granter granter);
 
     Settings settings_;
     std::map<std::string, Lease> leases_;                   // by gateway's name
--- a/src/replica/assessment.hpp
+++ b/src/replica/assessment.hpp
@@ -15,14 +15,14 @@
     std::vector<Member> joiners;     // processes to take in, beyond members that only restarted
     bool restarted = false;          // a member of the view runs under another session
     bool unfinished =
-        false;              // a member promised for a view that did not come, or the view was never installed
-    bool voters = false;    // a vote is to change hands
-    bool observed = false;  // this process saw some cause itself
-    bool possible = true;   // what would be left is sufficient
+        false;            // a member promised for a view that did not come, or the view was never installed
+    bool voters = false;  // a vote is to change hands
+    bool observedDirectly = false;  // this process saw some cause itself
+    bool possible = true;           // what would be left is sufficient
 
-    bool any() const { return unfinished || anyBesidesUnfinished(); }
-    bool actionable() const { return any() && possible; }
-    bool onlyUnfinished() const { return !anyBesidesUnfinished(); }
+    bool isChangeNeeded() const { return unfinished || hasCauseBesidesUnfinished(); }
+    bool isActionable() const { return isChangeNeeded() && possible; }
+    bool isOnlyUnfinished() const { return !hasCauseBesidesUnfinished(); }
 
     /// The members of the next view by this assessment, in no order that counts.
     std::vector<Member> nextMembers(const View& view) const {
@@ -33,7 +33,9 @@
     }
 
 private:
-    bool anyBesidesUnfinished() const { return !excluded.empty() || !joiners.empty() || restarted || voters; }
+    bool hasCauseBesidesUnfinished() const {
+        return !excluded.empty() || !joiners.empty() || restarted || voters;
+    }
 };
 
 }  // namespace beechpoint::replica
--- a/src/replica/chain.cpp
+++ b/src/replica/chain.cpp
@@ -26,7 +26,7 @@
 void Chain::tick(Millis now) {
     if (write_ && now >= write_->deadline) finishWrite(WriteOutcome::unavailable);
     startingState_.advance(now);
-    if (membership_.active() && membership_.isHead() && now >= resendAt_) resend(now);
+    if (membership_.isActive() && membership_.isHead() && now >= resendAt_) resend(now);
 }
 
 void Chain::resend(Millis now) {
@@ -43,11 +43,11 @@
 // A learner gets what is committed: in an installed view that is the table without the pending batch.
 void Chain::onSyncRequest(const Message& message, const SyncRequest& request) {
     const View& view = membership_.view;
-    if (message.epoch != view.epoch || !synced()) return;
+    if (message.epoch != view.epoch || !isSynced()) return;
     std::optional<SyncReply> reply;
     if (view.findDisk(message.from))
         reply = table_.startingState(view, request, membership_.settings.syncChunkBytes);
-    else if (membership_.active() && installed_)
+    else if (membership_.isActive() && installed_)
         reply = table_.appliedState(request, membership_.settings.syncChunkBytes);
     if (reply) outbox_.send(message.from.internalAddress, std::move(*reply));
 }
@@ -60,7 +60,7 @@
 
 // Passes the opening on as soon as this member holds the starting state and has received the opening.
 void Chain::passOpening(Millis now) {
-    if (!membership_.active() || !synced() || installed_) return;
+    if (!membership_.isActive() || !isSynced() || installed_) return;
     if (!membership_.isHead() && !openingReceived_) return;
     if (storedItems_ == 0) itemStartedAt_ = now;
     storedItems_ = std::max<std::uint64_t>(storedItems_, 1);
@@ -69,7 +69,7 @@
         sendToPredecessor(membership_.view.start);
         return;
     }
-    resendAt_ = now + kChainRetry;
+    resendAt_ = now + kChainRetryInterval;
     sendToSuccessor(Propose{true, {}, Batch{membership_.view.start, {}}});
 }
 
@@ -106,21 +106,21 @@
 
 // ---- Batches
 
-bool Chain::writable() const {
-    return membership_.active() && membership_.isHead() && installed_ && !table_.pending() && !write_ &&
+bool Chain::isWritable() const {
+    return membership_.isActive() && membership_.isHead() && installed_ && !table_.pending() && !write_ &&
            !membership_.diskFailing && membership_.settings.tolerance.covers(membership_.view);
 }
 
-bool Chain::upToDate(Millis now) const {
-    return installed_ && (!table_.pending() || now - pendingSince_ <= kFreshFor);
+bool Chain::isUpToDate(Millis now) const {
+    return installed_ && (!table_.pending() || now - pendingSince_ <= kFreshDuration);
 }
 
-bool Chain::busy() const {
+bool Chain::isBusy() const {
     return write_ || table_.pending() || startingState_.isPersisting() || (membership_.index && !installed_);
 }
 
 void Chain::write(Millis now, const ClientWrite& write) {
-    if (!writable()) {
+    if (!isWritable()) {
         outbox_.emit(WriteDone{write.token, WriteOutcome::unavailable});
         return;
     }
@@ -137,10 +137,10 @@
 }
 
 void Chain::storePending(Millis now) {
-    if (outbox_.congested()) return;
+    if (outbox_.isCongested()) return;
     const Position position = table_.pending()->position;
     DurableUpdate update = table_.pendingUpdate();
-    pendingRetryAt_ = now + kChainRetry;
+    pendingRetryAt_ = now + kChainRetryInterval;
     ++pendingPersists_;
     outbox_.persist(std::move(update), [this, position](Millis at, bool stored) {
         --pendingPersists_;
@@ -157,7 +157,7 @@
 
 // The batch is stored here: on to the successor, or committed at the tail.
 void Chain::passPending(Millis now) {
-    if (!membership_.active() || !installed_ || !hasStoredBatchOfEpoch()) return;
+    if (!membership_.isActive() || !installed_ || !hasStoredBatchOfEpoch()) return;
     const Batch& batch = *table_.pending();
     const std::uint64_t item = 1 + batch.position.sequence - membership_.view.start.sequence;
     storedItems_ = std::max(storedItems_, item);
@@ -165,17 +165,17 @@
         commitPending(now);
         return;
     }
-    resendAt_ = now + kChainRetry;
+    resendAt_ = now + kChainRetryInterval;
     sendToSuccessor(Propose{false, table_.appliedPosition(), batch});
 }
 
 void Chain::onPropose(Millis now, const Message& message, const Propose& propose) {
     const Member* from = predecessor();
-    if (message.epoch != membership_.view.epoch || !membership_.active() || !from) return;
+    if (message.epoch != membership_.view.epoch || !membership_.isActive() || !from) return;
     if (!sameProcess(*from, message.from)) return;
     if (propose.opening)
         onOpening(now);
-    else if (synced() && !membership_.diskFailing)
+    else if (isSynced() && !membership_.diskFailing)
         onBatch(now, propose);
 }
 
@@ -207,8 +207,8 @@
 
 void Chain::onCommit(Millis now, const Message& message, const Commit& commit) {
     const Member* from = successor();
-    if (message.epoch != membership_.view.epoch || !membership_.active() || !from) return;
-    if (!sameProcess(*from, message.from) || !synced()) return;
+    if (message.epoch != membership_.view.epoch || !membership_.isActive() || !from) return;
+    if (!sameProcess(*from, message.from) || !isSynced()) return;
     if (!installed_) {
         installView(now);
         sendToPredecessor(table_.committedPosition());
@@ -217,8 +217,8 @@
 }
 
 void Chain::onStatus(Millis now, const Message& message, const Status& status) {
-    if (message.epoch != membership_.view.epoch || !membership_.active()) return;
-    if (!synced() || !status.installed) return;
+    if (message.epoch != membership_.view.epoch || !membership_.isActive()) return;
+    if (!isSynced() || !status.installed) return;
     if (!installed_) installView(now);
     if (hasStoredBatchOfEpoch() && status.committed >= table_.pending()->position) commitPending(now);
 }
@@ -248,9 +248,9 @@
 // ---- Progress, of the chain and of others
 
 std::string Chain::stalledMember(Millis now, const FailureDetector& detector) const {
-    if (!membership_.active() || !membership_.isHead() || storedItems_ == 0) return {};
+    if (!membership_.isActive() || !membership_.isHead() || storedItems_ == 0) return {};
     if (installed_ && !table_.hasStoredPending()) return {};
-    const Millis limit = installed_ ? kStallAfter : kOpeningStallAfter;
+    const Millis limit = installed_ ? kStallTimeout : kOpeningStallTimeout;
     if (now - itemStartedAt_ < limit) return {};
     for (const Member& member : membership_.view.members) {
         if (sameProcess(member, membership_.self)) continue;
--- a/src/replica/chain.hpp
+++ b/src/replica/chain.hpp
@@ -49,7 +49,7 @@
     /// Sends again what was not answered, and ends a write whose time is over.
     void tick(Millis now);
 
-    /// Takes a write if writable(); answered by WriteDone in any case.
+    /// Takes a write if isWritable(); answered by WriteDone in any case.
     void write(Millis now, const ClientWrite& write);
     void onPropose(Millis now, const Message& message, const Propose& propose);
     void onCommit(Millis now, const Message& message, const Commit& commit);
@@ -61,13 +61,13 @@
     std::optional<SyncRequest> learnerRequest() const { return startingState_.learnerRequest(); }
 
     /// All members of the view are known to hold its starting state.
-    bool installed() const { return installed_; }
+    bool isInstalled() const { return installed_; }
     /// Head of an installed view within tolerance, with no batch under way and a working disk.
-    bool writable() const;
-    /// Installed, and no batch has been pending for longer than kFreshFor: a longer one may be committed elsewhere already.
-    bool upToDate(Millis now) const;
+    bool isWritable() const;
+    /// Installed, and no batch has been pending for longer than kFreshDuration: a longer one may be committed elsewhere already.
+    bool isUpToDate(Millis now) const;
     /// Something is under way that a timer must look after.
-    bool busy() const;
+    bool isBusy() const;
     /// Items of the chain (opening, batches) stored in this epoch.
     std::uint64_t storedItems() const { return storedItems_; }
     const ReplicaTable& table() const { return table_; }
@@ -86,7 +86,7 @@
         Millis deadline;
     };
 
-    bool synced() const { return table_.isSynced(membership_.view); }
+    bool isSynced() const { return table_.isSynced(membership_.view); }
     bool hasStoredBatchOfEpoch() const;
     bool hasStored(const Member& member, const FailureDetector& detector) const;
 
--- a/src/replica/control_record_store.cpp
+++ b/src/replica/control_record_store.cpp
@@ -9,7 +9,7 @@
 }
 
 void ControlRecordStore::persist() {
-    if (outbox_.congested()) return;
+    if (outbox_.isCongested()) return;
     DurableUpdate update;
     update.control = record();
     ++recordsInFlight_;
@@ -18,12 +18,12 @@
         if (stored)
             durable_ = record;
         else
-            retryAt_ = now + kDiskProbeEvery;
+            retryAt_ = now + kDiskProbeInterval;
     });
 }
 
 void ControlRecordStore::persistVote(Reply reply) {
-    if (outbox_.congested()) return;
+    if (outbox_.isCongested()) return;
     DurableUpdate update;
     update.control = record();
     ++votesInFlight_;
--- a/src/replica/disk_monitor.hpp
+++ b/src/replica/disk_monitor.hpp
@@ -14,17 +14,17 @@
     void onHealthReported(bool failing) { reportedFailing_ = failing; }
     void onAnswer(Millis now, bool stored) {
         writesFail_ = !stored;
-        if (!stored) probeAt_ = now + kDiskProbeEvery;
+        if (!stored) probeAt_ = now + kDiskProbeInterval;
     }
 
-    bool isFailing(Millis now) const { return reportedFailing_ || writesFail_ || outbox_.stuck(now); }
+    bool isFailing(Millis now) const { return reportedFailing_ || writesFail_ || outbox_.isStuck(now); }
     /// The last answer of the storage was a failure.
     bool writesFail() const { return writesFail_; }
-    /// False for kDiskProbeEvery after a failed write.
+    /// False for kDiskProbeInterval after a failed write.
     bool mayWrite(Millis now) const { return now >= probeAt_; }
     /// Nothing is under way that would show whether writes work again.
     bool isProbeDue(Millis now) const { return writesFail_ && outbox_.outstanding() == 0 && mayWrite(now); }
-    void onProbe(Millis now) { probeAt_ = now + kDiskProbeEvery; }
+    void onProbe(Millis now) { probeAt_ = now + kDiskProbeInterval; }
 
 private:
     const Outbox& outbox_;
--- a/src/replica/failure_detector.cpp
+++ b/src/replica/failure_detector.cpp
@@ -17,37 +17,37 @@
 void FailureDetector::startRound(Millis now) {
     ++sequence_;
     lastRoundAt_ = now;
-    nextRoundAt_ = now + kHeartbeatEvery * (0.95 + 0.05 * random_());
-    if (!watchesView()) return;
+    nextRoundAt_ = now + kHeartbeatInterval * (0.95 + 0.05 * random_());
+    if (!monitorsView()) return;
     for (const auto& [address, peer] : peers_) {
-        if (watched_.contains(address) || now - peer.joinedAt <= kJoinerForgottenAfter)
+        if (monitored_.contains(address) || now - peer.joinedAt <= kJoinerExpiry)
             outbox_.send(address, Heartbeat{sequence_, now});
     }
 }
 
 void FailureDetector::onProcessResumed(Millis now) {
-    for (auto& [address, peer] : peers_) peer.watchedSince = now;
+    for (auto& [address, peer] : peers_) peer.monitoredSince = now;
     nextRoundAt_ = now;
 }
 
 void FailureDetector::enterView(Millis now) {
     for (auto& [address, peer] : peers_) {
-        peer.contactSequence = 0;
+        peer.contactRound = 0;
         peer.contactSentAt = Peer::kNever;
     }
     // A time-out counts only from when heartbeats are sent to a process steadily.
     std::set<std::string> watched;
-    if (watchesView()) {
+    if (monitorsView()) {
         for (const Member& member : membership_.view.membersAndVoters()) {
             const std::string& address = member.internalAddress;
             if (address == membership_.self.internalAddress) continue;
             Peer* peer = add(now, member);
             if (!peer) continue;
-            if (!watched_.contains(address)) peer->watchedSince = now;
+            if (!monitored_.contains(address)) peer->monitoredSince = now;
             watched.insert(address);
         }
     }
-    watched_ = std::move(watched);
+    monitored_ = std::move(watched);
     nextRoundAt_ = now;
 }
 
@@ -57,24 +57,24 @@
 }
 
 const Peer* FailureDetector::onReply(Millis now, const Message& message, const HeartbeatReply& reply) {
-    if (reply.askedBySession != membership_.self.session || reply.sentAt > now) return nullptr;
+    if (reply.requesterSession != membership_.self.session || reply.sentAt > now) return nullptr;
     const auto found = peers_.find(message.from.internalAddress);
     if (found == peers_.end()) return nullptr;
     Peer& peer = found->second;
-    if (reply.sentAt <= peer.answeredSentAt) return nullptr;
+    if (reply.sentAt <= peer.answeredHeartbeatSentAt) return nullptr;
     const bool sameAsBefore = sameProcess(peer.member, message.from);
-    if (!sameAsBefore || reply.sentAt - peer.answeredSentAt > kReachableFor)
-        peer.answeringSince = reply.sentAt;
-    if (!sameAsBefore || reply.sentAt - peer.answeredSentAt > kMaxLearningTime)
-        peer.answeringWithGapsSince = reply.sentAt;
+    if (!sameAsBefore || reply.sentAt - peer.answeredHeartbeatSentAt > kReachableDuration)
+        peer.respondingSince = reply.sentAt;
+    if (!sameAsBefore || reply.sentAt - peer.answeredHeartbeatSentAt > kMaxLearningTime)
+        peer.respondingWithGapsSince = reply.sentAt;
     peer.member = message.from;
     peer.epoch = message.epoch;
     peer.status = reply.status;
-    peer.answeredSentAt = reply.sentAt;
+    peer.answeredHeartbeatSentAt = reply.sentAt;
     const bool unsealedVoter = message.epoch == membership_.view.epoch && !reply.status.sealed &&
                                membership_.view.findVoter(message.from);
     if (unsealedVoter) {
-        peer.contactSequence = reply.sequence;
+        peer.contactRound = reply.sequence;
         peer.contactSentAt = reply.sentAt;
     }
     return &peer;
@@ -84,7 +84,7 @@
     if (from.internalAddress == membership_.self.internalAddress) return;
     Peer* peer = add(now, from);
     if (!peer) return;
-    const bool first = now - peer->joinedAt > kJoinerForgottenAfter;
+    const bool first = now - peer->joinedAt > kJoinerExpiry;
     peer->joinedAt = now;
     if (first) nextRoundAt_ = std::min(nextRoundAt_, now);
 }
@@ -92,7 +92,7 @@
 bool FailureDetector::maySendView(Millis now, const Member& to) {
     const auto found = peers_.find(to.internalAddress);
     if (found == peers_.end()) return true;
-    if (now - found->second.viewSentAt < kHeartbeatEvery / 2) return false;
+    if (now - found->second.viewSentAt < kHeartbeatInterval / 2) return false;
     found->second.viewSentAt = now;
     return true;
 }
@@ -102,33 +102,33 @@
     return found == peers_.end() ? nullptr : &found->second;
 }
 
-bool FailureDetector::reachable(const std::string& address, Millis now) const {
+bool FailureDetector::isReachable(const std::string& address, Millis now) const {
     const Peer* peer = find(address);
-    return peer && now - peer->answeredSentAt <= kReachableFor;
+    return peer && now - peer->answeredHeartbeatSentAt <= kReachableDuration;
 }
 
-bool FailureDetector::suspected(const std::string& address, Millis now) const {
+bool FailureDetector::isSuspected(const std::string& address, Millis now) const {
     const Peer* peer = find(address);
-    return peer && now - std::max(peer->answeredSentAt, peer->watchedSince) > kSuspectAfter;
+    return peer && now - std::max(peer->answeredHeartbeatSentAt, peer->monitoredSince) > kSuspectTimeout;
 }
 
 std::vector<std::string> FailureDetector::reachablePeers(Millis now) const {
     std::vector<std::string> addresses;
     for (const auto& [address, peer] : peers_)
-        if (reachable(address, now)) addresses.push_back(address);
+        if (isReachable(address, now)) addresses.push_back(address);
     return addresses;
 }
 
 std::vector<std::string> FailureDetector::unresponsivePeers(Millis now) const {
     std::vector<std::string> addresses;
-    for (const std::string& address : watched_)
-        if (suspected(address, now)) addresses.push_back(address);
+    for (const std::string& address : monitored_)
+        if (isSuspected(address, now)) addresses.push_back(address);
     return addresses;
 }
 
 bool FailureDetector::isReachedByAnyPeer(const std::string& address, Millis now) const {
     return std::ranges::any_of(peers_, [&](const auto& entry) {
-        return reachable(entry.first, now) && entry.second.reports(address);
+        return isReachable(entry.first, now) && entry.second.reaches(address);
     });
 }
 
@@ -140,20 +140,21 @@
         const Peer* peer = find(voter.internalAddress);
         return peer && sameDisk(peer->member, voter) && condition(*peer);
     };
-    const auto count = static_cast<std::size_t>(std::ranges::count_if(view.electorate(), counts));
+    const auto count = static_cast<std::size_t>(std::ranges::count_if(view.effectiveVoters(), counts));
     return count >= view.majority();
 }
 
-bool FailureDetector::reachesMajority(Millis now) const {
-    return majorityOfVoters([&](const Peer& peer) { return now - peer.answeredSentAt <= kReachableFor; });
+bool FailureDetector::isMajorityReachable(Millis now) const {
+    return majorityOfVoters(
+        [&](const Peer& peer) { return now - peer.answeredHeartbeatSentAt <= kReachableDuration; });
 }
 
-bool FailureDetector::majorityContactSinceRound(std::uint64_t sequence) const {
+bool FailureDetector::hasMajorityContactSinceRound(std::uint64_t sequence) const {
     if (membership_.sealed) return false;
-    return majorityOfVoters([&](const Peer& peer) { return peer.contactSequence >= sequence; });
+    return majorityOfVoters([&](const Peer& peer) { return peer.contactRound >= sequence; });
 }
 
-bool FailureDetector::majorityContactSinceTime(Millis time) const {
+bool FailureDetector::hasMajorityContactSinceTime(Millis time) const {
     if (membership_.sealed) return false;
     return majorityOfVoters([&](const Peer& peer) { return peer.contactSentAt >= time; });
 }
@@ -164,7 +165,7 @@
     if (peers_.size() >= kMaxPeers && !evictOldestJoiner()) return nullptr;
     Peer& peer = peers_[member.internalAddress];
     peer.member = member;
-    peer.watchedSince = now;
+    peer.monitoredSince = now;
     return &peer;
 }
 
@@ -172,7 +173,7 @@
 bool FailureDetector::evictOldestJoiner() {
     auto oldest = peers_.end();
     for (auto entry = peers_.begin(); entry != peers_.end(); ++entry) {
-        if (watched_.contains(entry->first)) continue;
+        if (monitored_.contains(entry->first)) continue;
         if (oldest == peers_.end() || entry->second.joinedAt < oldest->second.joinedAt) oldest = entry;
     }
     if (oldest == peers_.end()) return false;
--- a/src/replica/failure_detector.hpp
+++ b/src/replica/failure_detector.hpp
@@ -31,17 +31,17 @@
     Member member;  // as of the last answer, or of its Join
     std::uint64_t epoch = 0;
     Status status;
-    Millis watchedSince = kNever;            // its time-out counts from here on at the earliest
-    Millis answeredSentAt = kNever;          // when the heartbeat that it answered last was sent
-    Millis answeringSince = kNever;          // it has answered without a gap above kReachableFor since
-    Millis answeringWithGapsSince = kNever;  // the same, but for gaps of up to kMaxLearningTime
-    std::uint64_t contactSequence = 0;       // last round that it answered as an unsealed voter of this epoch
-    Millis contactSentAt = kNever;           // when that heartbeat was sent
-    Millis joinedAt = kNever;                // of its last Join
-    Millis viewSentAt = kNever;              // when it was last sent the view, being behind
+    Millis monitoredSince = kNever;           // its time-out counts from here on at the earliest
+    Millis answeredHeartbeatSentAt = kNever;  // when the heartbeat that it answered last was sent
+    Millis respondingSince = kNever;          // it has answered without a gap above kReachableDuration since
+    Millis respondingWithGapsSince = kNever;  // the same, but for gaps of up to kMaxLearningTime
+    std::uint64_t contactRound = 0;  // last round that it answered as an unsealed voter of this epoch
+    Millis contactSentAt = kNever;   // when that heartbeat was sent
+    Millis joinedAt = kNever;        // of its last Join
+    Millis viewSentAt = kNever;      // when it was last sent the view, being behind
 
     /// Its last answer says that it reaches this internal address.
-    bool reports(const std::string& address) const {
+    bool reaches(const std::string& address) const {
         return std::ranges::find(status.reachablePeers, address) != status.reachablePeers.end();
     }
 };
@@ -68,10 +68,10 @@
 
     const std::map<std::string, Peer>& peers() const { return peers_; }  // by internal address
     const Peer* find(const std::string& address) const;
-    /// It has answered a heartbeat sent within kReachableFor.
-    bool reachable(const std::string& address, Millis now) const;
-    /// It has not answered for kSuspectAfter.
-    bool suspected(const std::string& address, Millis now) const;
+    /// It has answered a heartbeat sent within kReachableDuration.
+    bool isReachable(const std::string& address, Millis now) const;
+    /// It has not answered for kSuspectTimeout.
+    bool isSuspected(const std::string& address, Millis now) const;
     std::vector<std::string> reachablePeers(Millis now) const;
     /// Members and voters of the view that are suspected.
     std::vector<std::string> unresponsivePeers(Millis now) const;
@@ -82,16 +82,18 @@
     Millis lastRoundAt() const { return lastRoundAt_; }
     Millis nextRoundAt() const { return nextRoundAt_; }
     /// A majority of the view's voters, this disk perhaps included, is reachable.
-    bool reachesMajority(Millis now) const;
+    bool isMajorityReachable(Millis now) const;
     /// A majority of the view's voters, this disk perhaps included, was unsealed in this epoch as of an answer to a heartbeat of
     /// this round or a later one. Never while this process is sealed.
-    bool majorityContactSinceRound(std::uint64_t sequence) const;
+    bool hasMajorityContactSinceRound(std::uint64_t sequence) const;
     /// The same for heartbeats sent at `time` or later.
-    bool majorityContactSinceTime(Millis time) const;
+    bool hasMajorityContactSinceTime(Millis time) const;
 
 private:
     // A leaving process that no view lists any more still asks whether the view without it is installed.
-    bool watchesView() const { return membership_.inChain() || membership_.votes() || membership_.leaving; }
+    bool monitorsView() const {
+        return membership_.isInChain() || membership_.isVoter() || membership_.leaving;
+    }
     Peer* add(Millis now, const Member& member);
     bool evictOldestJoiner();
     template <class Condition>
@@ -102,7 +104,7 @@
     SplitMix random_;
     std::map<std::string, Peer> peers_;
     std::set<std::string>
-        watched_;  // the other members and voters of the view, while this process watches them
+        monitored_;  // the other members and voters of the view, while this process watches them
     std::uint64_t sequence_ = 0;
     Millis lastRoundAt_ = Peer::kNever;
     Millis nextRoundAt_;
--- a/src/replica/joiner_selection.cpp
+++ b/src/replica/joiner_selection.cpp
@@ -11,17 +11,18 @@
 }
 
 void JoinerSelection::selectAmong(Millis now, Assessment& assessment, Candidates candidates,
-                                  bool counted) const {
+                                  bool countsAsLoss) const {
     for (const auto& [address, peer] : detector_.peers()) {
         if (!hasCapacity(assessment)) return;
-        if (peer.member.counted != counted) continue;
+        if (peer.member.countsAsLoss != countsAsLoss) continue;
         if (candidates == Candidates::ready && !isReady(peer, now)) continue;
         if (!isEligible(peer, now, assessment)) continue;
         std::vector<Member> members = assessment.nextMembers(membership_.view);
         members.push_back(peer.member);
-        if (!counted && !majoritySurvivesWithoutUncounted(members, membership_.settings.tolerance)) continue;
+        if (!countsAsLoss && !majoritySurvivesWithoutUncounted(members, membership_.settings.tolerance))
+            continue;
         assessment.joiners.push_back(peer.member);
-        assessment.observed = true;
+        assessment.observedDirectly = true;
     }
 }
 
@@ -36,11 +37,11 @@
 
 bool JoinerSelection::isEligible(const Peer& peer, Millis now, const Assessment& assessment) const {
     const Member& member = peer.member;
-    if (member.incarnation == 0 || !detector_.reachable(member.internalAddress, now)) return false;
+    if (member.incarnation == 0 || !detector_.isReachable(member.internalAddress, now)) return false;
     if (peer.status.diskFailing || peer.status.leaving || membership_.view.findDisk(member)) return false;
     if (!isNameFree(member.name, assessment)) return false;
     if (!isReachedByAllMembers(member.internalAddress, now, assessment)) return false;
-    return now - peer.answeringSince >= removals_.probationOf(member, now);
+    return now - peer.respondingSince >= removals_.probationOf(member, now);
 }
 
 bool JoinerSelection::isNameFree(const std::string& name, const Assessment& assessment) const {
@@ -55,7 +56,7 @@
         if (sameDisk(member, membership_.self)) return true;
         if (assessment.excluded.contains(member.internalAddress)) return true;
         const Peer* peer = detector_.find(member.internalAddress);
-        return peer && detector_.reachable(member.internalAddress, now) && peer->reports(address);
+        return peer && detector_.isReachable(member.internalAddress, now) && peer->reaches(address);
     });
 }
 
--- a/src/replica/joiner_selection.hpp
+++ b/src/replica/joiner_selection.hpp
@@ -30,7 +30,7 @@
     void select(Millis now, Assessment& assessment, Candidates candidates) const;
 
 private:
-    void selectAmong(Millis now, Assessment& assessment, Candidates candidates, bool counted) const;
+    void selectAmong(Millis now, Assessment& assessment, Candidates candidates, bool countsAsLoss) const;
     bool hasCapacity(const Assessment& assessment) const;
     bool isReady(const Peer& peer, Millis now) const;
     bool isEligible(const Peer& peer, Millis now, const Assessment& assessment) const;
--- a/src/replica/learner.cpp
+++ b/src/replica/learner.cpp
@@ -7,15 +7,15 @@
 namespace beechpoint::replica {
 
 bool Learner::isLearning() const {
-    const bool outside = membership_.view.epoch > 0 && !membership_.inChain();
-    return outside && !membership_.leaving && !membership_.diskFailing && !outbox_.congested();
+    const bool outside = membership_.view.epoch > 0 && !membership_.isInChain();
+    return outside && !membership_.leaving && !membership_.diskFailing && !outbox_.isCongested();
 }
 
 void Learner::tick(Millis now) {
     if (!isLearning() || now < requestAt_) return;
     const std::optional<SyncRequest> request = chain_.learnerRequest();
     if (!request) return;
-    requestAt_ = now + kLearnRetry;
+    requestAt_ = now + kLearnerRetryInterval;
     outbox_.send(nextSource().internalAddress, *request);
 }
 
--- a/src/replica/membership.hpp
+++ b/src/replica/membership.hpp
@@ -24,11 +24,11 @@
     bool leaving = false;  // asked to end; see Leave
 
     /// This disk is one of the chain's, whichever the session.
-    bool inChain() const { return view.findDisk(self) != nullptr; }
+    bool isInChain() const { return view.findDisk(self) != nullptr; }
     /// This disk decides on the next view.
-    bool votes() const { return view.findVoter(self) != nullptr; }
+    bool isVoter() const { return view.findVoter(self) != nullptr; }
     /// This process is a member of the view and may take part in its epoch.
-    bool active() const { return index && !sealed; }
+    bool isActive() const { return index && !sealed; }
     bool isHead() const { return index && *index == 0; }
     bool isTail() const { return index && *index + 1 == view.members.size(); }
     /// Internal address of the process with this control address: its host with this process's internal port.
--- a/src/replica/messages.hpp
+++ b/src/replica/messages.hpp
@@ -31,16 +31,16 @@
     Position committed;
     std::vector<std::string> reachablePeers;  // have answered lately
     std::vector<std::string>
-        unresponsivePeers;      // members of the view that have not answered for kSuspectAfter
+        unresponsivePeers;      // members of the view that have not answered for kSuspectTimeout
     std::string stalledMember;  // has not stored the sender's item for too long; empty: none
     Position stored;            // of the table on disk; a learner's progress
     bool leaving = false;       // is to end: asks for a view without it, and not to be taken in
 };
 
 struct HeartbeatReply {
-    std::uint64_t sequence = 0;        // echo
-    Millis sentAt = 0;                 // echo
-    std::uint64_t askedBySession = 0;  // echo: the session that asked
+    std::uint64_t sequence = 0;          // echo
+    Millis sentAt = 0;                   // echo
+    std::uint64_t requesterSession = 0;  // echo: the session that asked
     Status status;
 };
 
@@ -53,7 +53,7 @@
     ProposalNumber proposal;
     View base;
     std::vector<std::string> founders;  // control addresses, sorted
-    bool observed = false;              // the proposer saw the cause itself; else it has it from reports
+    bool observedDirectly = false;      // the proposer saw the cause itself; else it has it from reports
 };
 
 struct Promise {
@@ -68,7 +68,7 @@
 };
 
 /// The receiver of Prepare or Accept has promised a higher proposal number, or sees no cause (then `promised` is empty).
-struct Refuse {
+struct Reject {
     ProposalNumber proposal;  // refused
     std::uint64_t target = 0;
     ProposalNumber promised;
@@ -123,7 +123,7 @@
     bool more = false;       // further chunks follow
 };
 
-using Body = std::variant<Heartbeat, HeartbeatReply, Join, Prepare, Promise, Refuse, Accept, Accepted,
+using Body = std::variant<Heartbeat, HeartbeatReply, Join, Prepare, Promise, Reject, Accept, Accepted,
                           Decided, Propose, Commit, SyncRequest, SyncReply>;
 
 struct Message {
--- a/src/replica/outbox.hpp
+++ b/src/replica/outbox.hpp
@@ -71,10 +71,10 @@
 
     /// Updates that the disk has not answered.
     std::size_t outstanding() const { return outstanding_.size(); }
-    bool congested() const { return outstanding_.size() >= kMaxPersists; }
-    /// The oldest update has waited for longer than kDiskStuckAfter.
-    bool stuck(Millis now) const {
-        return !outstanding_.empty() && now - outstanding_.front().issuedAt > kDiskStuckAfter;
+    bool isCongested() const { return outstanding_.size() >= kMaxPendingPersists; }
+    /// The oldest update has waited for longer than kDiskWriteTimeout.
+    bool isStuck(Millis now) const {
+        return !outstanding_.empty() && now - outstanding_.front().issuedAt > kDiskWriteTimeout;
     }
 
 private:
--- a/src/replica/read_barriers.cpp
+++ b/src/replica/read_barriers.cpp
@@ -5,7 +5,7 @@
 namespace beechpoint::replica {
 
 void ReadBarriers::add(Millis now, std::uint64_t token) {
-    if (reads_.size() >= kMaxReads || !membership_.active() || !membership_.isTail()) {
+    if (reads_.size() >= kMaxReads || !membership_.isActive() || !membership_.isTail()) {
         outbox_.emit(ReadDone{token, false});
         return;
     }
@@ -15,13 +15,13 @@
 
 void ReadBarriers::tick(Millis now) {
     if (reads_.empty()) return;
-    if (!membership_.active() || !membership_.isTail()) {
+    if (!membership_.isActive() || !membership_.isTail()) {
         failAll();
         return;
     }
     if (now >= nextRoundAt()) detector_.startRound(now);
-    while (!reads_.empty() && chain_.installed() && reads_.front().round <= detector_.lastSequence() &&
-           detector_.majorityContactSinceRound(reads_.front().round))
+    while (!reads_.empty() && chain_.isInstalled() && reads_.front().round <= detector_.lastSequence() &&
+           detector_.hasMajorityContactSinceRound(reads_.front().round))
         finishOldest(true);
     while (!reads_.empty() && now >= reads_.front().deadline) finishOldest(false);
 }
@@ -32,7 +32,7 @@
 
 Millis ReadBarriers::nextRoundAt() const {
     const bool due = !reads_.empty() && reads_.back().round > detector_.lastSequence();
-    return due ? detector_.lastRoundAt() + kReadRoundEvery : std::numeric_limits<Millis>::infinity();
+    return due ? detector_.lastRoundAt() + kReadRoundInterval : std::numeric_limits<Millis>::infinity();
 }
 
 void ReadBarriers::finishOldest(bool ok) {
--- a/src/replica/read_barriers.hpp
+++ b/src/replica/read_barriers.hpp
@@ -24,7 +24,7 @@
     void add(Millis now, std::uint64_t token);
     void tick(Millis now);
     void failAll();
-    bool busy() const { return !reads_.empty(); }
+    bool isBusy() const { return !reads_.empty(); }
     /// When the next heartbeat round for reads is due; infinity if none is.
     Millis nextRoundAt() const;
 
--- a/src/replica/removal_history.cpp
+++ b/src/replica/removal_history.cpp
@@ -30,7 +30,7 @@
 }
 
 Millis RemovalHistory::learningDeadline(const Peer& peer) const {
-    Millis since = peer.answeringWithGapsSince;
+    Millis since = peer.respondingWithGapsSince;
     Millis span = kMaxLearningTime;
     for (const Removal& removal : removals_) {
         if (!sameProcess(removal.process, peer.member)) continue;
--- a/src/replica/replica.cpp
+++ b/src/replica/replica.cpp
@@ -31,19 +31,19 @@
 
 const View& Replica::view() const { return core_->membership().view; }
 
-bool Replica::inView() const { return core_->membership().index.has_value(); }
+bool Replica::isInView() const { return core_->membership().index.has_value(); }
 
 bool Replica::isHead() const { return core_->membership().isHead(); }
 
 bool Replica::isTail() const { return core_->membership().isTail(); }
 
-bool Replica::writable() const { return core_->chain().writable(); }
+bool Replica::isWritable() const { return core_->chain().isWritable(); }
 
 bool Replica::hasLeft(Millis now) const { return core_->hasLeft(now); }
 
-bool Replica::fresh(Millis now) const {
-    const bool upToDate = core_->membership().active() && core_->chain().upToDate(now);
-    return upToDate && core_->detector().majorityContactSinceTime(now - kFreshFor);
+bool Replica::isFresh(Millis now) const {
+    const bool upToDate = core_->membership().isActive() && core_->chain().isUpToDate(now);
+    return upToDate && core_->detector().hasMajorityContactSinceTime(now - kFreshDuration);
 }
 
 }  // namespace beechpoint::replica
--- a/src/replica/replica.hpp
+++ b/src/replica/replica.hpp
@@ -63,12 +63,12 @@
 
     const Member& self() const;
     const View& view() const;
-    bool inView() const;  ///< The view lists this very process.
+    bool isInView() const;  ///< The view lists this very process.
     bool isHead() const;
     bool isTail() const;
-    bool writable() const;  ///< Head of an installed view, within tolerance, nothing in flight.
-    /// May answer polls: installed, and in contact with a majority of the voters within kFreshFor.
-    bool fresh(Millis now) const;
+    bool isWritable() const;  ///< Head of an installed view, within tolerance, nothing in flight.
+    /// May answer polls: installed, and in contact with a majority of the voters within kFreshDuration.
+    bool isFresh(Millis now) const;
     /// After Leave: nothing depends on this process any more. The newest view lists neither it nor its disk, and all members of that
     /// view hold its starting state; or there is nobody to leave to. May never come true: the caller waits for a bounded time.
     bool hasLeft(Millis now) const;
--- a/src/replica/replica_core.cpp
+++ b/src/replica/replica_core.cpp
@@ -52,12 +52,12 @@
       viewChange_(membership_, outbox_, detector_, chain_, state.control, random_.bits(), now,
                   [this](Millis at, const View& view) { installView(at, view); }),
       reads_(membership_, outbox_, detector_, chain_) {
-    membership_.sealed = viewChange_.sealed();
+    membership_.sealed = viewChange_.isSealed();
 }
 
 void ReplicaCore::handle(Millis now, const Event& event, std::vector<Action>& actions) {
     outbox_.begin(now, actions);
-    if (now - lastEventAt_ > kWakeGap) onProcessResumed(now);
+    if (now - lastEventAt_ > kSuspensionGap) onProcessResumed(now);
     lastEventAt_ = now;
     std::visit([&](const auto& what) { onEvent(now, what); }, event);
     runParts(now);
@@ -69,7 +69,7 @@
     const View& view = membership_.view;
     if (!membership_.leaving) return false;
     if (view.epoch == 0) return true;
-    if (membership_.inChain()) return view.members.size() == 1 && detector_.reachablePeers(now).empty();
+    if (membership_.isInChain()) return view.members.size() == 1 && detector_.reachablePeers(now).empty();
     return std::ranges::any_of(view.members, [&](const Member& member) {
         const Peer* peer = detector_.find(member.internalAddress);
         return peer && sameProcess(peer->member, member) && peer->epoch == view.epoch &&
@@ -106,7 +106,7 @@
 void ReplicaCore::onEvent(Millis now, const Leave&) {
     if (!membership_.leaving) outbox_.log("leaving");
     membership_.leaving = true;
-    if (!membership_.inChain()) detector_.enterView(now);
+    if (!membership_.isInChain()) detector_.enterView(now);
 }
 
 void ReplicaCore::onPersistAnswered(Millis now, std::uint64_t token, bool stored) {
@@ -148,8 +148,8 @@
     viewChange_.onPromise(now, message, promise);
 }
 
-void ReplicaCore::onBody(Millis now, const Message&, const Refuse& refuse) {
-    viewChange_.onRefuse(now, refuse);
+void ReplicaCore::onBody(Millis now, const Message&, const Reject& reject) {
+    viewChange_.onReject(now, reject);
 }
 
 void ReplicaCore::onBody(Millis now, const Message& message, const Accept& accept) {
@@ -183,7 +183,7 @@
 Status ReplicaCore::status(Millis now) const {
     Status status;
     status.sealed = membership_.sealed;
-    status.installed = chain_.installed();
+    status.installed = chain_.isInstalled();
     status.diskFailing = membership_.diskFailing;
     status.syncedEpoch = chain_.table().syncedEpoch();
     status.storedItems = chain_.storedItems();
@@ -210,7 +210,7 @@
     outbox_.emit(ViewChanged{view});
     const char* part = membership_.index ? "this process is a member" : "this process is not a member";
     outbox_.log(fmt::format("view of epoch {}, {} members, {} voters, {}", view.epoch, view.members.size(),
-                            view.electorate().size(), part));
+                            view.effectiveVoters().size(), part));
 }
 
 void ReplicaCore::onProcessResumed(Millis now) {
@@ -261,7 +261,7 @@
 
 void ReplicaCore::askToJoin(Millis now) {
     if (membership_.index || membership_.leaving || now < joinAt_) return;
-    joinAt_ = now + kJoinEvery;
+    joinAt_ = now + kJoinInterval;
     std::set<std::string> addresses;
     for (const Member& member : membership_.view.members) addresses.insert(member.internalAddress);
     for (const std::string& seed : membership_.settings.seeds)
@@ -271,13 +271,13 @@
 }
 
 bool ReplicaCore::isBusy() const {
-    return !isIdentified() || viewChange_.busy() || chain_.busy() || reads_.busy() ||
+    return !isIdentified() || viewChange_.isBusy() || chain_.isBusy() || reads_.isBusy() ||
            outbox_.outstanding() > 0 || disk_.writesFail();
 }
 
 void ReplicaCore::setTimer(Millis now) {
     Millis next = std::min(detector_.nextRoundAt(), reads_.nextRoundAt());
-    if (isBusy()) next = std::min(next, now + kBusyTick);
+    if (isBusy()) next = std::min(next, now + kBusyTickInterval);
     if (!membership_.index && !membership_.leaving) next = std::min(next, joinAt_);
     next = std::max(next, now + 1);
     if (next == timer_) return;
--- a/src/replica/replica_core.hpp
+++ b/src/replica/replica_core.hpp
@@ -61,7 +61,7 @@
     void onBody(Millis now, const Message& message, const Join& join);
     void onBody(Millis now, const Message& message, const Prepare& prepare);
     void onBody(Millis now, const Message& message, const Promise& promise);
-    void onBody(Millis now, const Message& message, const Refuse& refuse);
+    void onBody(Millis now, const Message& message, const Reject& reject);
     void onBody(Millis now, const Message& message, const Accept& accept);
     void onBody(Millis now, const Message& message, const Accepted& accepted);
     void onBody(Millis now, const Message& message, const Decided& decided);
--- a/src/replica/replica_table.cpp
+++ b/src/replica/replica_table.cpp
@@ -122,7 +122,7 @@
 }
 
 SyncReply ReplicaTable::appliedState(const SyncRequest& request, std::size_t chunkBytes) const {
-    const bool isDelta = !request.full && history_.remembers(request.position);
+    const bool isDelta = !request.full && history_.reachesBackTo(request.position);
     const bool inChunks = request.acceptsChunks && !isDelta && history_.tableBytes() > chunkBytes;
     if (inChunks) return nextChunk(request, chunkBytes);
     SyncReply reply;
@@ -133,11 +133,11 @@
 
 // A transfer goes on only where all that changed since its first chunk is known here; else it begins anew.
 SyncReply ReplicaTable::nextChunk(const SyncRequest& request, std::size_t chunkBytes) const {
-    const bool goesOn = !request.afterKey.empty() && history_.remembers(request.base);
+    const bool isContinuing = !request.afterKey.empty() && history_.reachesBackTo(request.base);
     SyncReply reply;
     reply.since = request.position;
-    reply.base = goesOn ? request.base : history_.position();
-    if (goesOn) reply.afterKey = request.afterKey;
+    reply.base = isContinuing ? request.base : history_.position();
+    if (isContinuing) reply.afterKey = request.afterKey;
     TableHistory::Rows rows = history_.rowsAfter(reply.afterKey, chunkBytes);
     reply.more = !rows.reachesEnd;
     reply.update = {history_.position(), true, std::move(rows.changes)};
--- a/src/replica/starting_state.cpp
+++ b/src/replica/starting_state.cpp
@@ -14,9 +14,9 @@
 
 // Not while sealed: a promise has reported what the disk holds, and the next view may build on it.
 void StartingState::advance(Millis now) {
-    if (!membership_.inChain() || membership_.sealed || table_.isSynced(membership_.view)) return;
+    if (!membership_.isInChain() || membership_.sealed || table_.isSynced(membership_.view)) return;
     if (persisting_ || now < retryAt_) return;
-    retryAt_ = now + kChainRetry;
+    retryAt_ = now + kChainRetryInterval;
     std::optional<DurableUpdate> update = table_.syncedUpdate(membership_.view);
     if (update)
         recordSynced(std::move(*update));
@@ -40,7 +40,7 @@
 
 // Asks the head first, then the others in turn.
 void StartingState::requestSync(Millis now) {
-    if (!membership_.active()) return;
+    if (!membership_.isActive()) return;
     const auto& members = membership_.view.members;
     std::size_t choice = requests_ % members.size();
     ++requests_;
@@ -50,7 +50,7 @@
     // Once all were asked, the transfer itself takes its time: requests that come more often would slow it down further.
     const std::size_t rounds = (requests_ - 1) / members.size();
     const std::size_t doublings = std::min(rounds, kSyncRetryDoublings);
-    retryAt_ = now + kChainRetry * static_cast<Millis>(std::size_t{1} << doublings);
+    retryAt_ = now + kChainRetryInterval * static_cast<Millis>(std::size_t{1} << doublings);
 }
 
 SyncRequest StartingState::syncRequest() const {
@@ -63,15 +63,15 @@
 std::optional<SyncReply> StartingState::completed(Millis now, const Message& message,
                                                   const SyncReply& reply) {
     if (reply.base == Position{}) return reply;
-    const auto source =
-        membership_.inChain() ? ReceivedState::Source::startingState : ReceivedState::Source::committedState;
+    const auto source = membership_.isInChain() ? ReceivedState::Source::startingState
+                                                : ReceivedState::Source::committedState;
     const SyncRequest before = syncRequest();
     std::optional<TableUpdate> update = received_.onChunk(reply, source);
     if (update) return SyncReply{reply.since, std::move(*update)};
     const SyncRequest next = syncRequest();
     // Only progress is answered: a repeated chunk would begin a second stream of requests beside the first.
     if (next.base == before.base && next.afterKey == before.afterKey) return std::nullopt;
-    retryAt_ = std::max(retryAt_, now + kChainRetry);
+    retryAt_ = std::max(retryAt_, now + kChainRetryInterval);
     outbox_.send(message.from.internalAddress, next);
     return std::nullopt;
 }
@@ -79,11 +79,11 @@
 void StartingState::onSyncReply(Millis now, const Message& message, const SyncReply& reply) {
     const View& view = membership_.view;
     if (persisting_) return;
-    if (!membership_.inChain()) {
+    if (!membership_.isInChain()) {
         if (const auto complete = completed(now, message, reply)) storeLearnedState(*complete);
         return;
     }
-    if (message.epoch != view.epoch || !view.findDisk(message.from) || !membership_.active()) return;
+    if (message.epoch != view.epoch || !view.findDisk(message.from) || !membership_.isActive()) return;
     if (table_.isSynced(view)) return;
     const auto complete = completed(now, message, reply);
     if (!complete || complete->update.position != view.start) return;
--- a/src/replica/table_history.cpp
+++ b/src/replica/table_history.cpp
@@ -106,7 +106,7 @@
 void TableHistory::record(Batch batch) {
     bytes_ += bytesOf(batch);
     batches_.push_back(std::move(batch));
-    while (!batches_.empty() && (batches_.size() > kHistoryBatches || bytes_ > kHistoryBytes)) {
+    while (!batches_.empty() && (batches_.size() > kMaxHistoryBatches || bytes_ > kMaxHistoryBytes)) {
         base_ = batches_.front().position;
         bytes_ -= bytesOf(batches_.front());
         batches_.pop_front();
--- a/src/replica/table_history.hpp
+++ b/src/replica/table_history.hpp
@@ -1,4 +1,4 @@
-/// The table with the recent batches that led to it, bounded in number (kHistoryBatches) and bytes (kHistoryBytes).
+/// The table with the recent batches that led to it, bounded in number (kMaxHistoryBatches) and bytes (kMaxHistoryBytes).
 ///
 /// Snapshots are immutable and may be read from any thread: a change copies the table first if a snapshot of it is in use.
 #pragma once
@@ -37,7 +37,7 @@
     };
     Rows rowsAfter(const std::string& afterKey, std::size_t maxBytes) const;
     // Whether updateSince() gives the changes since that position, and not the full table.
-    bool remembers(Position since) const { return bytesSince(since).has_value(); }
+    bool reachesBackTo(Position since) const { return bytesSince(since).has_value(); }
     // Size in bytes of all keys and values.
     std::size_t tableBytes() const;
     /// Size in bytes of the batches since that position; nothing if it is not in the history.
--- a/src/replica/view.cpp
+++ b/src/replica/view.cpp
@@ -19,7 +19,7 @@
 
 bool majoritySurvivesWithoutUncounted(const std::vector<Member>& members, const Tolerance& tolerance) {
     View counted;
-    std::ranges::copy_if(members, std::back_inserter(counted.members), &Member::counted);
+    std::ranges::copy_if(members, std::back_inserter(counted.members), &Member::countsAsLoss);
     if (counted.members.size() == members.size() || !tolerance.covers(counted)) return true;
     const std::size_t size = counted.members.size();
     const std::size_t needed = members.size() / 2 + 1;
--- a/src/replica/view.hpp
+++ b/src/replica/view.hpp
@@ -26,7 +26,7 @@
     std::string internalAddress;    // "ip:port" that the members' own messages go to
     std::string controlAddress;     // "ip:port" of the operators' interface
     std::string zone;
-    bool counted =
+    bool countsAsLoss =
         true;  // its loss is one that the tolerance speaks of; others may go in any number at any time
     bool operator==(const Member&) const = default;
 };
@@ -44,7 +44,7 @@
     std::uint64_t epoch = 0;
     std::vector<Member> members;  // head first, tail last; the head is the source of the starting state
     Position start;               // the state that every member of the epoch starts from
-    /// Who decides on the next view (replica/voters.hpp); read by electorate(). Empty: the members, as in views of earlier
+    /// Who decides on the next view (replica/voters.hpp); read by effectiveVoters(). Empty: the members, as in views of earlier
     /// releases.
     std::vector<Member> voters = {};
     bool operator==(const View&) const = default;
@@ -58,17 +58,17 @@
         const Member* found = find(member.name);
         return found && sameDisk(*found, member) ? found : nullptr;
     }
-    const std::vector<Member>& electorate() const { return voters.empty() ? members : voters; }
+    const std::vector<Member>& effectiveVoters() const { return voters.empty() ? members : voters; }
     /// The entry of this disk among those who decide on the next view.
     const Member* findVoter(const Member& member) const {
-        const auto found =
-            std::ranges::find_if(electorate(), [&](const Member& voter) { return sameDisk(voter, member); });
-        return found == electorate().end() ? nullptr : &*found;
+        const auto found = std::ranges::find_if(effectiveVoters(),
+                                                [&](const Member& voter) { return sameDisk(voter, member); });
+        return found == effectiveVoters().end() ? nullptr : &*found;
     }
     /// The members of the chain, and the voters that are not among them.
     std::vector<Member> membersAndVoters() const {
         std::vector<Member> listed = members;
-        for (const Member& voter : electorate())
+        for (const Member& voter : effectiveVoters())
             if (!findDisk(voter)) listed.push_back(voter);
         return listed;
     }
@@ -78,7 +78,7 @@
         return std::nullopt;
     }
     /// Of the voters.
-    std::size_t majority() const { return electorate().size() / 2 + 1; }
+    std::size_t majority() const { return effectiveVoters().size() / 2 + 1; }
     std::size_t zones() const {
         std::set<std::string_view> names;
         for (const Member& member : members) names.insert(member.zone);
--- a/src/replica/view_agreement.hpp
+++ b/src/replica/view_agreement.hpp
@@ -36,7 +36,7 @@
         return vote_.epoch == target ? vote_.promised : ProposalNumber{};
     }
     /// Has promised for the view that follows this epoch.
-    bool sealed(std::uint64_t epoch) const { return vote_.epoch == epoch + 1 && vote_.promised.round > 0; }
+    bool isSealed(std::uint64_t epoch) const { return vote_.epoch == epoch + 1 && vote_.promised.round > 0; }
 
 private:
     bool adoptEpoch(std::uint64_t target);
--- a/src/replica/view_change.cpp
+++ b/src/replica/view_change.cpp
@@ -28,9 +28,9 @@
       acceptor_(control.vote),
       planner_(membership, detector, chain),
       records_(membership, outbox, acceptor_, control),
-      lastInstallAt_(now - kViewChangeEvery) {}
+      lastInstallAt_(now - kMinViewChangeInterval) {}
 
-bool ViewChange::busy() const {
+bool ViewChange::isBusy() const {
     const bool proposing = proposer_.phase() != Proposer::Phase::idle;
     return changeDueSince_ > 0 || proposing || acceptors_.isFounding();
 }
@@ -38,7 +38,7 @@
 // ---- Acceptor
 
 // Brings this process to the base of the request. False if it may not vote on the view that follows it.
-bool ViewChange::mayVote(Millis now, const Message& message, const View& base,
+bool ViewChange::canVote(Millis now, const Message& message, const View& base,
                          const std::vector<std::string>& founders) {
     if (base.epoch > membership_.view.epoch) install_(now, base);
     if (base.epoch < membership_.view.epoch) {
@@ -51,10 +51,10 @@
 
 // A member that is not sealed yet checks a cause that the proposer only has from reports. A voter outside the chain does not
 // judge its members.
-bool ViewChange::seesNoCause(Millis now, const Prepare& prepare) const {
-    if (acceptors_.isFounding() || !membership_.inChain()) return false;
-    if (acceptor_.sealed(prepare.base.epoch) || prepare.observed) return false;
-    return !planner_.assess(now).any();
+bool ViewChange::isCauseUnconfirmed(Millis now, const Prepare& prepare) const {
+    if (acceptors_.isFounding() || !membership_.isInChain()) return false;
+    if (acceptor_.isSealed(prepare.base.epoch) || prepare.observedDirectly) return false;
+    return !planner_.assess(now).isChangeNeeded();
 }
 
 void ViewChange::replyOnceDurable(const Vote& vote, ControlRecordStore::Reply reply) {
@@ -71,34 +71,34 @@
 }
 
 void ViewChange::onPrepare(Millis now, const Message& message, const Prepare& prepare) {
-    if (!mayVote(now, message, prepare.base, prepare.founders)) return;
+    if (!canVote(now, message, prepare.base, prepare.founders)) return;
     const std::uint64_t target = prepare.base.epoch + 1;
     const std::string replyTo = message.from.internalAddress;
     highestRound_ = std::max(highestRound_, prepare.proposal.round);
     const ProposalNumber promised = acceptor_.promisedFor(target);
-    if (prepare.proposal < promised || seesNoCause(now, prepare)) {
-        outbox_.send(replyTo, Refuse{prepare.proposal, target, promised});
+    if (prepare.proposal < promised || isCauseUnconfirmed(now, prepare)) {
+        outbox_.send(replyTo, Reject{prepare.proposal, target, promised});
         return;
     }
     const bool repeated = prepare.proposal == promised;
     if (repeated && records_.hasVoteInFlight()) return;
     if (!acceptor_.promise(target, prepare.proposal)) return;
-    membership_.sealed = sealed();
+    membership_.sealed = isSealed();
     const Vote vote = acceptor_.vote();
     replyOnceDurable(vote, [this, replyTo, target, vote] { sendPromise(replyTo, target, vote); });
 }
 
 void ViewChange::onAccept(Millis now, const Message& message, const Accept& accept) {
-    if (!mayVote(now, message, accept.base, accept.founders)) return;
+    if (!canVote(now, message, accept.base, accept.founders)) return;
     const std::uint64_t target = accept.base.epoch + 1;
     const std::string replyTo = message.from.internalAddress;
     highestRound_ = std::max(highestRound_, accept.proposal.round);
     const Vote before = acceptor_.vote();
     if (!acceptor_.accept(target, accept.proposal, accept.value)) {
-        outbox_.send(replyTo, Refuse{accept.proposal, target, acceptor_.promisedFor(target)});
+        outbox_.send(replyTo, Reject{accept.proposal, target, acceptor_.promisedFor(target)});
         return;
     }
-    membership_.sealed = sealed();
+    membership_.sealed = isSealed();
     const Vote vote = acceptor_.vote();
     const bool repeated = before == vote;
     if (repeated && records_.hasVoteInFlight()) return;
@@ -115,13 +115,13 @@
     else
         considerChange(now);
     advance(now);
-    superviseProposal(now);
+    checkProposalTimers(now);
     records_.persistIfStale(now);
 }
 
-void ViewChange::superviseProposal(Millis now) {
+void ViewChange::checkProposalTimers(Millis now) {
     if (proposer_.phase() == Proposer::Phase::idle) return;
-    const Millis limit = kProposalTimeout + (acceptors_.isFounding() ? kFoundingWait : 0);
+    const Millis limit = kProposalTimeout + (acceptors_.isFounding() ? kFoundingGracePeriod : 0);
     if (now - proposer_.since() > limit) {
         proposer_.stop();
         backOff(now);
@@ -133,12 +133,12 @@
 void ViewChange::onProcessResumed(Millis now) {
     proposer_.stop();
     changeDueSince_ = 0;
-    backOffUntil_ = std::max(backOffUntil_, now + kHeartbeatEvery);
+    backOffUntil_ = std::max(backOffUntil_, now + kHeartbeatInterval);
 }
 
 void ViewChange::enterView(Millis now, const View& before) {
     acceptor_.decided(membership_.view.epoch);
-    membership_.sealed = sealed();
+    membership_.sealed = isSealed();
     if (proposer_.target() <= membership_.view.epoch) proposer_.stop();
     planner_.enterView(now, before);
     changeDueSince_ = 0;
@@ -156,27 +156,27 @@
 }
 
 void ViewChange::considerChange(Millis now) {
-    if (!membership_.inChain() || membership_.diskFailing || now < assessAt_) return;
-    assessAt_ = now + kAssessEvery;
+    if (!membership_.isInChain() || membership_.diskFailing || now < assessAt_) return;
+    assessAt_ = now + kAssessmentInterval;
     const Assessment assessment = planner_.assess(now);
-    if (!assessment.actionable() || !detector_.reachesMajority(now)) {
+    if (!assessment.isActionable() || !detector_.isMajorityReachable(now)) {
         changeDueSince_ = 0;
         return;
     }
     if (changeDueSince_ == 0) changeDueSince_ = now;
     if (proposer_.phase() != Proposer::Phase::idle) return;
-    if (now < backOffUntil_ || now < lastInstallAt_ + kViewChangeEvery) return;
-    const bool anotherProposes = membership_.sealed || assessment.onlyUnfinished();
+    if (now < backOffUntil_ || now < lastInstallAt_ + kMinViewChangeInterval) return;
+    const bool anotherProposes = membership_.sealed || assessment.isOnlyUnfinished();
     const Millis delay = anotherProposes ? kUnfinishedDelay : 0;
     const auto rank = static_cast<double>(planner_.rank(now, assessment));
     if (now < changeDueSince_ + delay + rank * kProposalRankDelay) return;
     planner_.onProposalBegun(assessment);
-    begin(now, assessment.observed);
+    begin(now, assessment.observedDirectly);
 }
 
-void ViewChange::begin(Millis now, bool observed) {
+void ViewChange::begin(Millis now, bool observedDirectly) {
     highestRound_ = std::max(highestRound_, acceptor_.vote().promised.round) + 1;
-    observed_ = observed;
+    observedDirectly_ = observedDirectly;
     const ProposalNumber proposal{highestRound_, membership_.self.name, membership_.self.session};
     proposer_.begin(now, membership_.view.epoch + 1, proposal, acceptors_.majority());
     outbox_.log(fmt::format("proposing the view of epoch {}, proposal number {}", proposer_.target(),
@@ -186,8 +186,8 @@
 
 void ViewChange::sendRequest(const std::string& address) {
     if (proposer_.phase() == Proposer::Phase::preparing)
-        outbox_.send(address,
-                     Prepare{proposer_.proposal(), membership_.view, membership_.founders, observed_});
+        outbox_.send(address, Prepare{proposer_.proposal(), membership_.view, membership_.founders,
+                                      observedDirectly_});
     else
         outbox_.send(address,
                      Accept{proposer_.proposal(), membership_.view, membership_.founders, proposer_.value()});
@@ -208,11 +208,11 @@
     if (proposer_.onPromise(acceptor, message.from, promise, votes)) advance(now);
 }
 
-void ViewChange::onRefuse(Millis now, const Refuse& refuse) {
-    highestRound_ = std::max(highestRound_, refuse.promised.round);
-    if (proposer_.phase() == Proposer::Phase::idle || refuse.proposal != proposer_.proposal()) return;
-    if (refuse.target != proposer_.target()) return;
-    if (refuse.promised <= proposer_.proposal()) return;  // it saw no cause; others may
+void ViewChange::onReject(Millis now, const Reject& reject) {
+    highestRound_ = std::max(highestRound_, reject.promised.round);
+    if (proposer_.phase() == Proposer::Phase::idle || reject.proposal != proposer_.proposal()) return;
+    if (reject.target != proposer_.target()) return;
+    if (reject.promised <= proposer_.proposal()) return;  // it saw no cause; others may
     proposer_.stop();
     backOff(now);
 }
@@ -224,20 +224,20 @@
 }
 
 // Members that answer heartbeats get some time to promise, so that they are not left out.
-bool ViewChange::waitedLongEnough(Millis now) const {
+bool ViewChange::hasWaitedLongEnough(Millis now) const {
     const Millis waited = now - proposer_.since();
     if (acceptors_.isFounding())
-        return proposer_.promises().size() == membership_.founders.size() || waited >= kFoundingWait;
-    if (waited >= kPromiseWait) return true;
+        return proposer_.promises().size() == membership_.founders.size() || waited >= kFoundingGracePeriod;
+    if (waited >= kPromiseGracePeriod) return true;
     return std::ranges::all_of(membership_.view.members,
-                               [&](const Member& member) { return needNotWaitFor(member, now); });
+                               [&](const Member& member) { return isPromiseDispensable(member, now); });
 }
 
-bool ViewChange::needNotWaitFor(const Member& member, Millis now) const {
+bool ViewChange::isPromiseDispensable(const Member& member, Millis now) const {
     if (proposer_.answered(acceptors_.keyOf(member))) return true;
     if (sameDisk(member, membership_.self)) return false;
     const Peer* peer = detector_.find(member.internalAddress);
-    if (!peer || detector_.suspected(member.internalAddress, now)) return true;
+    if (!peer || detector_.isSuspected(member.internalAddress, now)) return true;
     return peer->status.diskFailing || !sameDisk(peer->member, member);
 }
 
@@ -252,7 +252,7 @@
     }
     std::optional<View> value = proposer_.highestAcceptedValue();
     if (!value) {
-        if (!waitedLongEnough(now)) return;
+        if (!hasWaitedLongEnough(now)) return;
         value = acceptors_.isFounding() ? planner_.composeFounding(proposer_.promises())
                                         : planner_.compose(now, proposer_.promises());
     }
--- a/src/replica/view_change.hpp
+++ b/src/replica/view_change.hpp
@@ -9,7 +9,7 @@
 ///   idle      | change due, this process's turn         | Prepare to all acceptors -> preparing
 ///   preparing | Promise, majority, value known          | Accept to all acceptors -> accepting
 ///   accepting | Accepted, majority                      | Decided to all, view installed here -> idle
-///   any       | Refuse with a higher proposal number,   | back-off -> idle
+///   any       | Reject with a higher proposal number,   | back-off -> idle
 ///             | time-out                                |
 ///   any       | newer view in force                     | -> idle
 ///
@@ -54,37 +54,37 @@
 
     void onPrepare(Millis now, const Message& message, const Prepare& prepare);
     void onPromise(Millis now, const Message& message, const Promise& promise);
-    void onRefuse(Millis now, const Refuse& refuse);
+    void onReject(Millis now, const Reject& reject);
     void onAccept(Millis now, const Message& message, const Accept& accept);
     void onAccepted(Millis now, const Message& message, const Accepted& accepted);
     void onDecided(Millis now, const View& view);
 
-    bool sealed() const { return acceptor_.sealed(membership_.view.epoch); }
+    bool isSealed() const { return acceptor_.isSealed(membership_.view.epoch); }
     /// Something is under way that a timer must look after.
-    bool busy() const;
+    bool isBusy() const;
     /// What the disk should hold now; written in full by whoever persists it.
     ControlRecord control() const { return records_.record(); }
     void persistControl() { records_.persist(); }
 
 private:
-    bool mayVote(Millis now, const Message& message, const View& base,
+    bool canVote(Millis now, const Message& message, const View& base,
                  const std::vector<std::string>& founders);
-    bool seesNoCause(Millis now, const Prepare& prepare) const;
+    bool isCauseUnconfirmed(Millis now, const Prepare& prepare) const;
     void replyOnceDurable(const Vote& vote, ControlRecordStore::Reply reply);
     void sendPromise(const std::string& address, std::uint64_t target, const Vote& vote);
 
     void considerFounding(Millis now);
     void considerChange(Millis now);
-    void begin(Millis now, bool observed);
+    void begin(Millis now, bool observedDirectly);
     void advance(Millis now);
-    void superviseProposal(Millis now);
-    bool waitedLongEnough(Millis now) const;
-    bool needNotWaitFor(const Member& member, Millis now) const;
+    void checkProposalTimers(Millis now);
+    bool hasWaitedLongEnough(Millis now) const;
+    bool isPromiseDispensable(const Member& member, Millis now) const;
     void resend(Millis now);
     void sendRequest(const std::string& address);
     void backOff(Millis now);
     void announceDecision(const View& view);
-    Millis retryDelay() { return kRetryLow + (kRetryHigh - kRetryLow) * random_(); }
+    Millis retryDelay() { return kMinRetryDelay + (kMaxRetryDelay - kMinRetryDelay) * random_(); }
 
     Membership& membership_;
     Outbox& outbox_;
@@ -98,7 +98,7 @@
     Proposer proposer_;
     ViewPlanner planner_;
     ControlRecordStore records_;
-    bool observed_ = false;           // this process saw the cause of the present proposal itself
+    bool observedDirectly_ = false;   // this process saw the cause of the present proposal itself
     std::uint64_t highestRound_ = 0;  // of the proposal numbers seen
     Millis assessAt_ = 0;
     Millis changeDueSince_ = 0;  // 0: none is due
--- a/src/replica/view_composer.cpp
+++ b/src/replica/view_composer.cpp
@@ -57,7 +57,7 @@
 };
 
 // Among equals the first one offered stays, so that the head keeps its role.
-void keepBetter(std::optional<Source>& best, const ReceivedPromise& received, const View& base) {
+void updateBestSource(std::optional<Source>& best, const ReceivedPromise& received, const View& base) {
     const std::optional<Stored> stored = storedBy(received, base);
     if (stored && (!best || best->stored < *stored)) best = Source{&received, *stored};
 }
@@ -74,10 +74,10 @@
     for (const Member& member : base.members) {
         const ReceivedPromise* received = promiseOf(member, promises);
         if (!received) continue;
-        const bool goesOn =
+        const bool isContinuing =
             !assessment.excluded.contains(member.internalAddress) && !received->promise.diskFailing;
-        keepBetter(goesOn ? chain.source : excludedSource, *received, base);
-        if (goesOn) chain.members.push_back(received);
+        updateBestSource(isContinuing ? chain.source : excludedSource, *received, base);
+        if (isContinuing) chain.members.push_back(received);
     }
     if (!chain.source) chain.source = excludedSource;
     return chain;
@@ -86,7 +86,7 @@
 // A voter outside the chain may be the source only where nothing was committed in the epoch.
 std::optional<Source> sourceAmongAll(const View& base, const Promises& promises) {
     std::optional<Source> source;
-    for (const auto& [voter, received] : promises) keepBetter(source, received, base);
+    for (const auto& [voter, received] : promises) updateBestSource(source, received, base);
     return source;
 }
 
--- a/src/replica/view_planner.cpp
+++ b/src/replica/view_planner.cpp
@@ -14,7 +14,7 @@
 Assessment ViewPlanner::assess(Millis now) const {
     using Candidates = JoinerSelection::Candidates;
     Assessment assessment;
-    if (!membership_.inChain()) return assessment;
+    if (!membership_.isInChain()) return assessment;
     const View& view = membership_.view;
     assessMembers(now, assessment);
     assessLinks(now, assessment);
@@ -33,7 +33,7 @@
 
 void ViewPlanner::assessMembers(Millis now, Assessment& assessment) const {
     const View& view = membership_.view;
-    const bool installationOverdue = !chain_.installed() && now - enteredAt_ > 2 * kOpeningStallAfter;
+    const bool installationOverdue = !chain_.isInstalled() && now - enteredAt_ > 2 * kOpeningStallTimeout;
     if (membership_.sealed || installationOverdue) assessment.unfinished = true;
     for (const Member& member : view.members) {
         if (sameDisk(member, membership_.self))
@@ -41,13 +41,13 @@
         else
             assessMember(now, member, assessment);
     }
-    for (const Member& voter : view.electorate()) assessVoterOutsideChain(now, voter, assessment);
+    for (const Member& voter : view.effectiveVoters()) assessVoterOutsideChain(now, voter, assessment);
 }
 
 void ViewPlanner::assessOwnSession(const Member& member, Assessment& assessment) const {
     if (sameProcess(member, membership_.self)) return;
     assessment.restarted = true;
-    assessment.observed = true;
+    assessment.observedDirectly = true;
 }
 
 void ViewPlanner::assessMember(Millis now, const Member& member, Assessment& assessment) const {
@@ -56,12 +56,12 @@
     const bool diskLost = !sameDisk(peer->member, member);
     if (diskLost || peer->status.diskFailing) {
         assessment.excluded.insert(member.internalAddress);
-        assessment.observed = true;
+        assessment.observedDirectly = true;
     }
     if (diskLost) return;
     if (!sameProcess(peer->member, member)) {
         assessment.restarted = true;
-        assessment.observed = true;
+        assessment.observedDirectly = true;
     }
     if (peer->epoch == membership_.view.epoch && peer->status.sealed) assessment.unfinished = true;
 }
@@ -90,7 +90,7 @@
 void ViewPlanner::assessUnresponsive(Millis now, Assessment& assessment) const {
     for (const std::string& address : detector_.unresponsivePeers(now)) {
         if (!isMember(address) || assessment.excluded.contains(address)) continue;
-        assessment.observed = true;
+        assessment.observedDirectly = true;
         if (!detector_.isReachedByAnyPeer(address, now)) assessment.excluded.insert(address);
     }
 }
@@ -136,7 +136,7 @@
     const std::string own = chain_.stalledMember(now, detector_);
     if (!own.empty()) {
         excludeStalled(own, assessment);
-        assessment.observed = true;
+        assessment.observedDirectly = true;
     }
     const View& view = membership_.view;
     if (view.members.empty() || sameDisk(view.members.front(), membership_.self)) return;
@@ -157,7 +157,7 @@
 
 // Uncounted members whose going could take the majority with them, since counted ones were lost.
 void ViewPlanner::assessUncounted(Assessment& assessment) const {
-    if (!chain_.installed()) return;
+    if (!chain_.isInstalled()) return;
     const std::vector<Member> before = assessment.nextMembers(membership_.view);
     std::vector<Member> remaining = before;
     requirements_.dropSurplusUncounted(remaining);
@@ -165,20 +165,20 @@
     for (const Member& member : before) {
         if (std::ranges::find(remaining, member) != remaining.end()) continue;
         assessment.excluded.insert(member.internalAddress);
-        assessment.observed = true;
+        assessment.observedDirectly = true;
     }
 }
 
 // Leaves out as many of the leaving as can be spared, the later in order first, with a joiner instead of each where one is
 // ready.
 void ViewPlanner::assessLeavers(Millis now, Assessment& assessment) const {
-    if (!chain_.installed()) return;
+    if (!chain_.isInstalled()) return;
     for (const Member& member : membership_.view.members | std::views::reverse) {
         const std::string& address = member.internalAddress;
         if (assessment.excluded.contains(address) || !isLeaving(member, now)) continue;
         if (!canLeave(now, member, assessment)) continue;
         assessment.excluded.insert(address);
-        assessment.observed = true;
+        assessment.observedDirectly = true;
     }
 }
 
@@ -190,13 +190,13 @@
 }
 
 void ViewPlanner::assessVoters(Millis now, Assessment& assessment) const {
-    if (!chain_.installed()) return;
+    if (!chain_.isInstalled()) return;
     const View& view = membership_.view;
     const std::vector<Member> next =
         nextVoters(voters_.present(now, assessment), assessment.nextMembers(view), requirements_.tolerance());
-    if (std::ranges::equal(next, view.electorate(), sameDisk)) return;
+    if (std::ranges::equal(next, view.effectiveVoters(), sameDisk)) return;
     assessment.voters = true;
-    assessment.observed = true;
+    assessment.observedDirectly = true;
 }
 
 bool ViewPlanner::isLeaving(const Member& member, Millis now) const {
@@ -214,7 +214,7 @@
 
 const Peer* ViewPlanner::reachablePeer(const Member& member, Millis now) const {
     const Peer* peer = detector_.find(member.internalAddress);
-    return peer && detector_.reachable(member.internalAddress, now) ? peer : nullptr;
+    return peer && detector_.isReachable(member.internalAddress, now) ? peer : nullptr;
 }
 
 // ---- Proposing
--- a/src/replica/view_requirements.cpp
+++ b/src/replica/view_requirements.cpp
@@ -18,7 +18,7 @@
 
 void ViewRequirements::dropSurplusUncounted(std::vector<Member>& members) const {
     while (!majoritySurvivesWithoutUncounted(members, tolerance())) {
-        const auto last = std::ranges::find(members.rbegin(), members.rend(), false, &Member::counted);
+        const auto last = std::ranges::find(members.rbegin(), members.rend(), false, &Member::countsAsLoss);
         if (last == members.rend()) return;
         members.erase(std::next(last).base());
     }
--- a/src/replica/voter_assessment.cpp
+++ b/src/replica/voter_assessment.cpp
@@ -14,7 +14,7 @@
 
 std::vector<Voter> VoterAssessment::present(Millis now, const Assessment& assessment) const {
     std::vector<Voter> voters;
-    for (const Member& voter : membership_.view.electorate())
+    for (const Member& voter : membership_.view.effectiveVoters())
         voters.push_back(assess(now, voter, assessment));
     return voters;
 }
@@ -28,7 +28,7 @@
     if (!peer || !sameDisk(peer->member, voter)) return {voter, VoterState::unreachable};
     if (peer->status.leaving) return {peer->member, VoterState::leaving};
     const bool unresponsive =
-        detector_.suspected(address, now) && !detector_.isReachedByAnyPeer(address, now);
+        detector_.isSuspected(address, now) && !detector_.isReachedByAnyPeer(address, now);
     if (unresponsive || assessment.excluded.contains(address)) return {peer->member, VoterState::unreachable};
     return {peer->member, VoterState::present};
 }
@@ -37,7 +37,7 @@
 bool VoterAssessment::isDiskReplaced(Millis now, const Member& voter) const {
     if (hasNewDiskOf(voter, membership_.self)) return true;
     return std::ranges::any_of(detector_.peers(), [&](const auto& entry) {
-        return detector_.reachable(entry.first, now) && hasNewDiskOf(voter, entry.second.member);
+        return detector_.isReachable(entry.first, now) && hasNewDiskOf(voter, entry.second.member);
     });
 }
 
--- a/src/replica/voters.cpp
+++ b/src/replica/voters.cpp
@@ -15,12 +15,12 @@
 std::vector<Member> candidatesAmong(const std::vector<Member>& chain, const std::vector<Voter>& present,
                                     const Tolerance& tolerance) {
     View counted;
-    std::ranges::copy_if(chain, std::back_inserter(counted.members), &Member::counted);
+    std::ranges::copy_if(chain, std::back_inserter(counted.members), &Member::countsAsLoss);
     const bool includeUncounted = !tolerance.covers(counted);
     std::vector<Member> candidates;
     for (const Member& member : chain) {
         if (hasVote(present, member)) continue;
-        if (includeUncounted || member.counted) candidates.push_back(member);
+        if (includeUncounted || member.countsAsLoss) candidates.push_back(member);
     }
     return candidates;
 }
--- a/tests/control/cluster.cpp
+++ b/tests/control/cluster.cpp
@@ -186,9 +186,9 @@
     bool writable = false;
     for (const auto& member : members_) {
         const replica::Replica* replica = member ? member->replica() : nullptr;
-        if (!replica || !replica->inView() || replica->view().members.size() != members) continue;
-        if (replica->fresh(clock_.now())) inView++;
-        writable = writable || replica->writable();
+        if (!replica || !replica->isInView() || replica->view().members.size() != members) continue;
+        if (replica->isFresh(clock_.now())) inView++;
+        writable = writable || replica->isWritable();
     }
     return inView == members && writable;
 }
--- a/tests/control/codec_test.cpp
+++ b/tests/control/codec_test.cpp
@@ -258,7 +258,7 @@
             replica::Join{},
             replica::Prepare{proposal, view(), {"s1", "s2"}, true},
             promise,
-            replica::Refuse{proposal, 5, proposal},
+            replica::Reject{proposal, 5, proposal},
             replica::Accept{proposal, view(), {}, view()},
             replica::Accepted{proposal, 5},
             replica::Decided{view()},
@@ -330,7 +330,7 @@
     const auto read = decodeMessages(bytes);
     ASSERT_TRUE(read.has_value()) << read.error().text();
     EXPECT_EQ(read.value()[0].from, member("a"));
-    EXPECT_TRUE(read.value()[0].from.counted);
+    EXPECT_TRUE(read.value()[0].from.countsAsLoss);
 }
 
 // An earlier version writes three fields for a view: its voters are its members.
@@ -344,7 +344,7 @@
     const auto read = decodeView(bytes);
     ASSERT_TRUE(read.has_value()) << read.error().text();
     EXPECT_EQ(read.value().view, older);
-    EXPECT_EQ(read.value().view.electorate(), older.members);
+    EXPECT_EQ(read.value().view.effectiveVoters(), older.members);
 }
 
 TEST(ReplicaCodec, ReturnsErrorWhenBytesAreNoMessage) {
--- a/tests/control/control_test.cpp
+++ b/tests/control/control_test.cpp
@@ -327,7 +327,7 @@
     cluster.start(2);
     const HttpAnswer alone = cluster.callOnce(cluster.controlAddress(2), "GET", "/configuration");
     EXPECT_EQ(alone.status, 503);
-    EXPECT_FALSE(cluster.member(2)->replica()->inView());
+    EXPECT_FALSE(cluster.member(2)->replica()->isInView());
     cluster.setSeeds(2, {cluster.controlAddress(1)});
     cluster.reload(2);
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
--- a/tests/control/gateway_service_state_test.cpp
+++ b/tests/control/gateway_service_state_test.cpp
@@ -158,7 +158,7 @@
     ASSERT_EQ(refused.answers.size(), 1u);
     EXPECT_EQ(refused.answers.front().reply.status, PollStatus::otherCluster);
     EXPECT_TRUE(refused.answers.front().reply.members.empty());
-    EXPECT_TRUE(service.state.leases().live(1).empty());
+    EXPECT_TRUE(service.state.leases().liveGateways(1).empty());
     for (const std::uint64_t cluster : {std::uint64_t{7}, std::uint64_t{0}}) {
         poll.clusterId = cluster;
         const auto answered = service.poll(10, poll);
@@ -166,7 +166,7 @@
         EXPECT_EQ(answered.answers.front().reply.status, PollStatus::ok);
         EXPECT_EQ(answered.answers.front().reply.clusterId, 7u);
     }
-    EXPECT_EQ(service.state.leases().live(11).size(), 1u);
+    EXPECT_EQ(service.state.leases().liveGateways(11).size(), 1u);
 }
 
 TEST(GatewayServiceState, IgnoresPeerUpdatesOfAnotherCluster) {
@@ -177,10 +177,10 @@
     update.clusterId = 8;
     PeerUpdateReply reply;
     EXPECT_FALSE(service.state.onPeerUpdate(0, &service.table, update, reply).gatewaysChanged);
-    EXPECT_TRUE(service.state.leases().live(1).empty());
+    EXPECT_TRUE(service.state.leases().liveGateways(1).empty());
     update.clusterId = 7;
     EXPECT_TRUE(service.state.onPeerUpdate(0, &service.table, update, reply).gatewaysChanged);
-    EXPECT_EQ(service.state.leases().live(1).size(), 1u);
+    EXPECT_EQ(service.state.leases().liveGateways(1).size(), 1u);
 }
 
 // To a gateway that accepts chunks a large table goes in chunks, to any other in one reply.
--- a/tests/golden/control/control_messages_test.cpp
+++ b/tests/golden/control/control_messages_test.cpp
@@ -242,9 +242,9 @@
 }
 
 TEST_F(ControlMessagesTest, IdsOfWhatAGatewaySays) {
-    const std::string id = std::to_string(leases::idOf(sampleGateway()));
+    const std::string id = std::to_string(leases::registrationId(sampleGateway()));
     EXPECT_EQ(golden_.check("lease_id/full", id), id);
-    const std::string empty = std::to_string(leases::idOf({}));
+    const std::string empty = std::to_string(leases::registrationId({}));
     EXPECT_EQ(golden_.check("lease_id/empty", empty), empty);
 }
 
--- a/tests/golden/control/equality.hpp
+++ b/tests/golden/control/equality.hpp
@@ -72,17 +72,17 @@
                     status.stalledMember, status.stored, status.leaving);
 }
 inline auto tied(const HeartbeatReply& message) {
-    return std::tie(message.sequence, message.sentAt, message.askedBySession, message.status);
+    return std::tie(message.sequence, message.sentAt, message.requesterSession, message.status);
 }
 inline auto tied(const Join&) { return std::tuple<>(); }
 inline auto tied(const Prepare& message) {
-    return std::tie(message.proposal, message.base, message.founders, message.observed);
+    return std::tie(message.proposal, message.base, message.founders, message.observedDirectly);
 }
 inline auto tied(const Promise& message) {
     return std::tie(message.proposal, message.target, message.accepted, message.value, message.syncedEpoch,
                     message.position, message.appliedPosition, message.diskFailing);
 }
-inline auto tied(const Refuse& message) {
+inline auto tied(const Reject& message) {
     return std::tie(message.proposal, message.target, message.promised);
 }
 inline auto tied(const Accept& message) {
--- a/tests/golden/control/replica_samples.cpp
+++ b/tests/golden/control/replica_samples.cpp
@@ -43,8 +43,8 @@
         {"promise/empty", Promise{}},
         {"promise/without_value", std::move(without)},
         {"promise/disk_failing", std::move(failing)},
-        {"refuse/full", replica::Refuse{sampleBallot(4), 6, sampleBallot(5)}},
-        {"refuse/empty", replica::Refuse{}},
+        {"refuse/full", replica::Reject{sampleBallot(4), 6, sampleBallot(5)}},
+        {"refuse/empty", replica::Reject{}},
         {"accept/full", replica::Accept{sampleBallot(4), sampleView(), sampleFounders(), sampleView()}},
         {"accept/empty", replica::Accept{}},
         {"accepted/full", replica::Accepted{sampleBallot(4), 6}},
@@ -80,7 +80,7 @@
     member.internalAddress = fmt::format("10.0.2.{}:7000", number);
     member.controlAddress = fmt::format("10.0.3.{}:7001", number);
     member.zone = fmt::format("zone-{}", number);
-    member.counted = number % 2 == 1;
+    member.countsAsLoss = number % 2 == 1;
     return member;
 }
 
--- a/tests/leases/lease_table_test.cpp
+++ b/tests/leases/lease_table_test.cpp
@@ -12,8 +12,8 @@
 LeaseTable::Settings settings() {
     LeaseTable::Settings settings;
     settings.leaseMs = 3000;
-    settings.windowMs = 10000;
-    settings.lateWakeMs = 1000;
+    settings.peakWindowMs = 10000;
+    settings.maxAdvanceGapMs = 1000;
     settings.maxGateways = 4;
     return settings;
 }
@@ -51,7 +51,7 @@
     table.renew(kStart, gateway("g1"));
     advanceInSteps(table, kStart, kStart + 2900);
     EXPECT_FALSE(table.count(kStart + 2900).has_value());
-    EXPECT_FALSE(table.largestLive(kStart + 2900).has_value());
+    EXPECT_FALSE(table.peakLiveCount(kStart + 2900).has_value());
     table.renew(kStart + 2900, gateway("g1"));
     EXPECT_EQ(table.count(kStart + 3000), 1u);
 }
@@ -77,9 +77,9 @@
     for (Millis now = kStart; now <= kStart + 12000; now += 250) table.renew(now, gateway("g1"));
     // g2 and g3 lived until 3,000 after the start: they count until 13,000 after it.
     EXPECT_EQ(table.count(kStart + 12000), 1u);
-    EXPECT_EQ(table.largestLive(kStart + 12000), 3u);
+    EXPECT_EQ(table.peakLiveCount(kStart + 12000), 3u);
     for (Millis now = kStart + 12250; now <= kStart + 13250; now += 250) table.renew(now, gateway("g1"));
-    EXPECT_EQ(table.largestLive(kStart + 13250), 1u);
+    EXPECT_EQ(table.peakLiveCount(kStart + 13250), 1u);
 }
 
 TEST(LeaseTable, MergesReportedLeasesByAge) {
@@ -180,9 +180,9 @@
     advanceInSteps(here, kStart, kStart + 2000);
     advanceInSteps(there, kStart, kStart + 2000);
     here.renew(kStart + 2000, gateway("g1"));
-    const auto granted = here.grantedSince(kStart + 1000, kStart + 2100);
+    const auto granted = here.leasesGrantedSince(kStart + 1000, kStart + 2100);
     ASSERT_EQ(granted.size(), 1u);
-    EXPECT_TRUE(here.grantedSince(kStart + 2001, kStart + 2100).empty());
+    EXPECT_TRUE(here.leasesGrantedSince(kStart + 2001, kStart + 2100).empty());
     EXPECT_TRUE(there.mergeRenewals(kStart + 2100, {{granted.front().id, 100}}).empty());
     EXPECT_TRUE(there.isLive("g1", kStart + 4999));
     EXPECT_FALSE(there.isLive("g1", kStart + 5000));
@@ -192,11 +192,12 @@
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     Gateway later = gateway("g1", 2);
-    EXPECT_NE(idOf(gateway("g1")), idOf(later));
-    EXPECT_EQ(table.mergeRenewals(kStart, {{idOf(later), 0}}), std::vector<std::uint64_t>{idOf(later)});
+    EXPECT_NE(registrationId(gateway("g1")), registrationId(later));
+    EXPECT_EQ(table.mergeRenewals(kStart, {{registrationId(later), 0}}),
+              std::vector<std::uint64_t>{registrationId(later)});
     table.renew(kStart + 1, later);
-    EXPECT_EQ(table.mergeRenewals(kStart + 2, {{idOf(gateway("g1")), 0}}),
-              std::vector<std::uint64_t>{idOf(gateway("g1"))});
+    EXPECT_EQ(table.mergeRenewals(kStart + 2, {{registrationId(gateway("g1")), 0}}),
+              std::vector<std::uint64_t>{registrationId(gateway("g1"))});
     EXPECT_EQ(table.find("g1", kStart + 2)->session, 2u);
 }
 
@@ -204,7 +205,7 @@
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     advanceInSteps(table, kStart, kStart + 1000);
-    EXPECT_TRUE(table.mergeRenewals(kStart + 1000, {{idOf(gateway("g1")), 2000}}).empty());
+    EXPECT_TRUE(table.mergeRenewals(kStart + 1000, {{registrationId(gateway("g1")), 2000}}).empty());
     EXPECT_TRUE(table.isLive("g1", kStart + 2999));
 }
 
@@ -212,7 +213,7 @@
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     advanceInSteps(table, kStart, kStart + 3500);
-    EXPECT_EQ(table.mergeRenewals(kStart + 3500, {{idOf(gateway("g1")), 0}}).size(), 1u);
+    EXPECT_EQ(table.mergeRenewals(kStart + 3500, {{registrationId(gateway("g1")), 0}}).size(), 1u);
     EXPECT_EQ(table.size(), 0u);
 }
 
--- a/tests/replica/chain_batches_test.cpp
+++ b/tests/replica/chain_batches_test.cpp
@@ -65,7 +65,7 @@
     EXPECT_EQ(last<Promise>()->position, (Position{2, 4})) << "the promise tells of the pending batch";
     receive("c", Commit{{2, 4}});
     EXPECT_EQ(replica_->committedPosition(), (Position{1, 3}));
-    EXPECT_FALSE(replica_->fresh(now_));
+    EXPECT_FALSE(replica_->isFresh(now_));
 }
 
 TEST_F(ReplicaTest, RepeatsFailedApplyWithNextBatch) {
--- a/tests/replica/explore_checks.cpp
+++ b/tests/replica/explore_checks.cpp
@@ -43,7 +43,7 @@
         fail(fmt::format("node {} went back from {} to {}", index, text(node.lastShown), text(position)));
     if (position != node.lastShown) know(index, position, node.replica->committedTable());
     node.lastShown = position;
-    if (!node.replica->fresh(now_)) return;
+    if (!node.replica->isFresh(now_)) return;
     while (acknowledgements_.size() > 1 && acknowledgements_[1].first < now_ - kFreshLag)
         acknowledgements_.pop_front();
     if (acknowledgements_.empty() || acknowledgements_.front().first >= now_ - kFreshLag) return;
@@ -57,7 +57,7 @@
         std::ranges::count_if(nodes_, [](const Node& node) { return node.session > 0 && !node.gone; }));
     return std::ranges::all_of(nodes_, [&](const Node& node) {
         if (node.session == 0 || node.gone) return true;
-        return node.replica && node.replica->fresh(now_) && node.replica->view().members.size() == running;
+        return node.replica && node.replica->isFresh(now_) && node.replica->view().members.size() == running;
     });
 }
 
--- a/tests/replica/explore_client.cpp
+++ b/tests/replica/explore_client.cpp
@@ -20,7 +20,7 @@
     for (std::size_t index = 0; index < kNodes; ++index) {
         Node& node = nodes_[index];
         if (!node.replica || now_ < node.frozenUntil) continue;
-        if (node.replica->writable()) {
+        if (node.replica->isWritable()) {
             const std::uint64_t token = nextToken_++;
             openWrites_[token] = {index, std::to_string(token)};
             deliver(index, ClientWrite{token, {{fmt::format("key/{}", token % 7), std::to_string(token)}}});
--- a/tests/replica/explore_points.cpp
+++ b/tests/replica/explore_points.cpp
@@ -18,7 +18,7 @@
 Step stepOf(const Body& body) {
     if (isAny<Heartbeat, HeartbeatReply>(body)) return Step::heartbeat;
     if (isAny<Join>(body)) return Step::joining;
-    if (isAny<Prepare, Promise, Refuse, Accept, Accepted>(body)) return Step::vote;
+    if (isAny<Prepare, Promise, Reject, Accept, Accepted>(body)) return Step::vote;
     if (isAny<Decided>(body)) return Step::decision;
     if (isAny<SyncRequest, SyncReply>(body)) return Step::stateTransfer;
     if (const auto* propose = std::get_if<Propose>(&body))
--- a/tests/replica/explore_world.cpp
+++ b/tests/replica/explore_world.cpp
@@ -354,7 +354,7 @@
     }
     if (node.replica) {
         hash = mix(hash, mix(node.replica->view().epoch, hashOf(node.replica->committedPosition())));
-        hash = mix(hash, (node.replica->isHead() ? 1 : 0) + (node.replica->writable() ? 2 : 0) +
+        hash = mix(hash, (node.replica->isHead() ? 1 : 0) + (node.replica->isWritable() ? 2 : 0) +
                              (now_ < node.frozenUntil ? 4 : 0));
     }
     node.hash = hash;
--- a/tests/replica/head_writes_test.cpp
+++ b/tests/replica/head_writes_test.cpp
@@ -24,14 +24,14 @@
     ASSERT_TRUE(last<WriteDone>());
     EXPECT_EQ(last<WriteDone>()->token, 7u);
     EXPECT_EQ(last<WriteDone>()->outcome, WriteOutcome::committed);
-    EXPECT_TRUE(replica_->writable());
+    EXPECT_TRUE(replica_->isWritable());
 }
 
 TEST_F(ReplicaTest, HeadRefusesWritesBelowTolerance) {
     tolerance_ = {3, 1};
     enterInstalled(0);
     EXPECT_TRUE(replica_->isHead());
-    EXPECT_FALSE(replica_->writable());
+    EXPECT_FALSE(replica_->isWritable());
     handle(ClientWrite{7, {}});
     EXPECT_EQ(last<WriteDone>()->outcome, WriteOutcome::unavailable);
 }
@@ -42,7 +42,7 @@
     advanceTime(kWriteTimeout + 100);
     ASSERT_TRUE(last<WriteDone>());
     EXPECT_EQ(last<WriteDone>()->outcome, WriteOutcome::unavailable);
-    EXPECT_FALSE(replica_->writable()) << "the batch is still on its way";
+    EXPECT_FALSE(replica_->isWritable()) << "the batch is still on its way";
 }
 
 TEST_F(ReplicaTest, AcknowledgesWriteThatNextViewStartsFrom) {
--- a/tests/replica/learner_test.cpp
+++ b/tests/replica/learner_test.cpp
@@ -25,7 +25,7 @@
     static void age(Cluster& cluster) {
         cluster.startClient();
         ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.isComplete(); })) << cluster.describe();
-        const std::uint64_t enough = cluster.acknowledged() + kHistoryBatches + 20;
+        const std::uint64_t enough = cluster.acknowledged() + kMaxHistoryBatches + 20;
         ASSERT_TRUE(cluster.runUntil(60'000, [&] { return cluster.acknowledged() >= enough; }));
     }
     // The longest time without an acknowledgement until the condition holds.
@@ -68,7 +68,7 @@
     cluster.wipe(node);
     cluster.runFor(2'000);
     cluster.start(node);
-    EXPECT_TRUE(cluster.runUntil(kMaxLearningTime + 1'000, [&] { return cluster.replica(node).inView(); }))
+    EXPECT_TRUE(cluster.runUntil(kMaxLearningTime + 1'000, [&] { return cluster.replica(node).isInView(); }))
         << cluster.describe();
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
--- a/tests/replica/leaving_test.cpp
+++ b/tests/replica/leaving_test.cpp
@@ -33,7 +33,7 @@
     static bool sharesView(Cluster& cluster, std::size_t members) {
         for (std::size_t node = 0; node < cluster.nodes(); ++node) {
             if (cluster.gone(node)) continue;
-            if (!cluster.up(node) || !cluster.replica(node).fresh(cluster.now())) return false;
+            if (!cluster.up(node) || !cluster.replica(node).isFresh(cluster.now())) return false;
             if (cluster.replica(node).view().members.size() != members) return false;
         }
         return true;
@@ -65,7 +65,7 @@
     const std::size_t old = GetParam() % 3;
     const std::size_t added = cluster.addReplacement(old, false);
     cluster.start(added);
-    ASSERT_TRUE(cluster.runUntil(kCatchUp, [&] { return cluster.replica(added).inView(); }));
+    ASSERT_TRUE(cluster.runUntil(kCatchUp, [&] { return cluster.replica(added).isInView(); }));
     cluster.runFor(cluster.draw(0, 1'000));
     cluster.leave(old);
     ASSERT_TRUE(cluster.runUntil(kBound + 1, [&] { return !cluster.up(old); }));
--- a/tests/replica/outside_view_test.cpp
+++ b/tests/replica/outside_view_test.cpp
@@ -10,7 +10,7 @@
     storeAllPersists();
     EXPECT_EQ(countSent<SyncRequest>("a"), 1u);
     EXPECT_EQ(last<SyncRequest>()->position, (Position{1, 3}));
-    advanceTime(kLearnRetry - 100);
+    advanceTime(kLearnerRetryInterval - 100);
     EXPECT_EQ(countSent<SyncRequest>(), 1u);
     advanceTime(200);
     EXPECT_EQ(countSent<SyncRequest>("c"), 1u);
@@ -76,7 +76,7 @@
     receive("a", kPropose);
     receive("a", Heartbeat{1, 1});
     EXPECT_FALSE(last<HeartbeatReply>()->status.diskFailing);
-    advanceTime(kDiskStuckAfter + 100);
+    advanceTime(kDiskWriteTimeout + 100);
     receive("a", Heartbeat{2, 2});
     EXPECT_TRUE(last<HeartbeatReply>()->status.diskFailing);
     storeAllPersists();
--- a/tests/replica/reads_test.cpp
+++ b/tests/replica/reads_test.cpp
@@ -6,11 +6,11 @@
 
 TEST_F(ReplicaTest, IsFreshWhileInContactWithMajority) {
     enterInstalled(1);
-    EXPECT_FALSE(replica_->fresh(now_));
+    EXPECT_FALSE(replica_->isFresh(now_));
     answerHeartbeats({"c"});
-    EXPECT_TRUE(replica_->fresh(now_));
-    EXPECT_TRUE(replica_->fresh(now_ + kFreshFor));
-    EXPECT_FALSE(replica_->fresh(now_ + kFreshFor + 1));
+    EXPECT_TRUE(replica_->isFresh(now_));
+    EXPECT_TRUE(replica_->isFresh(now_ + kFreshDuration));
+    EXPECT_FALSE(replica_->isFresh(now_ + kFreshDuration + 1));
 }
 
 TEST_F(ReplicaTest, IsNotFreshByAnswersOfSealedMembersOrOtherEpochs) {
@@ -19,17 +19,17 @@
     sealed.sealed = true;
     const std::vector<Action> saved = actions_;
     answerHeartbeats({"c"}, sealed);
-    EXPECT_FALSE(replica_->fresh(now_));
+    EXPECT_FALSE(replica_->isFresh(now_));
     actions_ = saved;
     answerHeartbeats({"a"}, {}, 1);
-    EXPECT_FALSE(replica_->fresh(now_));
+    EXPECT_FALSE(replica_->isFresh(now_));
 }
 
 TEST_F(ReplicaTest, IsNotFreshByAnswersToHeartbeatsBeforePause) {
     enterInstalled(1);
     now_ += 5'000;
     answerHeartbeats({"a", "c"});
-    EXPECT_FALSE(replica_->fresh(now_));
+    EXPECT_FALSE(replica_->isFresh(now_));
 }
 
 TEST_F(ReplicaTest, ReadWaitsForHeartbeatsSentAfterIt) {
--- a/tests/replica/replica_fixture.hpp
+++ b/tests/replica/replica_fixture.hpp
@@ -139,8 +139,8 @@
     }
     void clearActions() { actions_.clear(); }
 
-    Prepare prepareFor(std::uint64_t round, bool observed = true) const {
-        return Prepare{ProposalNumber{round, "a", 1}, replica_->view(), {}, observed};
+    Prepare prepareFor(std::uint64_t round, bool observedDirectly = true) const {
+        return Prepare{ProposalNumber{round, "a", 1}, replica_->view(), {}, observedDirectly};
     }
 
     Tolerance tolerance_{1, 1};
--- a/tests/replica/restarts_test.cpp
+++ b/tests/replica/restarts_test.cpp
@@ -26,7 +26,7 @@
     if (distance == Distance::sameView) return cluster.runFor(cluster.draw(50, 700));
     cluster.runFor(cluster.draw(1'500, 2'500));
     if (distance != Distance::beyondHistory) return;
-    const std::uint64_t enough = cluster.acknowledged() + kHistoryBatches + 10;
+    const std::uint64_t enough = cluster.acknowledged() + kMaxHistoryBatches + 10;
     if (!cluster.runUntil(60'000, [&] { return cluster.acknowledged() > enough; }) && !cluster.failed())
         cluster.fail("no writes while one member is away");
 }
@@ -55,7 +55,7 @@
         const Position wanted = cluster.lastAcknowledged();
         cluster.start(node);
         const bool done = cluster.runUntil(kCatchUp, [&] {
-            return cluster.up(node) && cluster.replica(node).fresh(cluster.now()) &&
+            return cluster.up(node) && cluster.replica(node).isFresh(cluster.now()) &&
                    cluster.replica(node).committedPosition() >= wanted;
         });
         if (!done && !cluster.failed()) cluster.fail("a restarted member did not catch up");
@@ -119,7 +119,7 @@
         cluster.kill(old);
         fallBehind(cluster, Distance::beyondHistory);
         cluster.start(old);
-        cluster.runUntil(kCatchUp, [&] { return cluster.replica(old).inView(); });
+        cluster.runUntil(kCatchUp, [&] { return cluster.replica(old).isInView(); });
         cluster.runFor(cluster.draw(0, 300));
         cluster.losePower(other);
         cluster.runFor(cluster.draw(10, 300));
--- a/tests/replica/simulated_checks.cpp
+++ b/tests/replica/simulated_checks.cpp
@@ -59,7 +59,7 @@
     if (position != node.lastShown) checkState(index);
     node.lastShown = position;
     if (node.leaving && node.replica->hasLeft(now_)) checkLeft(index);
-    if (!node.replica->fresh(now_)) return;
+    if (!node.replica->isFresh(now_)) return;
     while (acknowledgements_.size() > 1 && acknowledgements_[1].first < now_ - kFreshLag)
         acknowledgements_.pop_front();
     if (acknowledgements_.empty() || acknowledgements_.front().first >= now_ - kFreshLag) return;
--- a/tests/replica/simulated_client.cpp
+++ b/tests/replica/simulated_client.cpp
@@ -24,7 +24,7 @@
 // Offers a write to every process that thinks it may take one, so that two heads at once would be found out.
 void Cluster::write() {
     for (std::size_t index = 0; index < nodes_.size(); ++index) {
-        if (!up(index) || frozen(index) || !replica(index).writable()) continue;
+        if (!up(index) || frozen(index) || !replica(index).isWritable()) continue;
         const std::uint64_t token = nextToken_++;
         const std::uint64_t value = nextValue_++;
         OpenWrite open{index, nodes_[index].session, fmt::format("key/{}", value % 50),
--- a/tests/replica/simulated_cluster.cpp
+++ b/tests/replica/simulated_cluster.cpp
@@ -22,7 +22,7 @@
         node.member.internalAddress = fmt::format("10.0.0.{}:7660", index + 1);
         node.member.controlAddress = fmt::format("10.0.0.{}:8146", index + 1);
         node.member.zone = fmt::format("zone-{}", index % options_.zones);
-        node.member.counted = !options_.uncounted.contains(index);
+        node.member.countsAsLoss = !options_.uncounted.contains(index);
         byAddress_[node.member.internalAddress] = index;
     }
     for (Node& node : nodes_)
@@ -234,7 +234,7 @@
 bool Cluster::isComplete() const {
     return std::ranges::all_of(nodes_, [&](const Node& node) {
         if (node.gone) return true;
-        if (!node.replica || node.frozen || !node.replica->fresh(now_)) return false;
+        if (!node.replica || node.frozen || !node.replica->isFresh(now_)) return false;
         return node.replica->view().members.size() == options_.nodes;
     });
 }
@@ -262,9 +262,9 @@
         all += fmt::format("node {} {}", index, node.gone ? "gone" : node.replica ? "up" : "down");
         if (node.replica)
             all += fmt::format(" epoch {} in view {} head {} tail {} writable {} fresh {} at {}",
-                               node.replica->view().epoch, node.replica->inView(), node.replica->isHead(),
-                               node.replica->isTail(), node.replica->writable(), node.replica->fresh(now_),
-                               text(node.replica->committedPosition()));
+                               node.replica->view().epoch, node.replica->isInView(), node.replica->isHead(),
+                               node.replica->isTail(), node.replica->isWritable(),
+                               node.replica->isFresh(now_), text(node.replica->committedPosition()));
         all += fmt::format(" disk: epoch {} synced {} at {}{}\n", node.written.control.view.epoch,
                            node.written.syncedEpoch, text(node.written.position),
                            node.written.pending ? " pending " + text(node.written.pending->position) : "");
--- a/tests/replica/simulation_test.cpp
+++ b/tests/replica/simulation_test.cpp
@@ -57,7 +57,7 @@
     cluster.runFor(1'500);
     for (std::size_t node = 0; node < cluster.nodes() && !cluster.failed(); ++node) {
         if (!cluster.up(node)) continue;
-        if (!cluster.replica(node).inView()) cluster.fail("a healthy process is in no view");
+        if (!cluster.replica(node).isInView()) cluster.fail("a healthy process is in no view");
         if (cluster.replica(node).committedPosition() < cluster.lastAcknowledged())
             cluster.fail("an acknowledged write is missing in the end");
     }
--- a/tests/replica/uncounted_test.cpp
+++ b/tests/replica/uncounted_test.cpp
@@ -16,7 +16,7 @@
         Member member;
         member.name = std::to_string(index);
         member.zone = std::to_string(index % zones);
-        member.counted = index < counted;
+        member.countsAsLoss = index < counted;
         members.push_back(member);
     }
     return members;
@@ -54,7 +54,7 @@
     cluster.startClient();
     ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.acknowledged() > 0; })) << cluster.describe();
     cluster.runFor(kLooked);
-    for (const std::size_t node : options.uncounted) EXPECT_FALSE(cluster.replica(node).inView());
+    for (const std::size_t node : options.uncounted) EXPECT_FALSE(cluster.replica(node).isInView());
     for (const std::size_t node : options.uncounted) {
         cluster.losePower(node);
         cluster.setGone(node);
@@ -80,8 +80,8 @@
     cluster.startClient();
     ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.acknowledged() > 0; })) << cluster.describe();
     cluster.runFor(kLooked);
-    EXPECT_FALSE(cluster.replica(3).inView());
-    EXPECT_FALSE(cluster.replica(3).fresh(cluster.now()));
+    EXPECT_FALSE(cluster.replica(3).isInView());
+    EXPECT_FALSE(cluster.replica(3).isFresh(cluster.now()));
     EXPECT_GT(cluster.disk(3).position.sequence + 30, cluster.lastAcknowledged().sequence);
     EXPECT_EQ(cluster.disk(3).syncedEpoch, 0u);
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
--- a/tests/replica/view_agreement_test.cpp
+++ b/tests/replica/view_agreement_test.cpp
@@ -28,15 +28,15 @@
 
 TEST(Acceptor, PromisesOnlyUpwards) {
     Acceptor acceptor{Vote{}};
-    EXPECT_FALSE(acceptor.sealed(1));
+    EXPECT_FALSE(acceptor.isSealed(1));
     EXPECT_TRUE(acceptor.promise(2, proposal(3)));
     EXPECT_TRUE(acceptor.promise(2, proposal(3)));
     EXPECT_FALSE(acceptor.promise(2, proposal(2)));
     EXPECT_TRUE(acceptor.promise(2, proposal(3, "b")));
     EXPECT_FALSE(acceptor.promise(2, proposal(3, "a")));
     EXPECT_FALSE(acceptor.promise(2, ProposalNumber{}));
-    EXPECT_TRUE(acceptor.sealed(1));
-    EXPECT_FALSE(acceptor.sealed(2));
+    EXPECT_TRUE(acceptor.isSealed(1));
+    EXPECT_FALSE(acceptor.isSealed(2));
 }
 
 TEST(Acceptor, AcceptsAtOrAboveItsPromise) {
@@ -205,9 +205,9 @@
 
 TEST(TableHistory, ReturnsDeltasWithinHistoryAndFullTableBeyond) {
     TableHistory history({{"a", "0"}}, {1, 0});
-    for (std::uint64_t sequence = 1; sequence <= kHistoryBatches + 10; ++sequence)
+    for (std::uint64_t sequence = 1; sequence <= kMaxHistoryBatches + 10; ++sequence)
         history.applyBatch({{1, sequence}, {{fmt::format("k{}", sequence % 3), std::to_string(sequence)}}});
-    EXPECT_EQ(history.batches(), kHistoryBatches);
+    EXPECT_EQ(history.batches(), kMaxHistoryBatches);
     const Position now = history.position();
     EXPECT_TRUE(history.updateSince(now).changes.empty());
     const TableUpdate recent = history.updateSince({1, now.sequence - 2});
--- a/tests/replica/view_votes_test.cpp
+++ b/tests/replica/view_votes_test.cpp
@@ -26,7 +26,7 @@
     receive("a", prepareFor(1));
     EXPECT_EQ(countSent<Promise>(), 2u) << "a durable vote is repeated at once";
     receive("c", Prepare{ProposalNumber{0, "c", 1}, replica_->view(), {}, true});
-    EXPECT_EQ(last<Refuse>()->promised.round, 1u);
+    EXPECT_EQ(last<Reject>()->promised.round, 1u);
 }
 
 TEST_F(ReplicaTest, AcceptsOnlyOnceTheVoteIsDurable) {
@@ -62,7 +62,7 @@
     actions_.clear();
     startWith(state);
     receive("c", Prepare{ProposalNumber{4, "c", 1}, state.control.view, {}, true});
-    EXPECT_EQ(countSent<Refuse>(), 1u);
+    EXPECT_EQ(countSent<Reject>(), 1u);
     receive("a", Heartbeat{1, 1});
     EXPECT_TRUE(last<HeartbeatReply>()->status.sealed);
 }
@@ -86,8 +86,8 @@
     answerHeartbeats({"a", "c"});
     receive("a", prepareFor(1, false));
     EXPECT_EQ(countSent<Promise>(), 0u);
-    ASSERT_EQ(countSent<Refuse>(), 1u);
-    EXPECT_EQ(last<Refuse>()->promised, ProposalNumber{});
+    ASSERT_EQ(countSent<Reject>(), 1u);
+    EXPECT_EQ(last<Reject>()->promised, ProposalNumber{});
     Status reporting;
     reporting.unresponsivePeers = {memberOf("c").internalAddress};
     advanceTime(300);
@@ -103,7 +103,7 @@
     clearActions();
     advanceTime(6'000);
     EXPECT_EQ(countSent<Prepare>(), 0u);
-    EXPECT_FALSE(replica_->fresh(now_));
+    EXPECT_FALSE(replica_->isFresh(now_));
 }
 
 TEST_F(ReplicaTest, ProposesViewWithoutUnresponsiveMember) {
--- a/tests/replica/voters_test.cpp
+++ b/tests/replica/voters_test.cpp
@@ -100,18 +100,18 @@
 
 TEST(NextVoters, LeaveOutUncountedIfCountedSuffice) {
     std::vector<Member> chain = chainOf("abcd");
-    chain[3].counted = false;
+    chain[3].countsAsLoss = false;
     std::vector<Voter> voters = here("abc");
     voters[2].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chain, kOne)), "abc");
-    for (Member& each : chain) each.counted = false;
+    for (Member& each : chain) each.countsAsLoss = false;
     EXPECT_EQ(namesOf(nextVoters(voters, chain, kOne)), "abd");
 }
 
 TEST(NextVoters, OfViewWithoutVotersAreItsMembers) {
     View view;
     view.members = chainOf("ab");
-    EXPECT_EQ(namesOf(view.electorate()), "ab");
+    EXPECT_EQ(namesOf(view.effectiveVoters()), "ab");
     EXPECT_EQ(view.majority(), 2u);
     view.voters = chainOf("abc");
     EXPECT_EQ(view.majority(), 2u);
@@ -212,7 +212,7 @@
     cluster.start(successor);
     ASSERT_TRUE(cluster.runUntil(4'000, [&] { return cluster.isComplete(); })) << cluster.describe();
     EXPECT_NE(cluster.replica(1).view().findVoter(cluster.replica(successor).self()), nullptr);
-    EXPECT_EQ(cluster.replica(1).view().electorate().size(), options_.nodes);
+    EXPECT_EQ(cluster.replica(1).view().effectiveVoters().size(), options_.nodes);
     cluster.losePower(1);
     cluster.wipe(1);
     const std::uint64_t before = cluster.acknowledged();
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -175,7 +175,8 @@
 
 std::optional<std::size_t> World::head() const {
     for (const std::size_t member : present())
-        if (up(member) && replica(member).inView() && replica(member).isHead() && replica(member).writable())
+        if (up(member) && replica(member).isInView() && replica(member).isHead() &&
+            replica(member).isWritable())
             return member;
     return std::nullopt;
 }
@@ -325,7 +326,7 @@
 bool World::allMembersFresh() const {
     const std::vector<std::size_t> all = present();
     return std::ranges::all_of(all, [&](std::size_t member) {
-        return up(member) && !members_[member]->process->frozen() && replica(member).fresh(now()) &&
+        return up(member) && !members_[member]->process->frozen() && replica(member).isFresh(now()) &&
                replica(member).view().members.size() == all.size();
     });
 }
@@ -338,7 +339,7 @@
         const replica::Replica& replica = member->process->replica();
         write = write || member->process->writeInFlight();
         stateTransfer =
-            stateTransfer || (replica.inView() && !replica.updateSince(replica.committedPosition()));
+            stateTransfer || (replica.isInView() && !replica.updateSince(replica.committedPosition()));
     }
     ++coincidences.faults;
     if (now() - lastVoteAt_ < 20) ++coincidences.vote;
--- a/tests/simulation/world_checks.cpp
+++ b/tests/simulation/world_checks.cpp
@@ -102,14 +102,14 @@
     }
     if (member.partitionedSince == 0) member.partitionedSince = now();
     const Millis partitioned = now() - member.partitionedSince;
-    if (partitioned > replica::kFreshFor && member.process->replica().fresh(now()))
+    if (partitioned > replica::kFreshDuration && member.process->replica().isFresh(now()))
         fail(
             fmt::format("{} claims freshness for its table {:.0f} ms after it lost contact with the majority",
                         member.self.name, partitioned));
 }
 
 void World::checkFresh(const Member& member) {
-    if (!member.process->replica().fresh(now())) return;
+    if (!member.process->replica().isFresh(now())) return;
     const auto late = std::find_if(acknowledged_.rbegin(), acknowledged_.rend(),
                                    [&](const Acknowledged& each) { return each.at < now() - kFreshLag; });
     if (late != acknowledged_.rend() && late->position > member.shown)
@@ -128,7 +128,7 @@
     Member& member = memberOf(process);
     if (member.process.get() != &process) return;
     checkContact(member);
-    if (member.partitionedSince != 0 && now() - member.partitionedSince > replica::kFreshFor &&
+    if (member.partitionedSince != 0 && now() - member.partitionedSince > replica::kFreshDuration &&
         !hasContact(member))
         fail(fmt::format("{} answered a poll though it is partitioned off", member.self.name));
 }
@@ -163,7 +163,7 @@
         }
         const bool known =
             gateway.shown != Position{} || gateway.seeds.contains(member->self.internalAddress);
-        if (known && replica.fresh(now()) && network_.linkedBothWays(here, member->machine)) ++reached;
+        if (known && replica.isFresh(now()) && network_.linkedBothWays(here, member->machine)) ++reached;
     }
     // Before its first answer it knows its seeds alone: one of them that is fresh is enough.
     if (gateway.shown == Position{}) return reached > 0;
