--- a/src/cli/system.cpp
+++ b/src/cli/system.cpp
@@ -87,7 +87,7 @@
     gateway::Policy policy;
     policy.prices = prices_;
     for (const std::string& name : without_)
-        if (const auto mechanism = dispatch::mechanismNamed(name)) policy.mechanisms.turnOff(*mechanism);
+        if (const auto mechanism = dispatch::findMechanism(name)) policy.mechanisms.disable(*mechanism);
     return gateway::run(settingsPath_, policy, clock, log);
 }
 
--- a/src/dispatch/attempt_sender.cpp
+++ b/src/dispatch/attempt_sender.cpp
@@ -86,7 +86,7 @@
     action.instanceId = slot.host.instanceId;
     action.address = slot.host.address;
     action.service = request.service;
-    action.within = request.deadlineAt - state_.now;
+    action.timeout = request.deadlineAt - state_.now;
     action.priority = hostPriority(request.arrival.priorityClass);
     action.engine = engine;
     action.resume = request.open;
--- a/src/dispatch/dispatch_state.hpp
+++ b/src/dispatch/dispatch_state.hpp
@@ -39,7 +39,9 @@
     AttemptLog attempts;
     ReportedLoad reportedLoad;
 
-    [[nodiscard]] bool on(Mechanism mechanism) const { return settings.mechanisms.on(mechanism); }
+    [[nodiscard]] bool isEnabled(Mechanism mechanism) const {
+        return settings.mechanisms.isEnabled(mechanism);
+    }
     /// The service that was drawn for the request. Marks it as used now.
     ServiceState& serviceOf(const Request& request);
     /// The record of the request's route, with the request's latency target. Marks it as used now.
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -72,7 +72,7 @@
     void on(const WarmupReported& report) { state_.health.markWarmingUp(report, state_.now); }
     void on(const HealthCheckEnded& ended) { state_.health.healthCheckEnded(ended, state_.now); }
     void on(const PeerLoad& load) {
-        if (state_.on(Mechanism::sharedLoad)) state_.reportedLoad.update(load, state_.now);
+        if (state_.isEnabled(Mechanism::loadReports)) state_.reportedLoad.update(load, state_.now);
     }
     void on(const ShutDown&) {
         for (const RequestId id : requests_.all())
--- a/src/dispatch/initial_send.cpp
+++ b/src/dispatch/initial_send.cpp
@@ -32,7 +32,7 @@
 
 int InitialSend::widthOf(const Request& request, const Scores& choice) {
     const bool several =
-        state_.on(Mechanism::widthTest) && request.hedgingAllowed() && state_.isCalm(request);
+        state_.isEnabled(Mechanism::widthTest) && request.hedgingAllowed() && state_.isCalm(request);
     if (!several) return 1;
     static const std::deque<double> none;
     const RouteRecord& route = state_.routeOf(request);
--- a/src/dispatch/load_reporter.cpp
+++ b/src/dispatch/load_reporter.cpp
@@ -5,7 +5,7 @@
 namespace beechpoint::dispatch {
 
 void LoadReporter::report() {
-    if (!state_.on(Mechanism::sharedLoad)) return;
+    if (!state_.isEnabled(Mechanism::loadReports)) return;
     state_.reportedLoad.expire(state_.now);
     state_.services.setLoadReported(state_.reportedLoad.active());
     ReportLoad changes = takeChanges();
--- a/src/dispatch/mechanisms.hpp
+++ b/src/dispatch/mechanisms.hpp
@@ -13,17 +13,17 @@
 
 enum class Mechanism {
     admission,
-    boundedHomes,
-    crossingCost,
+    boundedAffinity,
+    transferCost,
     fullPause,
     hostSpeed,
-    overdueCopies,
-    prefixHomes,
-    sharedLoad,
-    silentProbes,
+    hedging,
+    prefixAffinity,
+    loadReports,
+    unresponsiveHostChecks,
     widthTest,
 };
-inline constexpr std::size_t kMechanisms = 10;
+inline constexpr std::size_t kMechanismCount = 10;
 
 /// A row of the list that the command line shows.
 struct MechanismName {
@@ -32,34 +32,34 @@
     std::string_view meaning;
 };
 
-inline constexpr std::array<MechanismName, kMechanisms> kMechanismNames{{
+inline constexpr std::array<MechanismName, kMechanismCount> kMechanismNames{{
     {Mechanism::admission, "admission", "refuses at arrival what would come too late"},
-    {Mechanism::boundedHomes, "bounded-homes", "leaves a prefix's home out while much waits there"},
-    {Mechanism::crossingCost, "crossing-cost", "weighs bytes between zones and regions"},
+    {Mechanism::boundedAffinity, "bounded-homes", "leaves a prefix's home out while much waits there"},
+    {Mechanism::transferCost, "crossing-cost", "weighs bytes between zones and regions"},
     {Mechanism::fullPause, "full-pause", "sends nothing for a while to a host that said that it is full"},
     {Mechanism::hostSpeed, "host-speed", "learns how fast each host is, over all routes"},
-    {Mechanism::overdueCopies, "overdue-copies", "sends a copy of a repeatable request that is overdue"},
-    {Mechanism::prefixHomes, "prefix-homes", "sends prompts with a common prefix to the same hosts"},
-    {Mechanism::sharedLoad, "shared-load",
+    {Mechanism::hedging, "overdue-copies", "sends a copy of a repeatable request that is overdue"},
+    {Mechanism::prefixAffinity, "prefix-homes", "sends prompts with a common prefix to the same hosts"},
+    {Mechanism::loadReports, "shared-load",
      "tells the other gateways what waits at each host, and uses what they tell"},
-    {Mechanism::silentProbes, "silent-probes", "asks after a host that is silent"},
+    {Mechanism::unresponsiveHostChecks, "silent-probes", "asks after a host that is silent"},
     {Mechanism::widthTest, "width-test", "sends a repeatable request to several hosts at once"},
 }};
 
 /// Which are on; all at first.
 class Mechanisms {
 public:
-    [[nodiscard]] bool on(Mechanism mechanism) const {
+    [[nodiscard]] bool isEnabled(Mechanism mechanism) const {
         return !off_.test(static_cast<std::size_t>(mechanism));
     }
-    void turnOff(Mechanism mechanism) { off_.set(static_cast<std::size_t>(mechanism)); }
+    void disable(Mechanism mechanism) { off_.set(static_cast<std::size_t>(mechanism)); }
 
 private:
-    std::bitset<kMechanisms> off_;
+    std::bitset<kMechanismCount> off_;
 };
 
 /// Nothing: no mechanism has this name.
-[[nodiscard]] inline std::optional<Mechanism> mechanismNamed(std::string_view name) {
+[[nodiscard]] inline std::optional<Mechanism> findMechanism(std::string_view name) {
     const auto found = std::ranges::find(kMechanismNames, name, &MechanismName::name);
     if (found == kMechanismNames.end()) return std::nullopt;
     return found->mechanism;
--- a/src/dispatch/messages.hpp
+++ b/src/dispatch/messages.hpp
@@ -46,9 +46,9 @@
     int maxAttempts = 1;       ///< most hosts that the request may be sent to
     bool resumable = false;
     std::vector<PromptPart> prompt;
-    std::uint32_t promptTokens = 0;  ///< in all; 0: the sum of the parts
-    std::uint32_t outTokens = 0;     ///< most tokens of the answer
-    std::uint64_t bodyBytes = 0;     ///< of the request; 0: guessed from the tokens
+    std::uint32_t promptTokens = 0;     ///< in all; 0: the sum of the parts
+    std::uint32_t maxOutputTokens = 0;  ///< most tokens of the answer
+    std::uint64_t bodyBytes = 0;        ///< of the request; 0: guessed from the tokens
     /// Regions whose hosts may serve it (of route and tenant, both binding): nothing is any, an empty list none.
     std::optional<std::vector<std::string>> allowedRegions;
 };
@@ -80,7 +80,7 @@
     incomplete,         ///< the answer began and ended early
     malformed,          ///< bytes that are no answer
     attemptIdMismatch,  ///< an answer with another attempt's id
-    timedOut,           ///< `within` passed; may have run
+    timedOut,           ///< Send::timeout passed; may have run
     cancelled           ///< by Cancel; may have run
 };
 
@@ -206,7 +206,7 @@
     std::string instanceId;
     std::string address;
     std::string service;
-    Millis within = 0;    ///< X-Deadline-Remaining, and the attempt's time-out
+    Millis timeout = 0;   ///< X-Deadline-Remaining, and the attempt's time-out
     int priority = 5;     ///< the Priority header, for model hosts
     bool engine = false;  ///< whether the Priority header is wanted
     /// Takes a relayed stream up again: events go on behind `lastEventId` (empty: from the first, without the header)
--- a/src/dispatch/overdue_attempts.cpp
+++ b/src/dispatch/overdue_attempts.cpp
@@ -27,7 +27,7 @@
 }
 
 void OverdueAttempts::checkUnresponsiveHosts(const Request& request) {
-    if (!state_.on(Mechanism::silentProbes)) return;
+    if (!state_.isEnabled(Mechanism::unresponsiveHostChecks)) return;
     for (const Attempt& attempt : request.attempts) {
         const bool waits = attempt.inFlight && !attempt.firstByte;
         if (!waits || state_.now < unresponsiveAt(attempt)) continue;
@@ -41,7 +41,7 @@
 // The width test of the retry design at an age: an overdue attempt gets a hedged one where another host is expected to
 // answer sooner than what is left of it.
 void OverdueAttempts::hedge(Request& request) {
-    if (!state_.on(Mechanism::overdueCopies) || !request.hedgingAllowed()) return;
+    if (!state_.isEnabled(Mechanism::hedging) || !request.hedgingAllowed()) return;
     if (request.pending || request.inFlightCount() != 1) return;
     const auto attempt = std::ranges::find(request.attempts, true, &Attempt::inFlight);
     const double age = (state_.now - attempt->sentAt) / 1000;
--- a/src/dispatch/reject_reason.hpp
+++ b/src/dispatch/reject_reason.hpp
@@ -45,7 +45,7 @@
     shutDown,
 };
 
-inline constexpr std::size_t kRejectReasons = static_cast<std::size_t>(RejectReason::shutDown) + 1;
+inline constexpr std::size_t kRejectReasonCount = static_cast<std::size_t>(RejectReason::shutDown) + 1;
 
 /// In words of letters and underscores, for logs and metrics.
 [[nodiscard]] std::string_view nameOf(RejectReason reason);
--- a/src/dispatch/request_arrivals.cpp
+++ b/src/dispatch/request_arrivals.cpp
@@ -46,7 +46,7 @@
 }
 
 AdmissionDecision RequestArrivals::admission(const Request& request) {
-    if (!state_.on(Mechanism::admission)) return {};
+    if (!state_.isEnabled(Mechanism::admission)) return {};
     const ServiceState& service = state_.serviceOf(request);
     const RouteRecord& route = state_.routeOf(request);
     return admit(
--- a/src/dispatch/request_factory.cpp
+++ b/src/dispatch/request_factory.cpp
@@ -44,7 +44,7 @@
     request.service = drawService(arrived, draw);
     request.shared = sharedPrefix(arrived.prompt);
     request.promptTokens = promptTokens(arrived);
-    request.bytes = bodyBytes(arrived, request.promptTokens) + kBytesPerTokenOut * arrived.outTokens;
+    request.bytes = bodyBytes(arrived, request.promptTokens) + kBytesPerTokenOut * arrived.maxOutputTokens;
     return request;
 }
 
--- a/src/dispatch/selection.cpp
+++ b/src/dispatch/selection.cpp
@@ -39,7 +39,7 @@
 }
 
 double Selection::crossingScore(const Request& request, const Host& host) const {
-    if (!settings_.mechanisms.on(Mechanism::crossingCost)) return 0;
+    if (!settings_.mechanisms.isEnabled(Mechanism::transferCost)) return 0;
     if (host.region != settings_.region)
         return crossingScore(settings_.prices.crossRegion, settings_.crossRegionDelay, request.bytes,
                              request);
@@ -83,7 +83,7 @@
     for (std::size_t n = 0; n < candidates.size(); ++n) {
         Option& option = result[candidates[n]];
         const HostSlot& slot = hosts_.at(option.host);
-        const bool bounded = settings_.mechanisms.on(Mechanism::boundedHomes);
+        const bool bounded = settings_.mechanisms.isEnabled(Mechanism::boundedAffinity);
         if (!bounded || !overloadedHome(slot.waiting + slot.othersWaiting, mean))
             option.miss = expectedMiss(ranks[n]);
     }
@@ -92,7 +92,7 @@
 
 std::vector<Selection::Option> Selection::options(const Request& request, const ServiceState& service) const {
     const std::vector<int> hosts = allowed(request);
-    const bool homes = settings_.mechanisms.on(Mechanism::prefixHomes);
+    const bool homes = settings_.mechanisms.isEnabled(Mechanism::prefixAffinity);
     if (homes && service.load.engine && request.shared.tokens > 0) return withAffinity(request, hosts);
     std::vector<Option> result;
     result.reserve(hosts.size());
@@ -102,7 +102,7 @@
 
 bool Selection::takesNow(HostSlot& slot, const Request& request, const ServiceState& service,
                          Millis now) const {
-    const bool full = now < slot.fullUntil && settings_.mechanisms.on(Mechanism::fullPause);
+    const bool full = now < slot.fullUntil && settings_.mechanisms.isEnabled(Mechanism::fullPause);
     if (full || request.inFlightAt(slot.host.instanceId)) return false;
     if (!service.warmupBounded() || !slot.warmingUp(now, service.warmup())) return true;
     return slot.sends.allows(now, service.slowStartShare);
--- a/src/dispatch/service_table.cpp
+++ b/src/dispatch/service_table.cpp
@@ -20,7 +20,7 @@
     const RetryBounds bounds{settings_.retryBudgetRatio, settings_.retryWindow, settings_.retryBudgetSlack};
     ServiceState& state = services_.emplace(name, ServiceState(bounds)).first->second;
     state.service.name = name;
-    state.load.hostSpeed = settings_.mechanisms.on(Mechanism::hostSpeed);
+    state.load.hostSpeed = settings_.mechanisms.isEnabled(Mechanism::hostSpeed);
     applyFleet(state, now);
     return state;
 }
--- a/src/gateway/client_request.cpp
+++ b/src/gateway/client_request.cpp
@@ -122,8 +122,8 @@
     event.route = route.name;
     double below = 0;
     for (const routing::BackendWeight& weight : entry.weights) {
-        event.services.push_back({weight.service, weight.upTo - below});
-        below = weight.upTo;
+        event.services.push_back({weight.service, weight.cumulativeWeight - below});
+        below = weight.cumulativeWeight;
     }
     event.type = typeOf(route.type);
     event.timeout = route.timeoutMs;
@@ -136,7 +136,7 @@
     event.resumable = route.resumable;
     event.prompt = request.prompt;
     event.promptTokens = request.promptTokens;
-    event.outTokens = request.outTokens;
+    event.maxOutputTokens = request.outTokens;
     event.bodyBytes = request.body ? request.body->size() : 0;
     if (!route.allowedRegions.empty()) event.allowedRegions = route.allowedRegions;
     if (request.tenant) applyTenant(*request.tenant, event);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -35,7 +35,7 @@
       clock_(clock),
       log_(log),
       session_(drawSeed()),
-      sharesLoad_(policy.mechanisms.on(dispatch::Mechanism::sharedLoad)),
+      sharesLoad_(policy.mechanisms.isEnabled(dispatch::Mechanism::loadReports)),
       exchange_(io, clock, log, dispatchSettings(settings_, policy), drawSeed()),
       load_(io, clock, log, {settings_.nodeName, settings_.zone, settings_.region, session_},
             [this](const dispatch::PeerLoad& load) { exchange_.handle(load); }),
@@ -132,7 +132,7 @@
     figures.accessCounts = exchange_.accessCounts();
     const auto table = table_.current();
     figures.revision = table->revision();
-    figures.unreadable = table->unreadable();
+    figures.unreadable = table->unreadableCount();
     if (const auto& tenants = table->tenants()) figures.tenants = tenants->size();
     figures.hostConnections = exchange_.upstreamConnections();
     figures.hostCounts = exchange_.upstreamCounts();
--- a/src/gateway/host_request.cpp
+++ b/src/gateway/host_request.cpp
@@ -34,7 +34,7 @@
     out.headers = request.headers;
     out.body = request.body;
     out.attemptId = request.attemptId;
-    const Millis deadline = std::max(send.within, kShortestDeadline);
+    const Millis deadline = std::max(send.timeout, kShortestDeadline);
     replaceHeader(out.headers, "X-Deadline-Remaining", fmt::format("{:.0f}", deadline));
     replaceHeader(out.headers, "X-Target-Instance", send.instanceId);
     // Only the system sets these: a client's would change which host accepts the request, and when.
--- a/src/gateway/request_end_counts.hpp
+++ b/src/gateway/request_end_counts.hpp
@@ -10,7 +10,7 @@
 
 namespace beechpoint::gateway {
 
-using CountsByReason = std::array<std::uint64_t, dispatch::kRejectReasons>;
+using CountsByReason = std::array<std::uint64_t, dispatch::kRejectReasonCount>;
 
 struct RequestEndCounts {
     CountsByReason rejected{};  ///< 503: not run
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -173,7 +173,7 @@
 
 // This gateway's part of the connections that a host of the service allows to all gateways.
 std::size_t RequestExchange::connectionQuotaShare(const std::string& service) const {
-    const auto entry = routes_->service(service);
+    const auto entry = routes_->findService(service);
     const double all = entry ? entry->service.maxConnections : 0;
     if (all <= 0) return kConnectionsUnstated;
     const auto share = static_cast<std::size_t>(kUsedConnections * all / liveGateways_);
@@ -191,7 +191,7 @@
     if (send.resume) request->relayed.reset();
     attempt.handle = upstream_.send(address.value(), connectionQuotaShare(send.service),
                                     hostRequest(request->request, send, request->answer.lastEventId()),
-                                    send.within, handlersFor(send.id, send.attempt));
+                                    send.timeout, handlersFor(send.id, send.attempt));
 }
 
 void RequestExchange::act(const dispatch::Cancel& cancel) {
@@ -245,7 +245,7 @@
 
 void RequestExchange::act(const dispatch::CheckHealth& check) {
     const auto address = upstream::HostAddress::parse(check.address);
-    const auto service = routes_->service(check.service);
+    const auto service = routes_->findService(check.service);
     if (!address || !service) {
         dispatch::HealthCheckEnded ended;
         ended.instanceId = check.instanceId;
--- a/src/routing/routing_table.cpp
+++ b/src/routing/routing_table.cpp
@@ -38,11 +38,11 @@
 
 const std::string& RouteEntry::backendFor(double draw) const {
     for (const BackendWeight& weight : weights)
-        if (draw < weight.upTo) return weight.service;
+        if (draw < weight.cumulativeWeight) return weight.service;
     return weights.back().service;
 }
 
-bool RouteEntry::leadsTo(std::string_view service) const {
+bool RouteEntry::routesTo(std::string_view service) const {
     return std::any_of(weights.begin(), weights.end(),
                        [service](const BackendWeight& weight) { return weight.service == service; });
 }
@@ -52,22 +52,22 @@
     return regions.empty() || std::find(regions.begin(), regions.end(), region) != regions.end();
 }
 
-std::string RoutingTable::normalHost(std::string_view hostHeader) {
+std::string RoutingTable::normalizeHost(std::string_view hostHeader) {
     return configuration::comparableHost(withoutPort(withoutBlanks(hostHeader)));
 }
 
 std::shared_ptr<const RouteEntry> RoutingTable::find(std::string_view hostHeader,
                                                      std::string_view path) const {
-    const auto host = hosts_.find(normalHost(hostHeader));
+    const auto host = hosts_.find(normalizeHost(hostHeader));
     if (host == hosts_.end()) return nullptr;
     return longestMatch(*host->second, path.substr(0, path.find('?')));
 }
 
-std::shared_ptr<const RouteEntry> RoutingTable::routeNamed(std::string_view name) const {
+std::shared_ptr<const RouteEntry> RoutingTable::findRoute(std::string_view name) const {
     return findEntry(routes_, name);
 }
 
-std::shared_ptr<const ServiceEntry> RoutingTable::service(std::string_view name) const {
+std::shared_ptr<const ServiceEntry> RoutingTable::findService(std::string_view name) const {
     return findEntry(services_, name);
 }
 
--- a/src/routing/routing_table.hpp
+++ b/src/routing/routing_table.hpp
@@ -25,7 +25,7 @@
 /// A service that a route leads to, with the fraction of its requests up to and including this service.
 struct BackendWeight {
     std::string service;
-    double upTo = 1;  ///< rises along the list; 1 for the last
+    double cumulativeWeight = 1;  ///< rises along the list; 1 for the last
 };
 
 struct RouteEntry {
@@ -36,7 +36,7 @@
 
     /// The service for a draw in [0, 1).
     [[nodiscard]] const std::string& backendFor(double draw) const;
-    [[nodiscard]] bool leadsTo(std::string_view service) const;
+    [[nodiscard]] bool routesTo(std::string_view service) const;
     /// Whether a region may serve it as far as the route says.
     [[nodiscard]] bool allows(std::string_view region) const;
 };
@@ -55,13 +55,13 @@
 class RoutingTable {
 public:
     /// Lower case, without port and without the final dot.
-    [[nodiscard]] static std::string normalHost(std::string_view hostHeader);
+    [[nodiscard]] static std::string normalizeHost(std::string_view hostHeader);
 
     /// The route with the longest prefix that begins the path; nullptr when there is none. A query is cut off.
     std::shared_ptr<const RouteEntry> find(std::string_view hostHeader, std::string_view path) const;
-    std::shared_ptr<const RouteEntry> routeNamed(std::string_view name) const;
+    std::shared_ptr<const RouteEntry> findRoute(std::string_view name) const;
     /// nullptr when there is none of that name.
-    std::shared_ptr<const ServiceEntry> service(std::string_view name) const;
+    std::shared_ptr<const ServiceEntry> findService(std::string_view name) const;
 
     const StringMap<std::shared_ptr<const RouteEntry>>& routes() const { return routes_; }
     const StringMap<std::shared_ptr<const ServiceEntry>>& services() const { return services_; }
@@ -75,7 +75,7 @@
     /// Of the cluster that the table is from; 0: not known.
     [[nodiscard]] std::uint64_t clusterId() const { return clusterId_; }
     /// Values of the update that could not be read and were left out; 0 unless control runs another version.
-    [[nodiscard]] std::size_t unreadable() const { return unreadable_; }
+    [[nodiscard]] std::size_t unreadableCount() const { return unreadable_; }
 
     [[nodiscard]] static std::shared_ptr<const RoutingTable> fromTable(const Table& table, Position position);
     /// `base` with the update applied. Entries whose value did not change are shared with it. The caller sees to
--- a/src/routing/routing_table_builder.cpp
+++ b/src/routing/routing_table_builder.cpp
@@ -30,13 +30,13 @@
     double sum = 0;
     for (const configuration::WeightedBackend& backend : route.trafficSplit) sum += backend.weight;
     std::vector<BackendWeight> weights;
-    double upTo = 0;
+    double cumulativeWeight = 0;
     for (const configuration::WeightedBackend& backend : route.trafficSplit) {
         if (backend.weight <= 0) continue;
-        upTo += backend.weight;
-        weights.push_back({backend.backend, upTo / sum});
+        cumulativeWeight += backend.weight;
+        weights.push_back({backend.backend, cumulativeWeight / sum});
     }
-    if (!weights.empty()) weights.back().upTo = 1;
+    if (!weights.empty()) weights.back().cumulativeWeight = 1;
     return weights;
 }
 
--- a/tests/dispatch/prefix_affinity_test.cpp
+++ b/tests/dispatch/prefix_affinity_test.cpp
@@ -60,7 +60,7 @@
         arrived.latencyTarget = 800;
         arrived.deadline = 5000;
         arrived.prompt = promptOf(document, sharedTokens);
-        arrived.outTokens = 50;
+        arrived.maxOutputTokens = 50;
         return arrived;
     }
     static std::string hostOf(Harness& harness, const RequestArrived& arrived) {
--- a/tests/dispatch/random_test.cpp
+++ b/tests/dispatch/random_test.cpp
@@ -103,8 +103,8 @@
         EXPECT_TRUE(idempotent || request.possiblyRun + static_cast<int>(request.out.size()) == 0)
             << "may run twice";
         EXPECT_EQ(send.resume, request.open);
-        EXPECT_GT(send.within, 0);
-        EXPECT_LE(now + send.within, request.arrivedAt + request.asked.deadline) << "more than is left";
+        EXPECT_GT(send.timeout, 0);
+        EXPECT_LE(now + send.timeout, request.arrivedAt + request.asked.deadline) << "more than is left";
         const int arrivals = arrived.contains(send.id) ? static_cast<int>(arrived.at(send.id).size()) : 0;
         const int hostsBefore = arrivals - request.misdirected;
         EXPECT_LT(hostsBefore, request.asked.maxAttempts) << "too many hosts";
@@ -127,7 +127,7 @@
                                 : ended ? Outcome::misdirected
                                         : outcomes[1 + random.below(9)];
         if (ended) ++trackedOf(send.id).misdirected;
-        const Millis took = outcome == Outcome::timedOut ? send.within : 5 + 100 * random() * random();
+        const Millis took = outcome == Outcome::timedOut ? send.timeout : 5 + 100 * random() * random();
         if (outcome != Outcome::notConnected && outcome != Outcome::noCapacity)
             arrived[send.id].push_back(now + took / 2);
         const bool headed = outcome == Outcome::served || outcome == Outcome::hostError ||
--- a/tests/dispatch/reject_reason_test.cpp
+++ b/tests/dispatch/reject_reason_test.cpp
@@ -143,9 +143,9 @@
 
 TEST(RejectReasonNames, AreDifferentForEachReason) {
     std::set<std::string_view> names;
-    for (std::size_t reason = 0; reason < kRejectReasons; ++reason)
+    for (std::size_t reason = 0; reason < kRejectReasonCount; ++reason)
         names.insert(nameOf(static_cast<RejectReason>(reason)));
-    EXPECT_EQ(names.size(), kRejectReasons);
+    EXPECT_EQ(names.size(), kRejectReasonCount);
 }
 
 }  // namespace
--- a/tests/dispatch/reported_load_test.cpp
+++ b/tests/dispatch/reported_load_test.cpp
@@ -148,7 +148,7 @@
 
 TEST(DispatcherReportedLoad, NeitherAppliesNorSendsReportsWhenTurnedOff) {
     Settings settings = testSettings();
-    settings.mechanisms.turnOff(Mechanism::sharedLoad);
+    settings.mechanisms.disable(Mechanism::loadReports);
     EXPECT_GT(sendToFirst(waitingAtFirst(), settings), kDispatchers / 4);
     Harness harness(settings);
     startWithTwoHosts(harness);
--- a/tests/dispatch/requests_test.cpp
+++ b/tests/dispatch/requests_test.cpp
@@ -28,7 +28,7 @@
     const RequestArrived arrived = harness.request();
     const std::vector<Send> sends = only<Send>(harness.handle(arrived));
     ASSERT_EQ(sends.size(), 1u);
-    EXPECT_EQ(sends[0].within, 2000);
+    EXPECT_EQ(sends[0].timeout, 2000);
     EXPECT_EQ(sends[0].address, sends[0].instanceId + ":80");
     EXPECT_TRUE(only<Relay>(harness.head(arrived.id, 0))
                     .empty());  // short and idempotent: buffered until it is complete
--- a/tests/routing/routing_table_test.cpp
+++ b/tests/routing/routing_table_test.cpp
@@ -44,7 +44,7 @@
         EXPECT_EQ(nameAt(*table, host, "/a/x"), "a") << host;
     for (const char* host : {"", ":80", "h.exampl", "h.example.x", "xh.example", "[h.example]"})
         EXPECT_EQ(nameAt(*table, host, "/a/x"), "") << host;
-    EXPECT_EQ(RoutingTable::normalHost("[::1]:80"), "[::1]");
+    EXPECT_EQ(RoutingTable::normalizeHost("[::1]:80"), "[::1]");
 }
 
 TEST(RoutingTable, MatchesPathOnlyAndAsWritten) {
@@ -62,24 +62,24 @@
     const auto table = tableWith(
         R"({"name":"a","hostname":"h","path_prefix":"/","timeout_ms":1,"backend":"t","traffic_split":[)"
         R"({"backend":"t","weight":0},{"backend":"s","weight":3},{"backend":"t","weight":1},{"backend":"s","weight":0}]})");
-    const auto entry = table->routeNamed("a");
+    const auto entry = table->findRoute("a");
     ASSERT_TRUE(entry);
     EXPECT_EQ(entry->backendFor(0), "s");
     EXPECT_EQ(entry->backendFor(0.749), "s");
     EXPECT_EQ(entry->backendFor(0.75), "t");
     EXPECT_EQ(entry->backendFor(0.999999), "t");
     EXPECT_EQ(entry->backendFor(1), "t");
-    EXPECT_TRUE(entry->leadsTo("s"));
-    EXPECT_FALSE(entry->leadsTo("u"));
+    EXPECT_TRUE(entry->routesTo("s"));
+    EXPECT_FALSE(entry->routesTo("u"));
 }
 
 TEST(RoutingTable, ReportsAllowedRegions) {
     const auto table =
         tableWith(route("a", "h", "/a/") + R"(,{"name":"b","hostname":"h","path_prefix":"/b/","backend":"s",)"
                                            R"("allowed_regions":["east"]})");
-    EXPECT_TRUE(table->routeNamed("a")->allows("west"));
-    EXPECT_TRUE(table->routeNamed("b")->allows("east"));
-    EXPECT_FALSE(table->routeNamed("b")->allows("west"));
+    EXPECT_TRUE(table->findRoute("a")->allows("west"));
+    EXPECT_TRUE(table->findRoute("b")->allows("east"));
+    EXPECT_FALSE(table->findRoute("b")->allows("west"));
 }
 
 TEST(RoutingTable, HasServicesLimitsZonesAndRevision) {
@@ -88,15 +88,15 @@
     table["limits"] = R"({"max_body_bytes":77})";
     beechpoint::apply(tables::changesOf(configuration::evacuate(table, "hub-hall", true)), table);
     const auto routing = RoutingTable::fromTable(table, {3, 4});
-    ASSERT_TRUE(routing->service("s"));
-    EXPECT_DOUBLE_EQ(routing->service("s")->service.maxConnections, 10);
-    EXPECT_FALSE(routing->service("none"));
+    ASSERT_TRUE(routing->findService("s"));
+    EXPECT_DOUBLE_EQ(routing->findService("s")->service.maxConnections, 10);
+    EXPECT_FALSE(routing->findService("none"));
     EXPECT_DOUBLE_EQ(routing->limits().maxBodyBytes, 77);
     EXPECT_TRUE(routing->evacuated("hub-hall"));
     EXPECT_FALSE(routing->evacuated("other"));
     EXPECT_EQ(routing->revision(), 1U);
     EXPECT_EQ(routing->position(), (Position{3, 4}));
-    EXPECT_EQ(routing->unreadable(), 0U);
+    EXPECT_EQ(routing->unreadableCount(), 0U);
 }
 
 TEST(RoutingTable, SkipsAndCountsUnreadableValues) {
@@ -105,7 +105,7 @@
     table["route/a"] = "1 {\"name\":";
     table["service/t"] = "no order";
     const auto routing = RoutingTable::fromTable(table, {1, 1});
-    EXPECT_EQ(routing->unreadable(), 2U);
+    EXPECT_EQ(routing->unreadableCount(), 2U);
     EXPECT_EQ(nameAt(*routing, "h", "/a/"), "");
     EXPECT_EQ(nameAt(*routing, "h", "/b/"), "b");
 }
--- a/tests/routing/table_copy_test.cpp
+++ b/tests/routing/table_copy_test.cpp
@@ -65,9 +65,9 @@
     const auto before = copy.current();
     tables::put(table, route("a", "h", "/a/") + "," + route("b", "h", "/c/"));
     copy.apply({{1, 2}, true, tables::fullTable(table)});
-    EXPECT_EQ(copy.current()->routeNamed("a"), before->routeNamed("a"));
-    EXPECT_EQ(copy.current()->service("s"), before->service("s"));
-    EXPECT_NE(copy.current()->routeNamed("b"), before->routeNamed("b"));
+    EXPECT_EQ(copy.current()->findRoute("a"), before->findRoute("a"));
+    EXPECT_EQ(copy.current()->findService("s"), before->findService("s"));
+    EXPECT_NE(copy.current()->findRoute("b"), before->findRoute("b"));
 }
 
 TEST(TableCopy, AppliesEvacuationsAndTheirEnd) {
--- a/tests/routing/tenants_test.cpp
+++ b/tests/routing/tenants_test.cpp
@@ -42,7 +42,7 @@
 TEST(RoutingTableTenants, AreNoneWithoutAList) {
     const auto table = RoutingTable::fromTable(tableWith(std::nullopt), {1, 1});
     EXPECT_EQ(table->tenants(), nullptr);
-    EXPECT_EQ(table->unreadable(), 0U);
+    EXPECT_EQ(table->unreadableCount(), 0U);
 }
 
 TEST(RoutingTableTenants, AreReadFromAFullTable) {
@@ -51,7 +51,7 @@
     EXPECT_EQ(table->tenants()->size(), 2U);
     EXPECT_EQ(holderOf(*table, "a2"), "alder");
     EXPECT_EQ(holderOf(*table, "b1"), "birch");
-    EXPECT_EQ(table->unreadable(), 0U);
+    EXPECT_EQ(table->unreadableCount(), 0U);
 }
 
 TEST(RoutingTableTenants, AreReplacedByAnUpdateOfTheList) {
@@ -87,12 +87,12 @@
         const auto full = RoutingTable::fromTable(tableWith(unreadable), {1, 1});
         ASSERT_NE(full->tenants(), nullptr) << unreadable << ": requests would need no key";
         EXPECT_EQ(full->tenants()->size(), 0U);
-        EXPECT_EQ(full->unreadable(), 1U);
+        EXPECT_EQ(full->unreadableCount(), 1U);
         const auto before = RoutingTable::fromTable(tableWith(kBoth), {1, 1});
         const auto byDelta = RoutingTable::updated(*before, {{1, 2}, false, {{kTenantsKey, unreadable}}});
         ASSERT_NE(byDelta->tenants(), nullptr) << unreadable;
         EXPECT_EQ(holderOf(*byDelta, "b1"), "") << unreadable;
-        EXPECT_EQ(byDelta->unreadable(), 1U);
+        EXPECT_EQ(byDelta->unreadableCount(), 1U);
     }
 }
 
@@ -102,7 +102,7 @@
                   R"({"name":"oak","api_keys":[1]},{"name":"birch","api_keys":["b1"]}])"),
         {1, 1});
     EXPECT_EQ(table->tenants()->size(), 1U);
-    EXPECT_EQ(table->unreadable(), 5U);
+    EXPECT_EQ(table->unreadableCount(), 5U);
     EXPECT_EQ(holderOf(*table, "b1"), "birch");
     for (const char* key : {"n1", "n2", "e1", "1"}) EXPECT_EQ(holderOf(*table, key), "") << key;
 }
@@ -111,7 +111,7 @@
     const auto table = RoutingTable::fromTable(
         tableWith(R"([{"name":"birch","api_keys":["b1"],"note":{"x":[1]}}])"), {1, 1});
     EXPECT_EQ(holderOf(*table, "b1"), "birch");
-    EXPECT_EQ(table->unreadable(), 0U);
+    EXPECT_EQ(table->unreadableCount(), 0U);
 }
 
 TEST(TableCopyTenants, RevocationArrivesAsADelta) {
--- a/tests/simulation/observed_state.cpp
+++ b/tests/simulation/observed_state.cpp
@@ -65,7 +65,7 @@
     ObservedState state;
     state.revision = table.revision();
     for (std::size_t item = 0; item < kDocumentItems; ++item)
-        if (const auto entry = table.routeNamed(itemName(item)))
+        if (const auto entry = table.findRoute(itemName(item)))
             state.document[item] = static_cast<std::uint32_t>(entry->route.timeoutMs);
     for (std::size_t zone = 0; zone < kZones; ++zone)
         if (table.evacuated(zoneName(zone))) state.evacuated |= std::uint32_t{1} << zone;
--- a/tests/simulation/world_checks.cpp
+++ b/tests/simulation/world_checks.cpp
@@ -144,7 +144,7 @@
     if (gateway.shown == Position{})
         counters_.slowestFirstTable = std::max(counters_.slowestFirstTable, now() - gateway.startedAt);
     gateway.shown = process.position();
-    if (process.table().unreadable() != 0) fail(process.name() + " can't read its table");
+    if (process.table().unreadableCount() != 0) fail(process.name() + " can't read its table");
     if (!committed_.contains(process.position().sequence))
         fail(fmt::format("{} holds {} that no member committed", process.name(), text(process.position())));
     checkState(process.name(), process.position(), observedState(process.table()));
