--- a/tests/leases/lease_table_test.cpp
+++ b/tests/leases/lease_table_test.cpp
@@ -42,33 +42,33 @@
     EXPECT_FALSE(table.isLive("g1", kStart + 3000));
     advanceInSteps(table, kStart + 3000, kStart + 4000);
     EXPECT_EQ(table.size(), 1u);
-    ASSERT_EQ(table.live(kStart + 4000).size(), 1u);
-    EXPECT_EQ(table.live(kStart + 4000).front().name, "g2");
+    ASSERT_EQ(table.liveGateways(kStart + 4000).size(), 1u);
+    EXPECT_EQ(table.liveGateways(kStart + 4000).front().name, "g2");
 }
 
 TEST(LeaseTable, HasNoCountUntilEveryLiveGatewayMustHavePolled) {
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     advanceInSteps(table, kStart, kStart + 2900);
-    EXPECT_FALSE(table.count(kStart + 2900).has_value());
+    EXPECT_FALSE(table.liveCount(kStart + 2900).has_value());
     EXPECT_FALSE(table.peakLiveCount(kStart + 2900).has_value());
     table.renew(kStart + 2900, gateway("g1"));
-    EXPECT_EQ(table.count(kStart + 3000), 1u);
+    EXPECT_EQ(table.liveCount(kStart + 3000), 1u);
 }
 
 TEST(LeaseTable, HasNoCountAfterLateWake) {
     LeaseTable table(settings(), kStart);
     advanceInSteps(table, kStart, kStart + 4000);
     table.renew(kStart + 4000, gateway("g1"));
-    ASSERT_EQ(table.count(kStart + 4000), 1u);
+    ASSERT_EQ(table.liveCount(kStart + 4000), 1u);
     // The process does not run for eight seconds: its own leases ran out, but the gateways are alive.
     const Millis woken = kStart + 12000;
     table.advanceTo(woken);
-    EXPECT_FALSE(table.count(woken).has_value());
+    EXPECT_FALSE(table.liveCount(woken).has_value());
     advanceInSteps(table, woken, woken + 2000);
     table.renew(woken + 2000, gateway("g1"));
     advanceInSteps(table, woken + 2000, woken + 3000);
-    EXPECT_EQ(table.count(woken + 3000), 1u);
+    EXPECT_EQ(table.liveCount(woken + 3000), 1u);
 }
 
 TEST(LeaseTable, ReturnsLargestCountOfWindow) {
@@ -76,7 +76,7 @@
     for (const char* name : {"g1", "g2", "g3"}) table.renew(kStart, gateway(name));
     for (Millis now = kStart; now <= kStart + 12000; now += 250) table.renew(now, gateway("g1"));
     // g2 and g3 lived until 3,000 after the start: they count until 13,000 after it.
-    EXPECT_EQ(table.count(kStart + 12000), 1u);
+    EXPECT_EQ(table.liveCount(kStart + 12000), 1u);
     EXPECT_EQ(table.peakLiveCount(kStart + 12000), 3u);
     for (Millis now = kStart + 12250; now <= kStart + 13250; now += 250) table.renew(now, gateway("g1"));
     EXPECT_EQ(table.peakLiveCount(kStart + 13250), 1u);
@@ -96,10 +96,10 @@
     restarted.ready = false;
     table.renew(kStart + 500, restarted);
     table.merge(kStart + 600, {{gateway("g1", 1), 400}});
-    ASSERT_EQ(table.live(kStart + 600).size(), 1u);
-    EXPECT_EQ(table.live(kStart + 600).front().session, 2u);
+    ASSERT_EQ(table.liveGateways(kStart + 600).size(), 1u);
+    EXPECT_EQ(table.liveGateways(kStart + 600).front().session, 2u);
     table.merge(kStart + 700, {{gateway("g1", 3), 50}});
-    EXPECT_EQ(table.live(kStart + 700).front().session, 3u);
+    EXPECT_EQ(table.liveGateways(kStart + 700).front().session, 3u);
     EXPECT_EQ(table.size(), 1u);
 }
 
@@ -108,23 +108,23 @@
     table.renew(kStart, gateway("g1"));
     table.merge(kStart, {{gateway("g2"), 10}});
     for (const Millis age : {100.0, 200.0}) {
-        const auto granted = table.granted(kStart + age);
+        const auto granted = table.grantedLeases(kStart + age);
         ASSERT_EQ(granted.size(), 1u);
         EXPECT_EQ(granted.front().gateway.name, "g1");
         EXPECT_EQ(granted.front().age, age);
     }
     table.renew(kStart + 300, gateway("g1"));
-    EXPECT_EQ(table.granted(kStart + 300).front().age, 0);
-    EXPECT_TRUE(table.granted(kStart + 3300).empty());
+    EXPECT_EQ(table.grantedLeases(kStart + 300).front().age, 0);
+    EXPECT_TRUE(table.grantedLeases(kStart + 3300).empty());
 }
 
 TEST(LeaseTable, DoesNotReportGrantRenewedAtAnotherMember) {
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     table.merge(kStart + 500, {{gateway("g1"), 0}});
-    EXPECT_TRUE(table.granted(kStart + 600).empty());
+    EXPECT_TRUE(table.grantedLeases(kStart + 600).empty());
     table.renew(kStart + 700, gateway("g1"));
-    EXPECT_EQ(table.granted(kStart + 700).size(), 1u);
+    EXPECT_EQ(table.grantedLeases(kStart + 700).size(), 1u);
 }
 
 TEST(LeaseTable, RejectsGatewaysBeyondLimitAndRenewsTheOthers) {
@@ -146,7 +146,7 @@
     LeaseTable table(LeaseTable::Settings{}, kStart);
     for (int number = 0; number < 2 * kPlanned; number++)
         ASSERT_TRUE(table.renew(kStart, gateway("g" + std::to_string(number)))) << number;
-    EXPECT_EQ(table.live(kStart).size(), 2u * kPlanned);
+    EXPECT_EQ(table.liveGateways(kStart).size(), 2u * kPlanned);
     EXPECT_EQ(table.rejectedGrants(), 0u);
 }
 
@@ -176,7 +176,7 @@
 TEST(LeaseTable, AppliesRenewalsOfReportedLeases) {
     LeaseTable here(settings(), kStart), there(settings(), kStart);
     here.renew(kStart, gateway("g1"));
-    there.merge(kStart, here.granted(kStart));
+    there.merge(kStart, here.grantedLeases(kStart));
     advanceInSteps(here, kStart, kStart + 2000);
     advanceInSteps(there, kStart, kStart + 2000);
     here.renew(kStart + 2000, gateway("g1"));
