--- a/src/control/duty_service.cpp
+++ b/src/control/duty_service.cpp
@@ -152,7 +152,7 @@
     }
 
     void onProposed(const duties::Subject& subject, std::uint64_t attempt, const ProposalReply& reply) {
-        duties::ProposalAnswer answer;
+        duties::ProposalResult answer;
         if (reply.answered) answer = duties::ProposalDecision{reply.outcome, reply.intent, {}};
         perform(state_.onProposed(clock_.now(), replica(), subject, attempt, answer));
     }
--- a/src/control/duty_service_state.cpp
+++ b/src/control/duty_service_state.cpp
@@ -73,9 +73,9 @@
     forgetRecordedUsage(replica);
     for (auto& entry : held_) {
         Held& held = entry.second;
-        const duties::DutySituation situation = situationOf(now, replica, held);
+        const duties::DutyContext situation = situationOf(now, replica, held);
         std::optional<duties::DutyWork> work;
-        if (held.runner.wantsWork(now, situation))
+        if (held.runner.needsWork(now, situation))
             work = usageWork(now, ownTime, held.runner, replica, gateways);
         if (auto action = held.runner.step(now, situation, work)) actions.push_back(std::move(*action));
     }
@@ -84,7 +84,7 @@
 
 std::vector<DutyAction> DutyServiceState::onProposed(Millis now, const DutyReplica& replica,
                                                      const Subject& subject, std::uint64_t attempt,
-                                                     const duties::ProposalAnswer& answer) {
+                                                     const duties::ProposalResult& answer) {
     Held* const held = find(subject);
     if (!held) return {};
     return asList(held->runner.onProposed(now, situationOf(now, replica, *held), attempt, answer));
@@ -125,7 +125,7 @@
         status.token = replica.view.epoch;
         status.heldHere = holds(replica, subject);
         status.lastStatus = held.runner.lastStatus();
-        status.calls = held.runner.calls();
+        status.calls = held.runner.callCount();
         const auto intents =
             replica.table ? duties::intentsOf(*replica.table, subject) : std::vector<duties::Intent>{};
         status.openIntents = static_cast<std::size_t>(
@@ -146,17 +146,16 @@
     return holder && holder->name == settings_.member;
 }
 
-duties::DutySituation DutyServiceState::situationOf(Millis now, const DutyReplica& replica,
-                                                    Held& held) const {
-    duties::DutySituation situation;
-    situation.holds = holds(replica, held.runner.subject());
+duties::DutyContext DutyServiceState::situationOf(Millis now, const DutyReplica& replica, Held& held) const {
+    duties::DutyContext situation;
+    situation.isHolder = holds(replica, held.runner.subject());
     // In a view between two that are known here, another member may have held it.
     const bool missedView = replica.view.epoch > held.epoch + 1;
-    if (!situation.holds || missedView) held.since.reset();
+    if (!situation.isHolder || missedView) held.since.reset();
     held.epoch = replica.view.epoch;
-    if (situation.holds && !held.since) held.since = now;
+    if (situation.isHolder && !held.since) held.since = now;
     situation.fresh = replica.fresh && !draining_;
-    situation.holdsSince = held.since.value_or(now);
+    situation.holderSince = held.since.value_or(now);
     situation.epoch = replica.view.epoch;
     situation.member = settings_.member;
     situation.table = replica.table.get();
@@ -169,9 +168,9 @@
                                                             const LiveGateways& gateways) const {
     const auto live = gateways();
     // A window far ahead, once recorded, would keep all before it from being reported.
-    if (!trueTime_.confirmed(now, live.size())) return std::nullopt;
-    const auto window = collector_.next(runner.newestNumber(*replica.table), trueTime_.at(now, ownTime),
-                                        now - collectingSince_, live);
+    if (!trueTime_.isConfirmed(now, live.size())) return std::nullopt;
+    const auto window = collector_.nextWindow(runner.newestNumber(*replica.table),
+                                              trueTime_.estimate(now, ownTime), now - collectingSince_, live);
     if (!window) return std::nullopt;
     return duties::DutyWork{window->window, usageBody(*window)};
 }
@@ -180,7 +179,7 @@
 void DutyServiceState::followTerm(Millis now, const DutyReplica& replica) {
     if (!holds(replica, kUsage)) collector_.clear();
     if (replica.view.epoch == collectedTerm_) return;
-    collector_.forgetCoverage();
+    collector_.resetCoverage();
     collectedTerm_ = replica.view.epoch;
     collectingSince_ = now;
 }
--- a/src/control/duty_service_state.hpp
+++ b/src/control/duty_service_state.hpp
@@ -77,7 +77,7 @@
     [[nodiscard]] std::vector<duties::DutyAction> onProposed(Millis now, const DutyReplica& replica,
                                                              const duties::Subject& subject,
                                                              std::uint64_t attempt,
-                                                             const duties::ProposalAnswer& answer);
+                                                             const duties::ProposalResult& answer);
     [[nodiscard]] std::vector<duties::DutyAction> onCalled(Millis now, const duties::Subject& subject,
                                                            std::uint64_t attempt, int status);
     void onSettled(Millis now, const duties::Subject& subject, std::uint64_t attempt, bool recorded);
@@ -87,7 +87,9 @@
 
     /// Nothing where usage is not reported, or no member holds the duty.
     [[nodiscard]] std::optional<UsageHolder> usageHolder(const replica::View& view) const;
-    [[nodiscard]] Millis trueTime(Millis now, Millis ownTime) const { return trueTime_.at(now, ownTime); }
+    [[nodiscard]] Millis trueTime(Millis now, Millis ownTime) const {
+        return trueTime_.estimate(now, ownTime);
+    }
     [[nodiscard]] std::vector<DutyStatus> status(const DutyReplica& replica) const;
 
     /// Nothing new is begun; what is under way is finished.
@@ -100,7 +102,7 @@
         std::uint64_t epoch = 0;                     // of the view when that was last looked at
     };
 
-    [[nodiscard]] duties::DutySituation situationOf(Millis now, const DutyReplica& replica, Held& held) const;
+    [[nodiscard]] duties::DutyContext situationOf(Millis now, const DutyReplica& replica, Held& held) const;
     [[nodiscard]] bool holds(const DutyReplica& replica, const duties::Subject& subject) const;
     [[nodiscard]] std::optional<duties::DutyWork> usageWork(Millis now, Millis ownTime,
                                                             const duties::DutyRunner& runner,
--- a/src/duties/duty_runner.cpp
+++ b/src/duties/duty_runner.cpp
@@ -24,26 +24,26 @@
 
 }  // namespace
 
-std::optional<DutyAction> DutyRunner::step(Millis now, const DutySituation& situation,
+std::optional<DutyAction> DutyRunner::step(Millis now, const DutyContext& context,
                                            const std::optional<DutyWork>& work) {
-    const bool isOtherTerm = situation.epoch != epoch_;
-    if (!situation.holds || isOtherTerm) state_ = State::idle;
-    epoch_ = situation.epoch;
-    if (state_ != State::idle || !mayAct(now, situation)) return std::nullopt;
-    if (const auto intent = oldestOpen(*situation.table)) return call(situation, *intent);
+    const bool isOtherTerm = context.epoch != epoch_;
+    if (!context.isHolder || isOtherTerm) state_ = State::idle;
+    epoch_ = context.epoch;
+    if (state_ != State::idle || !mayAct(now, context)) return std::nullopt;
+    if (const auto intent = oldestOpen(*context.table)) return call(context, *intent);
     if (!work) return std::nullopt;
     state_ = State::proposing;
     number_ = work->number;
-    return ProposeIntent{++attempt_, {subject_, work->number, situation.epoch, situation.member, work->body}};
+    return ProposeIntent{++attempt_, {subject_, work->number, context.epoch, context.member, work->body}};
 }
 
-bool DutyRunner::wantsWork(Millis now, const DutySituation& situation) const {
-    const bool isIdle = state_ == State::idle || situation.epoch != epoch_;
-    return isIdle && mayAct(now, situation) && !oldestOpen(*situation.table);
+bool DutyRunner::needsWork(Millis now, const DutyContext& context) const {
+    const bool isIdle = state_ == State::idle || context.epoch != epoch_;
+    return isIdle && mayAct(now, context) && !oldestOpen(*context.table);
 }
 
-std::optional<DutyAction> DutyRunner::onProposed(Millis now, const DutySituation& situation,
-                                                 std::uint64_t attempt, const ProposalAnswer& answer) {
+std::optional<DutyAction> DutyRunner::onProposed(Millis now, const DutyContext& context,
+                                                 std::uint64_t attempt, const ProposalResult& answer) {
     if (state_ != State::proposing || attempt != attempt_) return std::nullopt;
     state_ = State::idle;
     if (!answer || answer->outcome == ProposalOutcome::stale) {
@@ -54,8 +54,8 @@
     const bool isKnown =
         answer->outcome == ProposalOutcome::accepted || answer->outcome == ProposalOutcome::recorded;
     if (!isKnown || answer->intent.state != IntentState::open) return std::nullopt;
-    if (situation.epoch != epoch_ || !mayAct(now, situation)) return std::nullopt;
-    return call(situation, answer->intent);
+    if (context.epoch != epoch_ || !mayAct(now, context)) return std::nullopt;
+    return call(context, answer->intent);
 }
 
 std::optional<DutyAction> DutyRunner::onCalled(Millis now, std::uint64_t attempt, int status) {
@@ -68,7 +68,7 @@
     }
     const bool isAnswered = isAccepted(status) || isRefusedForGood(status);
     if (!isAnswered) {
-        if (status == 0) timeout_ = std::min(2 * timeout_, kTimeoutMost);
+        if (status == 0) timeout_ = std::min(2 * timeout_, kMaxTimeout);
         backOff(now);
         return std::nullopt;
     }
@@ -87,16 +87,16 @@
         backOff(now);
 }
 
-bool DutyRunner::mayAct(Millis now, const DutySituation& situation) const {
-    if (!situation.holds || !situation.fresh || !situation.table) return false;
-    if (situation.epoch <= refusedToken_ || now < retryAt_) return false;
-    return !waitsForTakeover(now, situation);
+bool DutyRunner::mayAct(Millis now, const DutyContext& context) const {
+    if (!context.isHolder || !context.fresh || !context.table) return false;
+    if (context.epoch <= refusedToken_ || now < retryAt_) return false;
+    return !waitsForTakeover(now, context);
 }
 
 // Without an intent nobody has acted on this subject.
-bool DutyRunner::waitsForTakeover(Millis now, const DutySituation& situation) const {
-    const bool isNew = now - situation.holdsSince < takeoverDelay_;
-    return isNew && !intentsOf(*situation.table, subject_).empty();
+bool DutyRunner::waitsForTakeover(Millis now, const DutyContext& context) const {
+    const bool isNew = now - context.holderSince < takeoverDelay_;
+    return isNew && !intentsOf(*context.table, subject_).empty();
 }
 
 std::optional<Intent> DutyRunner::oldestOpen(const Table& table) const {
@@ -113,22 +113,22 @@
     return std::max(intents.back().number, settledNumber_.value_or(0));
 }
 
-DutyAction DutyRunner::call(const DutySituation& situation, const Intent& intent) {
+DutyAction DutyRunner::call(const DutyContext& context, const Intent& intent) {
     state_ = State::calling;
     number_ = intent.number;
     ++calls_;
-    return CallPlatform{++attempt_,       subject_,    intent.number, situation.epoch,
-                        situation.member, intent.body, timeout_};
+    return CallPlatform{++attempt_,     subject_,    intent.number, context.epoch,
+                        context.member, intent.body, timeout_};
 }
 
 void DutyRunner::backOff(Millis now) {
     retryAt_ = now + retryAfter_ * (0.5 + random_());
-    retryAfter_ = std::min(2 * retryAfter_, kRetryMost);
+    retryAfter_ = std::min(2 * retryAfter_, kMaxBackoff);
 }
 
 void DutyRunner::succeed() {
-    retryAfter_ = kRetryFirst;
-    timeout_ = kTimeoutFirst;
+    retryAfter_ = kInitialBackoff;
+    timeout_ = kInitialTimeout;
 }
 
 }  // namespace beechpoint::duties
--- a/src/duties/duty_runner.hpp
+++ b/src/duties/duty_runner.hpp
@@ -37,10 +37,10 @@
 namespace beechpoint::duties {
 
 /// What holds at one moment.
-struct DutySituation {
+struct DutyContext {
     bool fresh = false;            ///< in the newest view known, confirmed by a majority
-    bool holds = false;            ///< this member is the subject's holder in that view
-    Millis holdsSince = 0;         ///< since when it is, over views
+    bool isHolder = false;         ///< this member is the subject's holder in that view
+    Millis holderSince = 0;        ///< since when it is, over views
     std::uint64_t epoch = 0;       ///< of the view: the fencing token
     std::string member;            ///< this member's name
     const Table* table = nullptr;  ///< committed
@@ -73,27 +73,27 @@
 using DutyAction = std::variant<ProposeIntent, CallPlatform, SettleIntent>;
 
 /// The end of a ProposeIntent. Nothing: no answer, or it is not known whether it was committed.
-using ProposalAnswer = std::optional<ProposalDecision>;
+using ProposalResult = std::optional<ProposalDecision>;
 
 class DutyRunner {
 public:
-    static constexpr Millis kRetryFirst = 150;  ///< back-off after a failure; doubles
-    static constexpr Millis kRetryMost = 1500;
-    static constexpr Millis kTimeoutFirst = 1500;  ///< of a call; doubles while none is answered
-    static constexpr Millis kTimeoutMost = 6000;
+    static constexpr Millis kInitialBackoff = 150;  ///< back-off after a failure; doubles
+    static constexpr Millis kMaxBackoff = 1500;
+    static constexpr Millis kInitialTimeout = 1500;  ///< of a call; doubles while none is answered
+    static constexpr Millis kMaxTimeout = 6000;
 
     DutyRunner(Subject subject, Millis takeoverDelay, std::uint64_t seed)
         : subject_(std::move(subject)), takeoverDelay_(takeoverDelay), random_(seed) {}
 
     /// To be called every few tens of milliseconds, and after each event. `work`: what is due; nothing where there is none.
-    [[nodiscard]] std::optional<DutyAction> step(Millis now, const DutySituation& situation,
+    [[nodiscard]] std::optional<DutyAction> step(Millis now, const DutyContext& context,
                                                  const std::optional<DutyWork>& work);
     /// Whether step() would use `work`: it is not to be computed otherwise.
-    [[nodiscard]] bool wantsWork(Millis now, const DutySituation& situation) const;
+    [[nodiscard]] bool needsWork(Millis now, const DutyContext& context) const;
 
     /// The end of a ProposeIntent.
-    [[nodiscard]] std::optional<DutyAction> onProposed(Millis now, const DutySituation& situation,
-                                                       std::uint64_t attempt, const ProposalAnswer& answer);
+    [[nodiscard]] std::optional<DutyAction> onProposed(Millis now, const DutyContext& context,
+                                                       std::uint64_t attempt, const ProposalResult& answer);
     /// The end of a CallPlatform: the status of HTTP; 0: no answer.
     [[nodiscard]] std::optional<DutyAction> onCalled(Millis now, std::uint64_t attempt, int status);
     /// The end of a SettleIntent.
@@ -105,15 +105,15 @@
     [[nodiscard]] const Subject& subject() const { return subject_; }
     /// Status of the last call; 0: none was answered. For the operators.
     [[nodiscard]] int lastStatus() const { return lastStatus_; }
-    [[nodiscard]] std::uint64_t calls() const { return calls_; }
+    [[nodiscard]] std::uint64_t callCount() const { return calls_; }
 
 private:
     enum class State { idle, proposing, calling, settling };
 
-    [[nodiscard]] bool mayAct(Millis now, const DutySituation& situation) const;
-    [[nodiscard]] bool waitsForTakeover(Millis now, const DutySituation& situation) const;
+    [[nodiscard]] bool mayAct(Millis now, const DutyContext& context) const;
+    [[nodiscard]] bool waitsForTakeover(Millis now, const DutyContext& context) const;
     [[nodiscard]] std::optional<Intent> oldestOpen(const Table& table) const;
-    [[nodiscard]] DutyAction call(const DutySituation& situation, const Intent& intent);
+    [[nodiscard]] DutyAction call(const DutyContext& context, const Intent& intent);
     void backOff(Millis now);
     void succeed();
 
@@ -128,8 +128,8 @@
         settledNumber_;               // the newest that this member settled; its table may show that later
     std::uint64_t refusedToken_ = 0;  // the platform has seen a higher one: not used again
     Millis retryAt_ = 0;
-    Millis retryAfter_ = kRetryFirst;
-    Millis timeout_ = kTimeoutFirst;
+    Millis retryAfter_ = kInitialBackoff;
+    Millis timeout_ = kInitialTimeout;
     int lastStatus_ = 0;
     std::uint64_t calls_ = 0;
 };
--- a/src/duties/scaling_policy.cpp
+++ b/src/duties/scaling_policy.cpp
@@ -127,7 +127,7 @@
     if (!seen.ordered) state.startingCount = std::max(state.startingCount, seen.serving);
     if (seen.ordered && isNew) state.startingCount = *seen.ordered;
     const Millis sinceOrder = state.orderedAt ? now - *state.orderedAt : 0;
-    const bool isComing = state.orderedAt && sinceOrder < bounds.boot + kBootSlack;
+    const bool isComing = state.orderedAt && sinceOrder < bounds.boot + kBootGracePeriod;
     Zone zone;
     zone.seen = &seen;
     zone.startingCount = state.startingCount;
@@ -138,16 +138,16 @@
     zone.usable = !seen.evacuated && seen.serving > 0;
     zone.expected = isComing ? std::max(seen.serving, zone.base) : seen.serving;
     zone.complete = zone.expected >= (seen.ordered ? zone.base : state.startingCount);
-    zone.mayChange = !state.orderedAt || sinceOrder >= kMinBetweenOrders;
+    zone.mayChange = !state.orderedAt || sinceOrder >= kMinOrderInterval;
     return zone;
 }
 
 double ScalingPolicy::forecast(Millis now, const ScalingBounds& bounds, RegionState& state, double running) {
     std::deque<Sample>& samples = state.samples;
     if (samples.empty() || now - samples.back().at >= kMinSampleSpacing) samples.push_back({now, running});
-    while (now - samples.front().at > kTrendTime) samples.pop_front();
+    while (now - samples.front().at > kTrendWindow) samples.pop_front();
     const double expected = running + std::max(slopeOf(samples), 0.0) * bounds.boot;
-    return std::min(expected, kMaxForecast * running);
+    return std::min(expected, kMaxForecastRatio * running);
 }
 
 // How many hosts are to be added to the region; 0 where none.
@@ -165,8 +165,8 @@
     if (serving == 0 || capacity <= 0) return 0;
     region.capacityOfHost = capacity / serving;
     region.forecast = forecast(now, bounds, *region.state, running);
-    if (region.hostsFor(kHighUse) <= region.expected) return 0;
-    return region.hostsFor(kTargetUse) - region.expected;
+    if (region.hostsFor(kHighUtilization) <= region.expected) return 0;
+    return region.hostsFor(kTargetUtilization) - region.expected;
 }
 
 void ScalingPolicy::shrink(Millis now, Region& region) {
@@ -174,15 +174,15 @@
     const bool isWhole = std::all_of(region.zones.begin(), region.zones.end(), [](const Zone* zone) {
         return zone->usable && zone->complete && zone->seen->draining == 0 && zone->seen->cold == 0;
     });
-    const bool isLow =
-        isWhole && region.capacityOfHost > 0 && region.hostsFor(kTargetUse) + kSpareHosts < region.expected;
+    const bool isLow = isWhole && region.capacityOfHost > 0 &&
+                       region.hostsFor(kTargetUtilization) + kSpareHosts < region.expected;
     if (!isLow) {
         state.lowSince.reset();
         return;
     }
     if (!state.lowSince) state.lowSince = now;
-    const bool isTooSoon = state.decreasedAt && now - *state.decreasedAt < kMinBetweenDecreases;
-    if (now - *state.lowSince < kStableTime || isTooSoon) return;
+    const bool isTooSoon = state.decreasedAt && now - *state.decreasedAt < kMinDecreaseInterval;
+    if (now - *state.lowSince < kStabilizationTime || isTooSoon) return;
     const auto excess = [](const Zone* zone) { return zone->wanted - zone->floor; };
     const auto most =
         std::max_element(region.zones.begin(), region.zones.end(),
--- a/src/duties/scaling_policy.hpp
+++ b/src/duties/scaling_policy.hpp
@@ -5,14 +5,14 @@
 ///
 ///   what is seen                                                   | what is wanted
 ///   load unknown in the region                                     | the base count
-///   forecast above kHighUse of the usable hosts                    | as many as bring it to kTargetUse: in the region's complete zones,
+///   forecast above kHighUtilization of the usable hosts                    | as many as bring it to kTargetUtilization: in the region's complete zones,
 ///                                                                  | then in those that lost hosts, then in the other regions
-///   for kStableTime below kTargetUse with kSpareHosts hosts fewer, | one host fewer, in the zone with the most above its floor
+///   for kStabilizationTime below kTargetUtilization with kSpareHosts hosts fewer, | one host fewer, in the zone with the most above its floor
 ///   and the region whole: none evacuated, lost, leaving or cold    |
 ///   else                                                           | the base count
 ///
 /// The base count of a zone is the last one ordered, or what the list shows before the first order; the forecast is the load expected after the
-/// time that a new host takes to serve. A zone's count changes at most once in kMinBetweenOrders, and falls at most once in kMinBetweenDecreases.
+/// time that a new host takes to serve. A zone's count changes at most once in kMinOrderInterval, and falls at most once in kMinDecreaseInterval.
 /// Invariant: a count that differs from the base count lies between the service's `min_count` and `max_count`.
 #pragma once
 
@@ -56,15 +56,17 @@
         minCount,       ///< of the bounds
     };
 
-    static constexpr double kHighUse = 0.65;  ///< of the usable hosts' capacity: more hosts are wanted above
-    static constexpr double kTargetUse = 0.45;  ///< as many hosts are wanted as bring the use down to this
+    static constexpr double kHighUtilization =
+        0.65;  ///< of the usable hosts' capacity: more hosts are wanted above
+    static constexpr double kTargetUtilization =
+        0.45;                              ///< as many hosts are wanted as bring the use down to this
     static constexpr int kSpareHosts = 2;  ///< of a region, beyond the target, before a host is taken away
-    static constexpr Millis kTrendTime = 4000;         ///< the forecast is drawn from the load of so long
-    static constexpr double kMaxForecast = 2;          ///< times the present load
-    static constexpr Millis kStableTime = 30'000;      ///< of low load and whole zones before a decrease
-    static constexpr Millis kMinBetweenOrders = 3000;  ///< of one zone
-    static constexpr Millis kMinBetweenDecreases = 10'000;  ///< of one region
-    static constexpr Millis kBootSlack =
+    static constexpr Millis kTrendWindow = 4000;          ///< the forecast is drawn from the load of so long
+    static constexpr double kMaxForecastRatio = 2;        ///< times the present load
+    static constexpr Millis kStabilizationTime = 30'000;  ///< of low load and whole zones before a decrease
+    static constexpr Millis kMinOrderInterval = 3000;     ///< of one zone
+    static constexpr Millis kMinDecreaseInterval = 10'000;  ///< of one region
+    static constexpr Millis kBootGracePeriod =
         2000;  ///< hosts that have not come so long after their time are lost
     static constexpr Millis kMinSampleSpacing = 200;
     static constexpr std::size_t kMaxZones = 256;  ///< of a service; further ones keep what they have
@@ -89,7 +91,7 @@
         double running = 0;
     };
     struct RegionState {
-        std::deque<Sample> samples;  // of the last kTrendTime
+        std::deque<Sample> samples;  // of the last kTrendWindow
         std::optional<Millis> lowSince = std::nullopt;
         std::optional<Millis> decreasedAt = std::nullopt;
     };
--- a/src/duties/true_time.cpp
+++ b/src/duties/true_time.cpp
@@ -11,7 +11,7 @@
     offsets_[machine] = {unixTime - now, now};
 }
 
-Millis TrueTime::at(Millis now, Millis own) const {
+Millis TrueTime::estimate(Millis now, Millis own) const {
     std::vector<Millis> offsets{own - now};
     for (const auto& [machine, report] : offsets_)
         if (now - report.at <= kReportExpiry) offsets.push_back(report.offset);
@@ -20,10 +20,10 @@
     return now + *middle;
 }
 
-bool TrueTime::confirmed(Millis now, std::size_t machines) const {
+bool TrueTime::isConfirmed(Millis now, std::size_t machines) const {
     const auto fresh = std::ranges::count_if(
         offsets_, [now](const auto& entry) { return now - entry.second.at <= kReportExpiry; });
-    const double needed = std::max(1.0, kConfirmingShare * static_cast<double>(machines));
+    const double needed = std::max(1.0, kMinReportingShare * static_cast<double>(machines));
     return static_cast<double>(fresh) >= needed;
 }
 
--- a/src/duties/true_time.hpp
+++ b/src/duties/true_time.hpp
@@ -19,20 +19,20 @@
         1024;  ///< at this size reports of further machines are ignored
 
     /// Of the machines that could report: of fewer, those whose clocks are wrong might be most.
-    static constexpr double kConfirmingShare = 0.75;
+    static constexpr double kMinReportingShare = 0.75;
 
     /// A machine reports its time of day, in milliseconds since 1970.
     void report(Millis now, const std::string& machine, Millis unixTime);
 
     /// Milliseconds since 1970. Without reports: by this process's own clock.
     /// @param own this process's time of day, which counts as one report
-    [[nodiscard]] Millis at(Millis now, Millis own) const;
+    [[nodiscard]] Millis estimate(Millis now, Millis own) const;
 
     /// Whether enough machines have reported lately for the estimate to outvote this process's own clock.
     /// @param machines that could report
-    [[nodiscard]] bool confirmed(Millis now, std::size_t machines) const;
+    [[nodiscard]] bool isConfirmed(Millis now, std::size_t machines) const;
 
-    [[nodiscard]] std::size_t reporters() const { return offsets_.size(); }
+    [[nodiscard]] std::size_t reporterCount() const { return offsets_.size(); }
 
 private:
     struct Report {
--- a/src/duties/usage.hpp
+++ b/src/duties/usage.hpp
@@ -35,7 +35,7 @@
 [[nodiscard]] inline WindowNumber windowAt(Millis unixTime, Millis length) {
     return unixTime <= 0 ? 0 : static_cast<WindowNumber>(unixTime / length);
 }
-[[nodiscard]] inline Millis endOf(WindowNumber window, Millis length) {
+[[nodiscard]] inline Millis windowEnd(WindowNumber window, Millis length) {
     return static_cast<Millis>(window + 1) * length;
 }
 
--- a/src/duties/usage_collector.cpp
+++ b/src/duties/usage_collector.cpp
@@ -4,11 +4,11 @@
 
 namespace beechpoint::duties {
 
-bool UsageCollector::add(const UsageReport& report, bool isOfThisTerm) {
+bool UsageCollector::add(const UsageReport& report, bool isCurrentTerm) {
     const SessionKey key{report.gateway, report.session};
     if (sessions_.size() >= kMaxSessions && !sessions_.contains(key)) return false;
     Session& session = sessions_[key];
-    if (isOfThisTerm) session.coveredUntil = std::max(session.coveredUntil, report.coveredUntil);
+    if (isCurrentTerm) session.coveredUntil = std::max(session.coveredUntil, report.coveredUntil);
     for (const WindowCounts& window : report.windows) {
         TenantCounts& counts = session.windows[window.window];
         for (const auto& [tenant, count] : window.counts) {
@@ -21,13 +21,13 @@
     return true;
 }
 
-void UsageCollector::forgetCoverage() {
+void UsageCollector::resetCoverage() {
     for (auto& [key, session] : sessions_) session.coveredUntil = 0;
 }
 
-std::optional<WindowCounts> UsageCollector::next(std::optional<WindowNumber> newestRecorded, Millis unixTime,
-                                                 Millis collectedFor,
-                                                 const std::vector<SessionKey>& liveGateways) const {
+std::optional<WindowCounts> UsageCollector::nextWindow(std::optional<WindowNumber> newestRecorded,
+                                                       Millis unixTime, Millis collectedFor,
+                                                       const std::vector<SessionKey>& liveGateways) const {
     std::optional<WindowNumber> window = firstCounted();
     if (newestRecorded) window = *newestRecorded + 1;
     if (!window) return std::nullopt;
@@ -35,9 +35,9 @@
     // Older ones may have been dropped already by some session; one gateway may be a window ahead.
     constexpr WindowNumber kKeptBefore = kMaxWindows - 2;
     if (current > kKeptBefore) window = std::max(*window, current - kKeptBefore);
-    const Millis sinceEnd = unixTime - endOf(*window, windowLength_);
-    if (sinceEnd < kGatherTime) return std::nullopt;
-    const bool mayBeCovered = std::min(sinceEnd, collectedFor) < longestGatherTime_;
+    const Millis sinceEnd = unixTime - windowEnd(*window, windowLength_);
+    if (sinceEnd < kMinGatherTime) return std::nullopt;
+    const bool mayBeCovered = std::min(sinceEnd, collectedFor) < maxGatherTime_;
     if (mayBeCovered && !covered(*window, liveGateways)) return std::nullopt;
     return WindowCounts{*window, totalOf(*window)};
 }
@@ -63,7 +63,7 @@
 }
 
 bool UsageCollector::covered(WindowNumber window, const std::vector<SessionKey>& liveGateways) const {
-    const Millis end = endOf(window, windowLength_);
+    const Millis end = windowEnd(window, windowLength_);
     return std::all_of(liveGateways.begin(), liveGateways.end(), [&](const SessionKey& gateway) {
         const auto session = sessions_.find(gateway);
         return session != sessions_.end() && session->second.coveredUntil >= end;
--- a/src/duties/usage_collector.hpp
+++ b/src/duties/usage_collector.hpp
@@ -3,8 +3,8 @@
 /// Counts are kept by gateway, session and window, so that a report that comes twice counts once and both lives of a restarted gateway
 /// count. A holder begins with nothing: gateways send it all that is not recorded. Free of I/O; one thread uses it at a time.
 ///
-///   a window may be reported | when it is over for kGatherTime and each live gateway's counts cover it, or both its end and
-///                            | the holder's term lie longestGatherTime back
+///   a window may be reported | when it is over for kMinGatherTime and each live gateway's counts cover it, or both its end and
+///                            | the holder's term lie maxGatherTime back
 ///   the next window          | the one after the newest recorded; the first with a count, where none is recorded; never one that some
 ///                            | session may have dropped
 ///
@@ -28,22 +28,22 @@
 
 class UsageCollector {
 public:
-    static constexpr Millis kGatherTime = 800;  ///< from a window's end
+    static constexpr Millis kMinGatherTime = 800;  ///< from a window's end
     static constexpr std::size_t kMaxSessions = 2048;
     static constexpr std::size_t kMaxWindows = 6;
     static constexpr std::size_t kMaxTenants = 4096;
 
     /// @param windowLength in milliseconds, above 0
-    /// @param longestGatherTime in milliseconds from a window's end, where live gateways have not reported
-    UsageCollector(Millis windowLength, Millis longestGatherTime)
-        : windowLength_(windowLength), longestGatherTime_(longestGatherTime) {}
+    /// @param maxGatherTime in milliseconds from a window's end, where live gateways have not reported
+    UsageCollector(Millis windowLength, Millis maxGatherTime)
+        : windowLength_(windowLength), maxGatherTime_(maxGatherTime) {}
 
     /// False: no room for another session.
-    /// @param isOfThisTerm what the report leaves out is known here; else it covers no window
-    [[nodiscard]] bool add(const UsageReport& report, bool isOfThisTerm = true);
+    /// @param isCurrentTerm what the report leaves out is known here; else it covers no window
+    [[nodiscard]] bool add(const UsageReport& report, bool isCurrentTerm = true);
 
     /// Another term begins: each gateway reports once more all that is not recorded. Counts are kept.
-    void forgetCoverage();
+    void resetCoverage();
 
     /// This process does not hold the duty: forgets everything.
     void clear() { sessions_.clear(); }
@@ -53,7 +53,7 @@
     /// @param unixTime true time in milliseconds
     /// @param collectedFor milliseconds since gateways have been told of this holder
     /// @param liveGateways (name, session) of those that hold a lease
-    [[nodiscard]] std::optional<WindowCounts> next(
+    [[nodiscard]] std::optional<WindowCounts> nextWindow(
         std::optional<WindowNumber> newestRecorded, Millis unixTime, Millis collectedFor,
         const std::vector<std::pair<std::string, std::uint64_t>>& liveGateways) const;
 
@@ -72,7 +72,7 @@
     [[nodiscard]] TenantCounts totalOf(WindowNumber window) const;
 
     Millis windowLength_;
-    Millis longestGatherTime_;
+    Millis maxGatherTime_;
     std::map<SessionKey, Session> sessions_;
 };
 
--- a/src/gateway/request_end_counts.hpp
+++ b/src/gateway/request_end_counts.hpp
@@ -24,7 +24,7 @@
 
 /// Requests by what became of their key, and those that got no further than the search for a route.
 struct AccessCounts {
-    std::array<std::uint64_t, tenants::kAuthenticationOutcomes> authentications{};
+    std::array<std::uint64_t, tenants::kAuthenticationOutcomeCount> authentications{};
     std::uint64_t routeNotFound = 0;  ///< 404
 
     void add(tenants::AuthenticationOutcome outcome) { ++authentications[static_cast<std::size_t>(outcome)]; }
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -61,7 +61,7 @@
     const tenants::Authentication authentication =
         tenants::authenticate(routes_->tenants().get(), route->route.public_, authorizationOf(message));
     accessCounts_.add(authentication.outcome);
-    if (!authentication.accepted())
+    if (!authentication.isAccepted())
         return rejectUnauthorized(authentication.outcome, route->route.name, *client);
     ClientRequest request = readClientRequest(message);
     assignTenant(authentication, request);
@@ -90,7 +90,7 @@
 // A 401 is final for clients, so a key that may be newer than this table is not called unknown.
 bool RequestExchange::mayBeNewKey(tenants::AuthenticationOutcome outcome) const {
     const bool hasKey = outcome != tenants::AuthenticationOutcome::missingKey;
-    return hasKey && (!routes_->tenants()->complete() || !tableIsCurrent_());
+    return hasKey && (!routes_->tenants()->isComplete() || !tableIsCurrent_());
 }
 
 // Each outcome has a kind of its own in the log, so that a flood of one does not hide another.
--- a/src/tenants/authentication.hpp
+++ b/src/tenants/authentication.hpp
@@ -19,14 +19,14 @@
 namespace beechpoint::tenants {
 
 enum class AuthenticationOutcome { unrestricted, anonymous, tenant, missingKey, revokedKey, unknownKey };
-inline constexpr std::size_t kAuthenticationOutcomes = 6;
+inline constexpr std::size_t kAuthenticationOutcomeCount = 6;
 
 struct Authentication {
     AuthenticationOutcome outcome = AuthenticationOutcome::missingKey;
     std::shared_ptr<const TenantEntry> tenant;  ///< not null where the outcome is tenant
 
     /// Whether the request may be served.
-    [[nodiscard]] bool accepted() const {
+    [[nodiscard]] bool isAccepted() const {
         return outcome == AuthenticationOutcome::unrestricted ||
                outcome == AuthenticationOutcome::anonymous || outcome == AuthenticationOutcome::tenant;
     }
--- a/src/tenants/tenant_directory.hpp
+++ b/src/tenants/tenant_directory.hpp
@@ -41,7 +41,7 @@
     [[nodiscard]] bool wasRevoked(std::string_view key) const;
     [[nodiscard]] std::size_t size() const { return size_; }
     /// False: a key that is not found may be that of a tenant which could not be read.
-    [[nodiscard]] bool complete() const { return complete_; }
+    [[nodiscard]] bool isComplete() const { return complete_; }
 
 private:
     struct DigestHash {
--- a/tests/duties/duty_runner_test.cpp
+++ b/tests/duties/duty_runner_test.cpp
@@ -15,7 +15,7 @@
 struct DutyRunnerTest : ::testing::Test {
     Table table;
     DutyRunner runner{kUsage, kDelay, 1};
-    DutySituation situation{true, true, 0, 12, "core-1", &table};
+    DutyContext context{true, true, 0, 12, "core-1", &table};
     Millis now = kLate;
     DutyWork work{7, "seven"};
 
@@ -27,19 +27,19 @@
     }
     template <class Action>
     std::optional<Action> stepFor(bool hasWork = true) {
-        const auto action = runner.step(now, situation, hasWork ? std::optional{work} : std::nullopt);
+        const auto action = runner.step(now, context, hasWork ? std::optional{work} : std::nullopt);
         if (!action || !std::holds_alternative<Action>(*action)) return std::nullopt;
         return std::get<Action>(*action);
     }
-    bool acts() { return runner.step(now, situation, work).has_value(); }
-    std::optional<DutyAction> proposed(std::uint64_t attempt, const ProposalAnswer& answer) {
-        return runner.onProposed(now, situation, attempt, answer);
+    bool acts() { return runner.step(now, context, work).has_value(); }
+    std::optional<DutyAction> proposed(std::uint64_t attempt, const ProposalResult& answer) {
+        return runner.onProposed(now, context, attempt, answer);
     }
     // Proposes, and calls after the commit.
     CallPlatform callOfNewIntent() {
         const auto proposal = stepFor<ProposeIntent>();
         EXPECT_TRUE(proposal);
-        const ProposalDecision decision = decide(table, proposal->proposal, situation.epoch);
+        const ProposalDecision decision = decide(table, proposal->proposal, context.epoch);
         beechpoint::apply(decision.changes, table);
         const auto call = proposed(proposal->attempt, decision);
         EXPECT_TRUE(call && std::holds_alternative<CallPlatform>(*call));
@@ -53,14 +53,14 @@
 };
 
 TEST_F(DutyRunnerTest, AWindowsWayIsProposalThenCallThenSettlement) {
-    EXPECT_TRUE(runner.wantsWork(now, situation));
+    EXPECT_TRUE(runner.needsWork(now, context));
     const auto proposal = stepFor<ProposeIntent>();
     ASSERT_TRUE(proposal);
     EXPECT_EQ(proposal->proposal.token, 12U);
     EXPECT_EQ(proposal->proposal.holder, "core-1");
     EXPECT_EQ(proposal->proposal.body, "seven");
     EXPECT_FALSE(acts()) << "no call before the commit";
-    EXPECT_FALSE(runner.wantsWork(now, situation));
+    EXPECT_FALSE(runner.needsWork(now, context));
     const ProposalDecision decision = decide(table, proposal->proposal, 12);
     beechpoint::apply(decision.changes, table);
     const auto action = proposed(proposal->attempt, decision);
@@ -78,7 +78,7 @@
     runner.onSettled(now, settlement.attempt, true);
     EXPECT_EQ(runner.newestNumber(table), 7U);
     EXPECT_FALSE(stepFor<CallPlatform>(false)) << "its table shows the outcome later";
-    EXPECT_EQ(runner.calls(), 1U);
+    EXPECT_EQ(runner.callCount(), 1U);
     EXPECT_EQ(runner.lastStatus(), 200);
 }
 
@@ -87,7 +87,7 @@
     open(6, "six");
     open(4, "four");
     settleAs(4, IntentState::done);
-    EXPECT_FALSE(runner.wantsWork(now, situation));
+    EXPECT_FALSE(runner.needsWork(now, context));
     const auto call = stepFor<CallPlatform>();
     ASSERT_TRUE(call);
     EXPECT_EQ(call->number, 5U);
@@ -115,13 +115,13 @@
 }
 
 TEST_F(DutyRunnerTest, AProposalThatFailedIsMadeAgainAfterABackOff) {
-    for (const ProposalAnswer& answer :
-         {ProposalAnswer{}, ProposalAnswer{ProposalDecision{ProposalOutcome::stale, {}, {}}}}) {
+    for (const ProposalResult& answer :
+         {ProposalResult{}, ProposalResult{ProposalDecision{ProposalOutcome::stale, {}, {}}}}) {
         const auto proposal = stepFor<ProposeIntent>();
         ASSERT_TRUE(proposal);
         EXPECT_FALSE(proposed(proposal->attempt, answer));
         EXPECT_FALSE(acts());
-        now += 1.5 * DutyRunner::kRetryMost;
+        now += 1.5 * DutyRunner::kMaxBackoff;
     }
     EXPECT_TRUE(acts());
 }
@@ -132,7 +132,7 @@
     const ProposalDecision tooLarge{ProposalOutcome::tooLarge, {}, {}};
     EXPECT_FALSE(proposed(proposal->attempt, tooLarge));
     EXPECT_EQ(runner.newestNumber(table), std::optional<std::uint64_t>{proposal->proposal.number});
-    EXPECT_EQ(runner.calls(), 0U);
+    EXPECT_EQ(runner.callCount(), 0U);
 }
 
 TEST_F(DutyRunnerTest, NoAnswerOf429Or5xxSendsTheSameBodyAgainAfterABackOff) {
@@ -140,7 +140,7 @@
     for (const int status : {0, 429, 408, 500, 503, 302, 100}) {
         EXPECT_FALSE(runner.onCalled(now, call.attempt, status)) << status;
         EXPECT_FALSE(acts()) << status;
-        now += 1.5 * DutyRunner::kRetryMost;
+        now += 1.5 * DutyRunner::kMaxBackoff;
         const auto again = stepFor<CallPlatform>();
         ASSERT_TRUE(again) << status;
         EXPECT_EQ(again->body, call.body);
@@ -152,7 +152,7 @@
 
 TEST_F(DutyRunnerTest, TheBackOffDoublesUpToItsBoundAndEndsWithAnAnswer) {
     CallPlatform call = callOfNewIntent();
-    Millis expected = DutyRunner::kRetryFirst;
+    Millis expected = DutyRunner::kInitialBackoff;
     for (int failure = 0; failure < 8; ++failure) {
         EXPECT_FALSE(runner.onCalled(now, call.attempt, 0));
         const Millis failedAt = now;
@@ -160,11 +160,11 @@
         EXPECT_FALSE(acts());
         now = failedAt + 1.5 * expected;
         call = *stepFor<CallPlatform>();
-        expected = std::min(2 * expected, DutyRunner::kRetryMost);
+        expected = std::min(2 * expected, DutyRunner::kMaxBackoff);
     }
     runner.onSettled(now, settlementOf(call, 200).attempt, false);
     const Millis failedAt = now;
-    now = failedAt + 1.5 * DutyRunner::kRetryFirst;
+    now = failedAt + 1.5 * DutyRunner::kInitialBackoff;
     EXPECT_TRUE(acts());
 }
 
@@ -173,8 +173,8 @@
     EXPECT_FALSE(runner.onCalled(now, call.attempt, 409));
     now += kLate;
     EXPECT_FALSE(acts());
-    EXPECT_FALSE(runner.wantsWork(now, situation));
-    situation.epoch = 13;
+    EXPECT_FALSE(runner.needsWork(now, context));
+    context.epoch = 13;
     const auto again = stepFor<CallPlatform>();
     ASSERT_TRUE(again);
     EXPECT_EQ(again->body, "seven");
@@ -189,8 +189,8 @@
 TEST_F(DutyRunnerTest, KilledBeforeTheIntentTheSuccessorProposesItsOwnBody) {
     ASSERT_TRUE(stepFor<ProposeIntent>());
     DutyRunner successor(kUsage, kDelay, 2);
-    situation.epoch = 13;
-    const auto action = successor.step(now, situation, DutyWork{7, "other"});
+    context.epoch = 13;
+    const auto action = successor.step(now, context, DutyWork{7, "other"});
     ASSERT_TRUE(action && std::holds_alternative<ProposeIntent>(*action));
     const ProposalDecision decision = decide(table, std::get<ProposeIntent>(*action).proposal, 13);
     EXPECT_EQ(decision.intent.body, "other");
@@ -200,9 +200,9 @@
 TEST_F(DutyRunnerTest, KilledAfterTheCommitTheSuccessorSendsTheRecordedBodyUnderItsToken) {
     callOfNewIntent();
     DutyRunner successor(kUsage, kDelay, 2);
-    situation.epoch = 13;
-    situation.member = "core-2";
-    const auto action = successor.step(now, situation, DutyWork{8, "other"});
+    context.epoch = 13;
+    context.member = "core-2";
+    const auto action = successor.step(now, context, DutyWork{8, "other"});
     ASSERT_TRUE(action && std::holds_alternative<CallPlatform>(*action));
     EXPECT_EQ(std::get<CallPlatform>(*action).body, "seven");
     EXPECT_EQ(std::get<CallPlatform>(*action).token, 13U);
@@ -214,7 +214,7 @@
     const SettleIntent settlement = settlementOf(call, 200);
     runner.onSettled(now, settlement.attempt, false);
     EXPECT_FALSE(acts());
-    now += 1.5 * DutyRunner::kRetryMost;
+    now += 1.5 * DutyRunner::kMaxBackoff;
     const auto again = stepFor<CallPlatform>();
     ASSERT_TRUE(again);
     EXPECT_EQ(again->body, call.body);
@@ -224,8 +224,8 @@
     const auto proposal = stepFor<ProposeIntent>();
     EXPECT_FALSE(runner.onCalled(now, proposal->attempt, 200)) << "not the end of this action";
     runner.onSettled(now, proposal->attempt, true);
-    proposed(proposal->attempt, ProposalAnswer{});
-    now += 1.5 * DutyRunner::kRetryMost;
+    proposed(proposal->attempt, ProposalResult{});
+    now += 1.5 * DutyRunner::kMaxBackoff;
     const CallPlatform call = callOfNewIntent();
     EXPECT_FALSE(
         proposed(proposal->attempt, ProposalDecision{ProposalOutcome::accepted, {7, 12, "", {}, "x"}, {}}));
@@ -240,27 +240,27 @@
 TEST_F(DutyRunnerTest, AnotherTermEndsWhatIsUnderWay) {
     const auto proposal = stepFor<ProposeIntent>();
     open(7, "seven");
-    situation.epoch = 13;
+    context.epoch = 13;
     EXPECT_FALSE(proposed(proposal->attempt, decide(table, proposal->proposal, 12)))
         << "the answer of an earlier term makes no call";
     const auto call = stepFor<CallPlatform>();
     ASSERT_TRUE(call);
-    situation.holds = false;
+    context.isHolder = false;
     EXPECT_FALSE(acts());
     EXPECT_FALSE(runner.onCalled(now, call->attempt, 200));
 }
 
 TEST_F(DutyRunnerTest, NothingIsDoneWithoutFreshnessHoldOrTable) {
     open(7, "seven");
-    situation.fresh = false;
+    context.fresh = false;
     EXPECT_FALSE(acts());
-    situation.fresh = true;
-    situation.holds = false;
+    context.fresh = true;
+    context.isHolder = false;
     EXPECT_FALSE(acts());
-    situation.holds = true;
-    situation.table = nullptr;
+    context.isHolder = true;
+    context.table = nullptr;
     EXPECT_FALSE(acts());
-    situation.table = &table;
+    context.table = &table;
     EXPECT_TRUE(acts());
 }
 
@@ -269,16 +269,16 @@
     const ProposalDecision decision = decide(table, proposal->proposal, 12);
     beechpoint::apply(decision.changes, table);
     now += 60'000;
-    situation.fresh = false;
+    context.fresh = false;
     EXPECT_FALSE(proposed(proposal->attempt, decision));
     EXPECT_FALSE(acts());
-    situation.fresh = true;
+    context.fresh = true;
     EXPECT_TRUE(stepFor<CallPlatform>());
 }
 
 TEST_F(DutyRunnerTest, ANewHolderWaitsForTheTakeOverDelayUnlessNobodyHasActed) {
-    situation.holdsSince = now;
-    EXPECT_TRUE(runner.wantsWork(now, situation)) << "no intent: nobody has acted";
+    context.holderSince = now;
+    EXPECT_TRUE(runner.needsWork(now, context)) << "no intent: nobody has acted";
     open(6, "six");
     settleAs(6, IntentState::done);
     EXPECT_FALSE(acts());
--- a/tests/duties/duty_simulation.cpp
+++ b/tests/duties/duty_simulation.cpp
@@ -197,7 +197,7 @@
 
     void carryOut(MemberProcess& member, const ProposeIntent& action) {
         const auto end = [this, &member, session = member.session,
-                          attempt = action.attempt](const ProposalAnswer& answer) {
+                          attempt = action.attempt](const ProposalResult& answer) {
             at(member, session, [this, &member, attempt, answer] {
                 perform(member, member.state->onProposed(now_, replicaOf(member), kUsage, attempt, answer));
                 sendNextCall(member);
@@ -209,7 +209,7 @@
              },
              {}},
             [end](const ProposalDecision* decision) {
-                end(decision ? ProposalAnswer{*decision} : std::nullopt);
+                end(decision ? ProposalResult{*decision} : std::nullopt);
             });
     }
     void carryOut(MemberProcess& member, const SettleIntent& action) {
@@ -485,7 +485,7 @@
     void checkEnd() {
         result_.committedIntents = committed_.size();
         for (const std::uint64_t number : committed_)
-            if (!book_.accepted().contains(number) && now_ > endOf(number, kWindow) - kUnixAtZero + kLate)
+            if (!book_.accepted().contains(number) && now_ > windowEnd(number, kWindow) - kUnixAtZero + kLate)
                 book_.violate(fmt::format("the recorded window {} was never accepted", number));
         const WindowNumber lastDue = windowAt(kUnixAtZero + settings_.end - kLate, kWindow) - 1;
         if (!book_.accepted().contains(lastDue))
--- a/tests/duties/scaling_policy_test.cpp
+++ b/tests/duties/scaling_policy_test.cpp
@@ -105,7 +105,7 @@
         fleet.run(kStep);
         use += 0.015;
     }
-    EXPECT_LT(use, ScalingPolicy::kHighUse);
+    EXPECT_LT(use, ScalingPolicy::kHighUtilization);
     EXPECT_GT(use, 0.35);
 }
 
@@ -135,7 +135,7 @@
     ASSERT_GT(fleet.ordersOfA1.size(), 1U);
     for (std::size_t index = 1; index < fleet.ordersOfA1.size(); ++index)
         EXPECT_GE(fleet.ordersOfA1[index].first - fleet.ordersOfA1[index - 1].first,
-                  ScalingPolicy::kMinBetweenOrders);
+                  ScalingPolicy::kMinOrderInterval);
 }
 
 TEST(ScalingPolicy, DoesNotFlapUnderAnOscillatingLoad) {
@@ -165,7 +165,7 @@
     const int peak = *fleet.at("a1").ordered;
     ASSERT_GT(peak, 18);
     fleet.setUse(0.1);
-    fleet.run(ScalingPolicy::kStableTime - 2 * kStep);
+    fleet.run(ScalingPolicy::kStabilizationTime - 2 * kStep);
     EXPECT_EQ(*fleet.at("a1").ordered, peak);
     fleet.run(1000'000);
     EXPECT_EQ(*fleet.at("a1").ordered, 17);
--- a/tests/duties/true_time_test.cpp
+++ b/tests/duties/true_time_test.cpp
@@ -15,7 +15,7 @@
 
 TEST(TrueTime, IsTheOwnClockWithoutReports) {
     const TrueTime time;
-    EXPECT_EQ(time.at(500, kTrueAtZero), kTrueAtZero);
+    EXPECT_EQ(time.estimate(500, kTrueAtZero), kTrueAtZero);
 }
 
 TEST(TrueTime, HoldsWhileAThirdOfTheClocksIsOffByHoursOrJumps) {
@@ -32,7 +32,7 @@
             }
             if (now < 5000) continue;
             const Millis own = kTrueAtZero + now + 3 * kHour;
-            EXPECT_LT(std::abs(time.at(now, own) - (kTrueAtZero + now)), 60) << "seed " << seed;
+            EXPECT_LT(std::abs(time.estimate(now, own) - (kTrueAtZero + now)), 60) << "seed " << seed;
         }
     }
 }
@@ -40,19 +40,20 @@
 TEST(TrueTime, ForgetsMachinesThatAreSilent) {
     TrueTime time;
     for (const char* machine : {"a", "b", "c"}) time.report(0, machine, kTrueAtZero + kHour);
-    EXPECT_EQ(time.at(TrueTime::kReportExpiry, kTrueAtZero), kTrueAtZero + TrueTime::kReportExpiry + kHour);
+    EXPECT_EQ(time.estimate(TrueTime::kReportExpiry, kTrueAtZero),
+              kTrueAtZero + TrueTime::kReportExpiry + kHour);
     const Millis late = TrueTime::kReportExpiry + 1;
-    EXPECT_EQ(time.at(late, kTrueAtZero + late), kTrueAtZero + late);
+    EXPECT_EQ(time.estimate(late, kTrueAtZero + late), kTrueAtZero + late);
     time.report(late, "d", kTrueAtZero + late);
-    EXPECT_EQ(time.reporters(), 1U);
+    EXPECT_EQ(time.reporterCount(), 1U);
 }
 
 TEST(TrueTime, TheNewestReportOfAMachineCounts) {
     TrueTime time;
     for (int repeat = 0; repeat < 5; ++repeat) time.report(repeat, "a", kTrueAtZero + repeat + kHour);
     for (const char* machine : {"a", "b"}) time.report(10, machine, kTrueAtZero + 10);
-    EXPECT_EQ(time.reporters(), 2U);
-    EXPECT_EQ(time.at(10, 0), kTrueAtZero + 10);
+    EXPECT_EQ(time.reporterCount(), 2U);
+    EXPECT_EQ(time.estimate(10, 0), kTrueAtZero + 10);
 }
 
 TEST(TrueTime, IgnoresFurtherMachinesAtTheBound) {
@@ -60,9 +61,9 @@
     for (std::size_t machine = 0; machine < TrueTime::kMaxReporters; ++machine)
         time.report(0, std::to_string(machine), kTrueAtZero);
     time.report(0, "further", kTrueAtZero);
-    EXPECT_EQ(time.reporters(), TrueTime::kMaxReporters);
+    EXPECT_EQ(time.reporterCount(), TrueTime::kMaxReporters);
     time.report(0, "7", kTrueAtZero);
-    EXPECT_EQ(time.reporters(), TrueTime::kMaxReporters);
+    EXPECT_EQ(time.reporterCount(), TrueTime::kMaxReporters);
 }
 
 }  // namespace
--- a/tests/duties/usage_test.cpp
+++ b/tests/duties/usage_test.cpp
@@ -11,7 +11,7 @@
 constexpr Millis kWindow = 5000;
 constexpr Millis kLongest = 5000;
 
-Millis middleOf(WindowNumber window) { return endOf(window, kWindow) - kWindow / 2; }
+Millis middleOf(WindowNumber window) { return windowEnd(window, kWindow) - kWindow / 2; }
 
 UsageReport report(const std::string& gateway, std::uint64_t session, WindowNumber window,
                    std::uint64_t count, Millis coveredUntil) {
@@ -23,7 +23,7 @@
     EXPECT_EQ(windowAt(-5, kWindow), 0U);
     EXPECT_EQ(windowAt(4999.9, kWindow), 0U);
     EXPECT_EQ(windowAt(5000, kWindow), 1U);
-    EXPECT_EQ(endOf(1, kWindow), 10000);
+    EXPECT_EQ(windowEnd(1, kWindow), 10000);
 }
 
 TEST(UsageCounter, ReportsTotalsThatTheHolderLacks) {
@@ -84,45 +84,49 @@
 
 TEST(UsageCollector, AWindowWaitsForGatherTimeAndForLiveGateways) {
     UsageCollector collector(kWindow, kLongest);
-    const Millis end = endOf(7, kWindow);
-    EXPECT_FALSE(collector.next(std::nullopt, end + 9000, kLongest, kLive))
+    const Millis end = windowEnd(7, kWindow);
+    EXPECT_FALSE(collector.nextWindow(std::nullopt, end + 9000, kLongest, kLive))
         << "nothing is counted, nothing recorded";
     EXPECT_TRUE(collector.add(report("g1", 1, 7, 3, end)));
-    EXPECT_FALSE(collector.next(std::nullopt, end + kLongest - 1, kLongest, kLive)) << "g2 has not reported";
-    EXPECT_FALSE(collector.next(std::nullopt, end + kLongest, kLongest - 1, kLive)) << "a new holder";
-    EXPECT_TRUE(collector.next(std::nullopt, end + kLongest, kLongest, kLive));
-    EXPECT_TRUE(collector.next(std::nullopt, end + UsageCollector::kGatherTime, kLongest, {{"g1", 1}}));
+    EXPECT_FALSE(collector.nextWindow(std::nullopt, end + kLongest - 1, kLongest, kLive))
+        << "g2 has not reported";
+    EXPECT_FALSE(collector.nextWindow(std::nullopt, end + kLongest, kLongest - 1, kLive)) << "a new holder";
+    EXPECT_TRUE(collector.nextWindow(std::nullopt, end + kLongest, kLongest, kLive));
+    EXPECT_TRUE(
+        collector.nextWindow(std::nullopt, end + UsageCollector::kMinGatherTime, kLongest, {{"g1", 1}}));
     EXPECT_TRUE(collector.add(report("g2", 1, 7, 4, end - 1)));
-    EXPECT_FALSE(collector.next(std::nullopt, end + kLongest - 1, kLongest, kLive))
+    EXPECT_FALSE(collector.nextWindow(std::nullopt, end + kLongest - 1, kLongest, kLive))
         << "g2 does not cover the window";
     EXPECT_TRUE(collector.add({"g2", 1, end, {}}));
-    EXPECT_FALSE(collector.next(std::nullopt, end + UsageCollector::kGatherTime - 1, kLongest, kLive));
-    EXPECT_EQ(collector.next(std::nullopt, end + UsageCollector::kGatherTime, kLongest, kLive),
+    EXPECT_FALSE(
+        collector.nextWindow(std::nullopt, end + UsageCollector::kMinGatherTime - 1, kLongest, kLive));
+    EXPECT_EQ(collector.nextWindow(std::nullopt, end + UsageCollector::kMinGatherTime, kLongest, kLive),
               (WindowCounts{7, {{"a", 7}}}));
 }
 
 TEST(UsageCollector, RepeatsAndOvertakingReportsCountOnceAndSessionsAdd) {
     UsageCollector collector(kWindow, kLongest);
-    const Millis end = endOf(7, kWindow);
+    const Millis end = windowEnd(7, kWindow);
     for (const std::uint64_t count : {5, 3, 5}) EXPECT_TRUE(collector.add(report("g1", 1, 7, count, end)));
     EXPECT_TRUE(collector.add(report("g1", 2, 7, 2, end)));
-    EXPECT_EQ(collector.next(std::nullopt, end + kLongest, kLongest, {})->counts.at("a"), 7U);
+    EXPECT_EQ(collector.nextWindow(std::nullopt, end + kLongest, kLongest, {})->counts.at("a"), 7U);
     collector.clear();
-    EXPECT_FALSE(collector.next(std::nullopt, end + kLongest, kLongest, {}));
+    EXPECT_FALSE(collector.nextWindow(std::nullopt, end + kLongest, kLongest, {}));
 }
 
 TEST(UsageCollector, TheNextWindowFollowsTheNewestRecorded) {
     UsageCollector collector(kWindow, kLongest);
-    EXPECT_TRUE(collector.add(report("g1", 1, 9, 1, endOf(9, kWindow))));
-    EXPECT_TRUE(collector.add(report("g2", 1, 8, 1, endOf(9, kWindow))));
-    const Millis now = endOf(9, kWindow) + kLongest;
-    EXPECT_EQ(collector.next(std::nullopt, now, kLongest, {})->window, 8U);
-    EXPECT_EQ(collector.next(8, now, kLongest, {})->window, 9U);
-    EXPECT_EQ(collector.next(6, now, kLongest, {}), (WindowCounts{7, {}}))
+    EXPECT_TRUE(collector.add(report("g1", 1, 9, 1, windowEnd(9, kWindow))));
+    EXPECT_TRUE(collector.add(report("g2", 1, 8, 1, windowEnd(9, kWindow))));
+    const Millis now = windowEnd(9, kWindow) + kLongest;
+    EXPECT_EQ(collector.nextWindow(std::nullopt, now, kLongest, {})->window, 8U);
+    EXPECT_EQ(collector.nextWindow(8, now, kLongest, {})->window, 9U);
+    EXPECT_EQ(collector.nextWindow(6, now, kLongest, {}), (WindowCounts{7, {}}))
         << "a window without requests is reported too";
-    EXPECT_FALSE(collector.next(9, now, kLongest, {}));
-    const Millis muchLater = endOf(40, kWindow) + 1;
-    EXPECT_EQ(collector.next(6, muchLater, kLongest, {})->window, 41 - (UsageCollector::kMaxWindows - 2));
+    EXPECT_FALSE(collector.nextWindow(9, now, kLongest, {}));
+    const Millis muchLater = windowEnd(40, kWindow) + 1;
+    EXPECT_EQ(collector.nextWindow(6, muchLater, kLongest, {})->window,
+              41 - (UsageCollector::kMaxWindows - 2));
 }
 
 TEST(UsageCollector, KeepsItsBounds) {
@@ -138,14 +142,14 @@
     UsageCollector windows(kWindow, kLongest);
     for (WindowNumber window = 1; window <= UsageCollector::kMaxWindows + 2; ++window)
         EXPECT_TRUE(windows.add(report("g1", 1, window, 1, 0)));
-    EXPECT_EQ(windows.next(std::nullopt, endOf(3, kWindow) + kLongest, kLongest, {})->window, 3U);
+    EXPECT_EQ(windows.nextWindow(std::nullopt, windowEnd(3, kWindow) + kLongest, kLongest, {})->window, 3U);
 
     UsageCollector tenants(kWindow, kLongest);
     UsageReport many{"g1", 1, 0, {{7, {}}}};
     for (std::size_t tenant = 0; tenant < UsageCollector::kMaxTenants + 3; ++tenant)
         many.windows.front().counts[std::to_string(tenant)] = 1;
     EXPECT_TRUE(tenants.add(many));
-    EXPECT_EQ(tenants.next(std::nullopt, endOf(7, kWindow) + kLongest, kLongest, {})->counts.size(),
+    EXPECT_EQ(tenants.nextWindow(std::nullopt, windowEnd(7, kWindow) + kLongest, kLongest, {})->counts.size(),
               UsageCollector::kMaxTenants);
 }
 
@@ -153,7 +157,8 @@
     UsageCollector collector(kWindow, kLongest);
     EXPECT_TRUE(collector.add(report("g1", 1, 7, 1, middleOf(8))));
     collector.dropBefore(8);
-    EXPECT_TRUE(collector.next(6, endOf(7, kWindow) + UsageCollector::kGatherTime, kLongest, {{"g1", 1}}))
+    EXPECT_TRUE(collector.nextWindow(6, windowEnd(7, kWindow) + UsageCollector::kMinGatherTime, kLongest,
+                                     {{"g1", 1}}))
         << "its coverage is still known";
 }
 
--- a/tests/tenants/authentication_test.cpp
+++ b/tests/tenants/authentication_test.cpp
@@ -47,7 +47,7 @@
         for (const Fields& fields : {Fields{}, Fields{"Bearer k-1"}, Fields{"Basic x", "Bearer k-9"}}) {
             const Authentication got = authenticate(nullptr, isPublic, fields);
             EXPECT_EQ(got.outcome, Outcome::unrestricted);
-            EXPECT_TRUE(got.accepted());
+            EXPECT_TRUE(got.isAccepted());
             EXPECT_EQ(got.tenant, nullptr);
         }
 }
@@ -57,7 +57,7 @@
         for (const char* value : {"Bearer k-1", "bearer k-2", "BEARER k-1", " \tBearer \t k-2 \t"}) {
             const Authentication got = authenticate(&directory, isPublic, {value});
             EXPECT_EQ(got.outcome, Outcome::tenant) << value;
-            EXPECT_TRUE(got.accepted());
+            EXPECT_TRUE(got.isAccepted());
             ASSERT_NE(got.tenant, nullptr) << value;
             EXPECT_EQ(got.tenant->name, "alder");
         }
@@ -69,7 +69,7 @@
         for (const Fields& fields : group) {
             const Authentication got = onPublicRoute(fields);
             EXPECT_EQ(got.outcome, Outcome::anonymous) << ::testing::PrintToString(fields);
-            EXPECT_TRUE(got.accepted());
+            EXPECT_TRUE(got.isAccepted());
             EXPECT_EQ(got.tenant, nullptr);
         }
 }
@@ -78,7 +78,7 @@
     for (const Fields& fields : withoutOneKey) {
         const Authentication got = onClosedRoute(fields);
         EXPECT_EQ(got.outcome, Outcome::missingKey) << ::testing::PrintToString(fields);
-        EXPECT_FALSE(got.accepted());
+        EXPECT_FALSE(got.isAccepted());
         EXPECT_EQ(got.tenant, nullptr);
     }
 }
@@ -87,7 +87,7 @@
     for (const Fields& fields : withAnUnknownKey) {
         const Authentication got = onClosedRoute(fields);
         EXPECT_EQ(got.outcome, Outcome::unknownKey) << ::testing::PrintToString(fields);
-        EXPECT_FALSE(got.accepted());
+        EXPECT_FALSE(got.isAccepted());
         EXPECT_EQ(got.tenant, nullptr);
     }
 }
@@ -96,7 +96,7 @@
     const TenantDirectory after{{}, &directory};
     const Authentication got = authenticate(&after, false, {"Bearer k-1"});
     EXPECT_EQ(got.outcome, Outcome::revokedKey);
-    EXPECT_FALSE(got.accepted());
+    EXPECT_FALSE(got.isAccepted());
     EXPECT_EQ(got.tenant, nullptr);
     EXPECT_EQ(authenticate(&after, false, {"Bearer k-9"}).outcome, Outcome::unknownKey);
     EXPECT_EQ(authenticate(&after, false, {"Basic k-1"}).outcome, Outcome::missingKey);
@@ -118,7 +118,7 @@
         EXPECT_EQ(authenticate(&odd, false, fields).outcome, Outcome::missingKey);
 }
 
-TEST_F(AuthenticationTest, IsRefusedUnlessDecided) { EXPECT_FALSE(Authentication{}.accepted()); }
+TEST_F(AuthenticationTest, IsRefusedUnlessDecided) { EXPECT_FALSE(Authentication{}.isAccepted()); }
 
 TEST_F(AuthenticationTest, NamesOutcomes) {
     EXPECT_EQ(nameOf(Outcome::unrestricted), "unrestricted");
