--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -83,7 +83,7 @@
         settings_.seedNodes = std::move(settings.seedNodes);
         settings_.timingBounds = settings.timingBounds;
         settings_.faultTolerance = settings.faultTolerance;
-        directory_.ttl(directoryTtlSecondsOf(settings_));
+        directory_.setTtl(directoryTtlSecondsOf(settings_));
         logger_.info("the settings were reloaded");
     }
 
@@ -110,7 +110,7 @@
     }
 
     const replica::Replica* replica() const { return driver_.replica(); }
-    bool readsHosts() const { return gateways_.readsHosts(); }
+    bool readsHostList() const { return gateways_.readsHostList(); }
     std::size_t pendingLongPolls() const { return gateways_.pendingLongPolls(); }
 
 private:
@@ -187,13 +187,13 @@
     }
 
     void onTableChanged() {
-        gateways_.onTableMoved();
+        gateways_.onTableChanged();
         operatorApi_.onReplicaChanged();
         duties_.onReplicaChanged();
     }
 
     void onViewChanged() {
-        gateways_.onView();
+        gateways_.onViewChanged();
         operatorApi_.onReplicaChanged();
         duties_.onReplicaChanged();
     }
@@ -281,7 +281,7 @@
 void Control::reload(settings::ProcessSettings settings) { impl_->reload(std::move(settings)); }
 void Control::stop(std::function<void()> done) { impl_->stop(std::move(done)); }
 const replica::Replica* Control::replica() const { return impl_->replica(); }
-bool Control::readsHosts() const { return impl_->readsHosts(); }
+bool Control::readsHostList() const { return impl_->readsHostList(); }
 std::size_t Control::pendingLongPolls() const { return impl_->pendingLongPolls(); }
 
 }  // namespace beechpoint::control
--- a/src/control/control.hpp
+++ b/src/control/control.hpp
@@ -62,7 +62,7 @@
     /// Null until the store is open.
     [[nodiscard]] const replica::Replica* replica() const;
     /// Holds the lease of the singleton role that reads the platform's host list.
-    [[nodiscard]] bool readsHosts() const;
+    [[nodiscard]] bool readsHostList() const;
     /// Gateways' polls that wait for an update.
     [[nodiscard]] std::size_t pendingLongPolls() const;
 
--- a/src/control/control_settings.cpp
+++ b/src/control/control_settings.cpp
@@ -51,7 +51,7 @@
     duties.state.seed = seed;
     if (settings.assigned(settings::kReportsUsage) && settings.cloudApi.dutyPerS > 0) {
         duties.state.usageWindow = bounds.usageWindowS * kMillisPerSecond;
-        duties.state.usageLate = bounds.usageLateS * kMillisPerSecond;
+        duties.state.usageReportDeadline = bounds.usageLateS * kMillisPerSecond;
     }
     return duties;
 }
--- a/src/control/duty_service.cpp
+++ b/src/control/duty_service.cpp
@@ -59,7 +59,7 @@
     }
 
     void completeReply(PollReply& reply) const {
-        reply.trueTime = state_.trueTime(clock_.now(), ownTime());
+        reply.estimatedUnixTime = state_.estimatedUnixTime(clock_.now(), ownTime());
         if (!driver_.replica()) return;
         const auto holder = state_.usageHolder(driver_.replica()->view());
         if (!holder) return;
@@ -96,8 +96,8 @@
 private:
     Millis ownTime() const { return clock_.toUnix(clock_.now()); }
 
-    DutyReplica replica() const {
-        DutyReplica state;
+    DutyReplicaState replica() const {
+        DutyReplicaState state;
         const replica::Replica* const replica = driver_.replica();
         if (!replica) return state;
         state.fresh = replica->isInView() && replica->isFresh(clock_.now());
@@ -176,7 +176,7 @@
         const duties::CallPlatform call = std::move(calls_.front());
         calls_.pop_front();
         // The process may have stood still since the call was decided on.
-        if (!state_.mayCall(replica(), call))
+        if (!state_.isCallAllowed(replica(), call))
             return onCalled(call, kNotCalled, "not fresh, or not the holder");
         callInFlight_ = true;
         nextCallAt_ = now + callSpacing();
--- a/src/control/duty_service_state.cpp
+++ b/src/control/duty_service_state.cpp
@@ -25,7 +25,7 @@
 }
 
 // Where either has no identity yet, nothing speaks against the other.
-bool isOfOtherCluster(const DutyReplica& replica, const UsageMessage& message) {
+bool isOfOtherCluster(const DutyReplicaState& replica, const UsageMessage& message) {
     const std::uint64_t own = replica.table ? configuration::clusterId(*replica.table) : 0;
     return own != 0 && message.clusterId != 0 && own != message.clusterId;
 }
@@ -40,7 +40,7 @@
 
 DutyServiceState::DutyServiceState(Settings settings)
     : settings_(std::move(settings)),
-      collector_(std::max(settings_.usageWindow, 1.0), kGatherShare * settings_.usageLate) {
+      collector_(std::max(settings_.usageWindow, 1.0), kGatherShare * settings_.usageReportDeadline) {
     if (settings_.usageWindow <= 0) return;
     held_.emplace(kUsage, Held{duties::DutyRunner{kUsage, settings_.takeoverDelay, settings_.seed}});
 }
@@ -51,7 +51,8 @@
     if (unixTime > 0) trueTime_.report(now, gateway, unixTime);
 }
 
-UsageReply DutyServiceState::onUsage(Millis now, const DutyReplica& replica, const UsageMessage& message) {
+UsageReply DutyServiceState::onUsage(Millis now, const DutyReplicaState& replica,
+                                     const UsageMessage& message) {
     UsageReply reply;
     const bool isHolder = settings_.usageWindow > 0 && holds(replica, kUsage);
     if (!isHolder || isOfOtherCluster(replica, message)) return reply;
@@ -66,7 +67,7 @@
 
 // ---- Time
 
-std::vector<DutyAction> DutyServiceState::step(Millis now, Millis ownTime, const DutyReplica& replica,
+std::vector<DutyAction> DutyServiceState::step(Millis now, Millis ownTime, const DutyReplicaState& replica,
                                                const LiveGateways& gateways) {
     std::vector<DutyAction> actions;
     followTerm(now, replica);
@@ -82,7 +83,7 @@
     return actions;
 }
 
-std::vector<DutyAction> DutyServiceState::onProposed(Millis now, const DutyReplica& replica,
+std::vector<DutyAction> DutyServiceState::onProposed(Millis now, const DutyReplicaState& replica,
                                                      const Subject& subject, std::uint64_t attempt,
                                                      const duties::ProposalResult& answer) {
     Held* const held = find(subject);
@@ -100,7 +101,8 @@
     if (Held* const held = find(subject)) held->runner.onSettled(now, attempt, recorded);
 }
 
-bool DutyServiceState::mayCall(const DutyReplica& replica, const duties::CallPlatform& call) const {
+bool DutyServiceState::isCallAllowed(const DutyReplicaState& replica,
+                                     const duties::CallPlatform& call) const {
     return replica.fresh && replica.view.epoch == call.token && holds(replica, call.subject);
 }
 
@@ -113,7 +115,7 @@
     return UsageHolder{holder->internalAddress, view.epoch};
 }
 
-std::vector<DutyStatus> DutyServiceState::status(const DutyReplica& replica) const {
+std::vector<DutyStatus> DutyServiceState::status(const DutyReplicaState& replica) const {
     std::vector<DutyStatus> all;
     for (const auto& entry : held_) {
         const Subject& subject = entry.first;
@@ -141,12 +143,13 @@
 
 // ---- Parts
 
-bool DutyServiceState::holds(const DutyReplica& replica, const Subject& subject) const {
+bool DutyServiceState::holds(const DutyReplicaState& replica, const Subject& subject) const {
     const replica::Member* const holder = duties::holderOf(subject, replica.view);
     return holder && holder->name == settings_.member;
 }
 
-duties::DutyContext DutyServiceState::situationOf(Millis now, const DutyReplica& replica, Held& held) const {
+duties::DutyContext DutyServiceState::situationOf(Millis now, const DutyReplicaState& replica,
+                                                  Held& held) const {
     duties::DutyContext situation;
     situation.isHolder = holds(replica, held.runner.subject());
     // In a view between two that are known here, another member may have held it.
@@ -164,7 +167,7 @@
 
 std::optional<duties::DutyWork> DutyServiceState::usageWork(Millis now, Millis ownTime,
                                                             const duties::DutyRunner& runner,
-                                                            const DutyReplica& replica,
+                                                            const DutyReplicaState& replica,
                                                             const LiveGateways& gateways) const {
     const auto live = gateways();
     // A window far ahead, once recorded, would keep all before it from being reported.
@@ -176,7 +179,7 @@
 }
 
 // A report holds what the holder of its term lacks: it covers a window only together with that term's other reports to this process.
-void DutyServiceState::followTerm(Millis now, const DutyReplica& replica) {
+void DutyServiceState::followTerm(Millis now, const DutyReplicaState& replica) {
     if (!holds(replica, kUsage)) collector_.clear();
     if (replica.view.epoch == collectedTerm_) return;
     collector_.resetCoverage();
@@ -184,7 +187,7 @@
     collectingSince_ = now;
 }
 
-void DutyServiceState::forgetRecordedUsage(const DutyReplica& replica) {
+void DutyServiceState::forgetRecordedUsage(const DutyReplicaState& replica) {
     if (!replica.table || replica.table == readTable_) return;
     readTable_ = replica.table;
     const auto intents = duties::intentsOf(*replica.table, kUsage);
--- a/src/control/duty_service_state.hpp
+++ b/src/control/duty_service_state.hpp
@@ -24,7 +24,7 @@
 namespace beechpoint::control {
 
 /// What it sees of the replica at one moment.
-struct DutyReplica {
+struct DutyReplicaState {
     bool fresh = false;                  ///< in the newest view known, confirmed by a majority
     replica::View view;                  ///< the newest known
     std::shared_ptr<const Table> table;  ///< committed; null while no replica is open
@@ -52,10 +52,10 @@
 class DutyServiceState {
 public:
     struct Settings {
-        std::string member;        ///< this member's name
-        Millis usageWindow = 0;    ///< 0: usage is not reported
-        Millis usageLate = 0;      ///< a report is due so long after its window's end
-        Millis takeoverDelay = 0;  ///< before a member that becomes a holder acts
+        std::string member;              ///< this member's name
+        Millis usageWindow = 0;          ///< 0: usage is not reported
+        Millis usageReportDeadline = 0;  ///< a report is due so long after its window's end
+        Millis takeoverDelay = 0;        ///< before a member that becomes a holder acts
         std::uint64_t seed = 0;
     };
 
@@ -64,17 +64,19 @@
     /// A gateway reports its time of day, in milliseconds since 1970.
     void onGatewayTime(Millis now, const std::string& gateway, Millis unixTime);
     /// A gateway's counts.
-    [[nodiscard]] UsageReply onUsage(Millis now, const DutyReplica& replica, const UsageMessage& message);
+    [[nodiscard]] UsageReply onUsage(Millis now, const DutyReplicaState& replica,
+                                     const UsageMessage& message);
 
     /// Names and sessions of the gateways that hold a lease.
     using LiveGateways = std::function<std::vector<std::pair<std::string, std::uint64_t>>()>;
     /// To be called every kServiceTick and after the end of an action.
     /// @param ownTime this process's time of day, in milliseconds since 1970
-    [[nodiscard]] std::vector<duties::DutyAction> step(Millis now, Millis ownTime, const DutyReplica& replica,
+    [[nodiscard]] std::vector<duties::DutyAction> step(Millis now, Millis ownTime,
+                                                       const DutyReplicaState& replica,
                                                        const LiveGateways& gateways);
 
     // The ends of actions.
-    [[nodiscard]] std::vector<duties::DutyAction> onProposed(Millis now, const DutyReplica& replica,
+    [[nodiscard]] std::vector<duties::DutyAction> onProposed(Millis now, const DutyReplicaState& replica,
                                                              const duties::Subject& subject,
                                                              std::uint64_t attempt,
                                                              const duties::ProposalResult& answer);
@@ -83,14 +85,14 @@
     void onSettled(Millis now, const duties::Subject& subject, std::uint64_t attempt, bool recorded);
 
     /// Whether the call may leave now: it is under the newest token, and this member is fresh. To be asked right before sending.
-    [[nodiscard]] bool mayCall(const DutyReplica& replica, const duties::CallPlatform& call) const;
+    [[nodiscard]] bool isCallAllowed(const DutyReplicaState& replica, const duties::CallPlatform& call) const;
 
     /// Nothing where usage is not reported, or no member holds the duty.
     [[nodiscard]] std::optional<UsageHolder> usageHolder(const replica::View& view) const;
-    [[nodiscard]] Millis trueTime(Millis now, Millis ownTime) const {
+    [[nodiscard]] Millis estimatedUnixTime(Millis now, Millis ownTime) const {
         return trueTime_.estimate(now, ownTime);
     }
-    [[nodiscard]] std::vector<DutyStatus> status(const DutyReplica& replica) const;
+    [[nodiscard]] std::vector<DutyStatus> status(const DutyReplicaState& replica) const;
 
     /// Nothing new is begun; what is under way is finished.
     void drain() { draining_ = true; }
@@ -102,14 +104,15 @@
         std::uint64_t epoch = 0;                     // of the view when that was last looked at
     };
 
-    [[nodiscard]] duties::DutyContext situationOf(Millis now, const DutyReplica& replica, Held& held) const;
-    [[nodiscard]] bool holds(const DutyReplica& replica, const duties::Subject& subject) const;
+    [[nodiscard]] duties::DutyContext situationOf(Millis now, const DutyReplicaState& replica,
+                                                  Held& held) const;
+    [[nodiscard]] bool holds(const DutyReplicaState& replica, const duties::Subject& subject) const;
     [[nodiscard]] std::optional<duties::DutyWork> usageWork(Millis now, Millis ownTime,
                                                             const duties::DutyRunner& runner,
-                                                            const DutyReplica& replica,
+                                                            const DutyReplicaState& replica,
                                                             const LiveGateways& gateways) const;
-    void followTerm(Millis now, const DutyReplica& replica);
-    void forgetRecordedUsage(const DutyReplica& replica);
+    void followTerm(Millis now, const DutyReplicaState& replica);
+    void forgetRecordedUsage(const DutyReplicaState& replica);
     [[nodiscard]] Held* find(const duties::Subject& subject);
 
     Settings settings_;
--- a/src/control/gateway_count_monitor.cpp
+++ b/src/control/gateway_count_monitor.cpp
@@ -8,26 +8,26 @@
 
 }  // namespace
 
-void GatewayCountMonitor::observe(Millis now, std::optional<std::uint32_t> largestLive) {
-    if (!largestLive) {
+void GatewayCountMonitor::observe(Millis now, std::optional<std::uint32_t> maxLiveGateways) {
+    if (!maxLiveGateways) {
         announced_.reset();
         return;
     }
-    if (announced_ && *largestLive < *announced_) announced_ = largestLive;
-    if (isSignificant(*largestLive) && !announceAt_) announceAt_ = now + kCountWindow;
+    if (announced_ && *maxLiveGateways < *announced_) announced_ = maxLiveGateways;
+    if (isSignificant(*maxLiveGateways) && !announceAt_) announceAt_ = now + kCountWindow;
 }
 
-bool GatewayCountMonitor::shouldAnnounce(Millis now, std::optional<std::uint32_t> largestLive) {
+bool GatewayCountMonitor::shouldAnnounce(Millis now, std::optional<std::uint32_t> maxLiveGateways) {
     if (!announceAt_ || now < *announceAt_) return false;
     announceAt_.reset();
     // The count may have fallen again within the window.
-    if (!largestLive || !isSignificant(*largestLive)) return false;
-    announced_ = largestLive;
+    if (!maxLiveGateways || !isSignificant(*maxLiveGateways)) return false;
+    announced_ = maxLiveGateways;
     return true;
 }
 
-bool GatewayCountMonitor::isSignificant(std::uint32_t largestLive) const {
-    return !announced_ || largestLive > *announced_ + *announced_ / kSignificantFraction;
+bool GatewayCountMonitor::isSignificant(std::uint32_t maxLiveGateways) const {
+    return !announced_ || maxLiveGateways > *announced_ + *announced_ / kSignificantFraction;
 }
 
 }  // namespace beechpoint::control
--- a/src/control/gateway_count_monitor.hpp
+++ b/src/control/gateway_count_monitor.hpp
@@ -17,14 +17,14 @@
 class GatewayCountMonitor {
 public:
     /// A new value of LeaseTable::peakLiveCount().
-    /// @param largestLive nothing: the count is not known at the moment
-    void observe(Millis now, std::optional<std::uint32_t> largestLive);
+    /// @param maxLiveGateways nothing: the count is not known at the moment
+    void observe(Millis now, std::optional<std::uint32_t> maxLiveGateways);
 
     /// Whether all long polls are to be answered now with the new count. True once for each announcement.
-    [[nodiscard]] bool shouldAnnounce(Millis now, std::optional<std::uint32_t> largestLive);
+    [[nodiscard]] bool shouldAnnounce(Millis now, std::optional<std::uint32_t> maxLiveGateways);
 
 private:
-    [[nodiscard]] bool isSignificant(std::uint32_t largestLive) const;
+    [[nodiscard]] bool isSignificant(std::uint32_t maxLiveGateways) const;
 
     std::optional<std::uint32_t> announced_;  // nothing: not known when last observed, or none announced yet
     std::optional<Millis> announceAt_;        // end of the window that runs
--- a/src/control/gateway_service.cpp
+++ b/src/control/gateway_service.cpp
@@ -22,7 +22,7 @@
           driver_(driver),
           client_(client),
           hostList_(io, clock, logger, std::move(settings.poller), settings.seed,
-                    [this](const auto& list, Millis confirmedAt, bool) { onHosts(list, confirmedAt); }),
+                    [this](const auto& list, Millis confirmedAt, bool) { onHostList(list, confirmedAt); }),
           state_(settings.leases, clock.now(), hostList_),
           onGateways_(std::move(onGateways)),
           completeReply_(std::move(completeReply)) {}
@@ -45,13 +45,13 @@
         perform(std::move(actions));
     }
 
-    void onTableMoved() { perform(state_.onTableMoved(clock_.now(), table())); }
-    void onView() { state_.onView(clock_.now(), table()); }
+    void onTableChanged() { perform(state_.onTableChanged(clock_.now(), table())); }
+    void onViewChanged() { state_.onViewChanged(clock_.now(), table()); }
     void tick() { perform(state_.tick(clock_.now(), table())); }
     void drain() { perform(state_.drain()); }
 
     std::vector<leases::Gateway> liveGateways() const { return state_.leases().liveGateways(clock_.now()); }
-    bool readsHosts() const { return state_.hosts().reads(); }
+    bool readsHostList() const { return state_.hosts().reads(); }
     std::size_t pendingLongPolls() const { return state_.pendingLongPolls(); }
     bool waitsForFreshness() const { return state_.waitsForFreshness(); }
 
@@ -61,7 +61,7 @@
         status.leases = state_.leases().liveLeases(now);
         status.leaseLength = state_.leaseMs();
         if (hosts.list()) status.hostList = HostListStatus{hosts.list()->hosts.size(), *hosts.age(now)};
-        status.readsHosts = readsHosts();
+        status.readsHostList = readsHostList();
         status.pendingLongPolls = pendingLongPolls();
     }
 
@@ -99,8 +99,8 @@
         state_.onPeerUpdateReply(member, answer);
     }
 
-    void onHosts(const std::shared_ptr<const host_discovery::HostList>& list, Millis confirmedAt) {
-        perform(state_.onHosts(clock_.now(), table(), list, confirmedAt));
+    void onHostList(const std::shared_ptr<const host_discovery::HostList>& list, Millis confirmedAt) {
+        perform(state_.onHostList(clock_.now(), table(), list, confirmedAt));
     }
 
     const Clock& clock_;
@@ -131,13 +131,13 @@
 void GatewayService::onPeerUpdate(const PeerUpdate& peerUpdate, rpc::Reply reply) {
     impl_->onPeerUpdate(peerUpdate, std::move(reply));
 }
-void GatewayService::onTableMoved() { impl_->onTableMoved(); }
-void GatewayService::onView() { impl_->onView(); }
+void GatewayService::onTableChanged() { impl_->onTableChanged(); }
+void GatewayService::onViewChanged() { impl_->onViewChanged(); }
 void GatewayService::tick() { impl_->tick(); }
 void GatewayService::drain() { impl_->drain(); }
 std::vector<leases::Gateway> GatewayService::liveGateways() const { return impl_->liveGateways(); }
 bool GatewayService::waitsForFreshness() const { return impl_->waitsForFreshness(); }
-bool GatewayService::readsHosts() const { return impl_->readsHosts(); }
+bool GatewayService::readsHostList() const { return impl_->readsHostList(); }
 std::size_t GatewayService::pendingLongPolls() const { return impl_->pendingLongPolls(); }
 void GatewayService::describe(MemberStatus& status) const { impl_->describe(status); }
 
--- a/src/control/gateway_service.hpp
+++ b/src/control/gateway_service.hpp
@@ -53,9 +53,9 @@
     /// Another member's update; `reply` is sent at once.
     void onPeerUpdate(const PeerUpdate& peerUpdate, rpc::Reply reply);
     /// The replica's committed table has a new position.
-    void onTableMoved();
+    void onTableChanged();
     /// The replica has another view.
-    void onView();
+    void onViewChanged();
     /// To be called every kServiceTick, more often while waitsForFreshness().
     void tick();
     /// Graceful shutdown: all long polls now, and later polls at once, are answered with notFresh, so that gateways ask another member.
@@ -66,7 +66,7 @@
     /// Whether a poll waits for the table to become fresh.
     [[nodiscard]] bool waitsForFreshness() const;
     /// Whether this member has the role of reading the host list.
-    [[nodiscard]] bool readsHosts() const;
+    [[nodiscard]] bool readsHostList() const;
     [[nodiscard]] std::size_t pendingLongPolls() const;
     /// Fills in its part of the member's status: leases, host list, long polls.
     void describe(MemberStatus& status) const;
--- a/src/control/gateway_service_state.cpp
+++ b/src/control/gateway_service_state.cpp
@@ -33,12 +33,12 @@
         return actions;
     }
     if (isOfOtherCluster(table, request.clusterId)) {
-        refuse(nullptr, ticket, PollStatus::otherCluster, actions);
+        refuse(nullptr, ticket, PollStatus::clusterMismatch, actions);
         return actions;
     }
     const Renewal renewal = renewLease(now, request.gateway);
     if (renewal == Renewal::refused) {
-        refuse(table, ticket, PollStatus::full, actions);
+        refuse(table, ticket, PollStatus::leaseTableFull, actions);
         return actions;
     }
     if (renewal == Renewal::changed) {
@@ -76,13 +76,13 @@
     peerUpdates_.onReply(member, reply);
 }
 
-ServiceActions GatewayServiceState::onTableMoved(Millis now, const CommittedTableSource* table) {
+ServiceActions GatewayServiceState::onTableChanged(Millis now, const CommittedTableSource* table) {
     ServiceActions actions;
     answerAnswerable(now, table, 0, actions);
     return actions;
 }
 
-void GatewayServiceState::onView(Millis now, const CommittedTableSource* table) {
+void GatewayServiceState::onViewChanged(Millis now, const CommittedTableSource* table) {
     const auto isMember = [&](const std::string& name) { return table && table->view().find(name); };
     peerUpdates_.forgetMembersExcept(isMember);
     hosts_.forgetMembersExcept(isMember);
@@ -90,9 +90,9 @@
     peerUpdates_.requestUpdate();
 }
 
-ServiceActions GatewayServiceState::onHosts(Millis now, const CommittedTableSource* table,
-                                            std::shared_ptr<const host_discovery::HostList> list,
-                                            Millis confirmedAt) {
+ServiceActions GatewayServiceState::onHostList(Millis now, const CommittedTableSource* table,
+                                               std::shared_ptr<const host_discovery::HostList> list,
+                                               Millis confirmedAt) {
     ServiceActions actions;
     if (!hosts_.offer(now, std::move(list), confirmedAt)) return actions;
     if (hosts_.reads()) actions.peerUpdates = peerUpdates_.updateAll(now, table);
@@ -103,10 +103,10 @@
 ServiceActions GatewayServiceState::tick(Millis now, const CommittedTableSource* table) {
     ServiceActions actions;
     leases_.advanceTo(now);
-    const auto largestLive = leases_.peakLiveCount(now);
-    count_.observe(now, largestLive);
+    const auto maxLiveGateways = leases_.peakLiveCount(now);
+    count_.observe(now, maxLiveGateways);
     updateReaderRole(now, table);
-    if (count_.shouldAnnounce(now, largestLive)) answerAll(now, table, polls_.takeAll(), actions);
+    if (count_.shouldAnnounce(now, maxLiveGateways)) answerAll(now, table, polls_.takeAll(), actions);
     answerAnswerable(now, table, kServiceTick, actions);
     actions.peerUpdates = peerUpdates_.onTick(now, table);
     return actions;
--- a/src/control/gateway_service_state.hpp
+++ b/src/control/gateway_service_state.hpp
@@ -13,9 +13,9 @@
 ///   event                  | long polls answered                        | peer updates
 ///   onPoll                 | the gateway's earlier one, with no update  | soon, where the gateway is new or differs for clients
 ///   onPeerUpdate           | where it brought another host list         | -
-///   onTableMoved           | those of an older position                 | -
-///   onHosts (new list)     | those of another list                      | at once, where this member reads the list
-///   onView                 | -                                          | at the next tick
+///   onTableChanged         | those of an older position                 | -
+///   onHostList (new list)  | those of another list                      | at once, where this member reads the list
+///   onViewChanged          | -                                          | at the next tick
 ///   tick                   | at the end of their wait; count increased  | by the interval, or where requested
 ///   drain                  | all, with notFresh                         | -
 #pragma once
@@ -52,7 +52,7 @@
 
 class GatewayServiceState {
 public:
-    /// @param source must outlive it; what it reads is to be handed to onHosts()
+    /// @param source must outlive it; what it reads is to be handed to onHostList()
     GatewayServiceState(leases::LeaseTable::Settings settings, Millis now, HostListSource& source);
     // Its parts refer to one another.
     GatewayServiceState(const GatewayServiceState&) = delete;
@@ -67,13 +67,13 @@
     /// The end of a PeerUpdateCall. Nothing: no reply in time, or none that can be read.
     void onPeerUpdateReply(const std::string& member, const std::optional<PeerUpdateReply>& reply);
     /// The committed table has a new position.
-    [[nodiscard]] ServiceActions onTableMoved(Millis now, const CommittedTableSource* table);
+    [[nodiscard]] ServiceActions onTableChanged(Millis now, const CommittedTableSource* table);
     /// The replica has another view.
-    void onView(Millis now, const CommittedTableSource* table);
+    void onViewChanged(Millis now, const CommittedTableSource* table);
     /// The source has read a list, or confirmed the one it had at `confirmedAt`.
-    [[nodiscard]] ServiceActions onHosts(Millis now, const CommittedTableSource* table,
-                                         std::shared_ptr<const host_discovery::HostList> list,
-                                         Millis confirmedAt);
+    [[nodiscard]] ServiceActions onHostList(Millis now, const CommittedTableSource* table,
+                                            std::shared_ptr<const host_discovery::HostList> list,
+                                            Millis confirmedAt);
     /// To be called every kServiceTick.
     [[nodiscard]] ServiceActions tick(Millis now, const CommittedTableSource* table);
     /// Graceful shutdown: all long polls now, and later polls at once, are answered with notFresh, so that gateways ask another member.
--- a/src/control/host_list_distributor.cpp
+++ b/src/control/host_list_distributor.cpp
@@ -67,7 +67,7 @@
     peerUpdate.hostListVersion = version();
     peerUpdate.hostListAge = age(now);
     const bool isConfirmed = peerUpdate.hostListAge && *peerUpdate.hostListAge < kReaderReportExpiry;
-    peerUpdate.readsHosts = role_.reads() && role_.succeeds() && isConfirmed;
+    peerUpdate.readsHostList = role_.reads() && role_.succeeds() && isConfirmed;
 }
 
 bool HostListDistributor::needsUpdate(Millis now, const host_discovery::HostListVersion& held) const {
--- a/src/control/host_list_reader_role.cpp
+++ b/src/control/host_list_reader_role.cpp
@@ -38,7 +38,7 @@
 }
 
 void HostListReaderRole::onPeerUpdate(Millis now, const PeerUpdate& peerUpdate) {
-    if (peerUpdate.readsHosts) reportedReadingAt_[peerUpdate.member] = now;
+    if (peerUpdate.readsHostList) reportedReadingAt_[peerUpdate.member] = now;
     // Two readers under one fencing token: the number goes on from the higher one.
     if (peerUpdate.hostListVersion.fencingToken == fencingToken_)
         source_.raiseNumber(peerUpdate.hostListVersion.number);
--- a/src/control/poll_responder.cpp
+++ b/src/control/poll_responder.cpp
@@ -96,10 +96,10 @@
 void PollResponder::addSmallState(Millis now, const CommittedTableSource& table, const PollRequest& request,
                                   PollReply& reply) {
     addDirectory(now, request, reply);
-    reply.liveGateways = leases_.liveCount(now);
-    reply.largestLive = leases_.peakLiveCount(now);
+    reply.liveGatewayCount = leases_.liveCount(now);
+    reply.maxLiveGateways = leases_.peakLiveCount(now);
     addMembers(table, reply);
-    if (request.wantsLoad) reply.othersLoad = leases_.loadOfOthers(now, request.gateway.name);
+    if (request.requestsLoad) reply.otherGatewaysLoad = leases_.loadOfOthers(now, request.gateway.name);
     reply.leaseMs = leaseMs_;
     addIdentity(table, reply);
 }
--- a/src/control/replica_codec.cpp
+++ b/src/control/replica_codec.cpp
@@ -117,7 +117,7 @@
     static auto of(auto& message) { return std::tie(message.from, message.epoch, message.body); }
 };
 template <>
-struct Fields<FoundedView> {
+struct Fields<StoredView> {
     static auto of(auto& view) { return std::tie(view.founders, view.view); }
 };
 
@@ -181,8 +181,8 @@
     return messages;
 }
 
-std::string encodeView(const FoundedView& view) { return rpc::pack(view); }
-Result<FoundedView> decodeView(std::string_view bytes) { return rpc::unpack<FoundedView>(bytes); }
+std::string encodeView(const StoredView& view) { return rpc::pack(view); }
+Result<StoredView> decodeView(std::string_view bytes) { return rpc::unpack<StoredView>(bytes); }
 std::string encodeVote(const replica::Vote& vote) { return rpc::pack(vote); }
 Result<replica::Vote> decodeVote(std::string_view bytes) { return rpc::unpack<replica::Vote>(bytes); }
 
--- a/src/control/replica_codec.hpp
+++ b/src/control/replica_codec.hpp
@@ -21,13 +21,13 @@
 [[nodiscard]] Result<std::vector<replica::Message>> decodeMessages(std::string_view bytes);
 
 /// The view as the store keeps it, with the founders.
-struct FoundedView {
+struct StoredView {
     std::vector<std::string> founders;  ///< control addresses, sorted (replica::ControlRecord)
     replica::View view;
 };
 /// Decoding errors (invalid): bytes that are no such record.
-[[nodiscard]] std::string encodeView(const FoundedView& view);
-[[nodiscard]] Result<FoundedView> decodeView(std::string_view bytes);
+[[nodiscard]] std::string encodeView(const StoredView& view);
+[[nodiscard]] Result<StoredView> decodeView(std::string_view bytes);
 [[nodiscard]] std::string encodeVote(const replica::Vote& vote);
 [[nodiscard]] Result<replica::Vote> decodeVote(std::string_view bytes);
 
--- a/src/control/status.cpp
+++ b/src/control/status.cpp
@@ -116,7 +116,7 @@
                     {"evacuated_zones", status.evacuatedZones},
                     {"gateways", gatewaysJson(status)},
                     {"host_list", hostListJson(status.hostList)},
-                    {"reads_hosts", status.readsHosts},
+                    {"reads_hosts", status.readsHostList},
                     {"waiting_polls", status.pendingLongPolls},
                     {"writes_taken", status.committedWrites},
                     {"duties", dutiesJson(status.duties)}};
@@ -149,7 +149,7 @@
                    status.hostList->age / kMillisPerSecond);
     }
     text.gauge("beechpoint_control_reads_hosts", "1 while this member reads the platform's list.",
-               number(status.readsHosts));
+               number(status.readsHostList));
     text.gauge("beechpoint_control_waiting_polls", "Polls of gateways that wait for news.",
                number(status.pendingLongPolls));
     text.counter("beechpoint_control_writes_taken_total", "Operators' writes that this process committed.",
--- a/src/control/status.hpp
+++ b/src/control/status.hpp
@@ -44,7 +44,7 @@
     std::vector<leases::ReportedLease> leases;  ///< those that run
     Millis leaseLength = 0;
     std::optional<HostListStatus> hostList;  ///< nothing: none is known
-    bool readsHosts = false;
+    bool readsHostList = false;
     std::size_t pendingLongPolls = 0;
     std::uint64_t committedWrites = 0;  ///< operators' writes that this process committed
     std::vector<DutyStatus> duties;
--- a/src/control_messages/message_fields.hpp
+++ b/src/control_messages/message_fields.hpp
@@ -84,7 +84,7 @@
 struct Fields<PollRequest> {
     static auto of(auto& request) {
         return std::tie(request.gateway, request.position, request.hostList, request.waitMs,
-                        request.wantsLoad, request.directoryDigest, request.acceptsHostChanges,
+                        request.requestsLoad, request.directoryDigest, request.acceptsHostChanges,
                         request.acceptsPackedState, request.clusterId, request.acceptsChunks,
                         request.transferDigest, request.transferOffset, request.unixTime);
     }
@@ -97,12 +97,12 @@
 struct Fields<PollReply> {
     static auto of(auto& reply) {
         return std::tie(reply.status, reply.packedTable, reply.hostList, reply.hostListVersion,
-                        reply.hostListAge, reply.liveGateways, reply.largestLive, reply.members,
-                        reply.othersLoad, reply.leaseMs, reply.directoryDigest, reply.directory,
+                        reply.hostListAge, reply.liveGatewayCount, reply.maxLiveGateways, reply.members,
+                        reply.otherGatewaysLoad, reply.leaseMs, reply.directoryDigest, reply.directory,
                         reply.hostChanges, reply.packedHostList, reply.packedHostChanges,
                         reply.packedDirectory, reply.hostListReadAge, reply.retryAfterMs, reply.memberRegions,
                         reply.clusterId, reply.memberIncarnation, reply.transferDigest, reply.transferOffset,
-                        reply.transferSize, reply.trueTime, reply.usageAddress, reply.usageTerm);
+                        reply.transferSize, reply.estimatedUnixTime, reply.usageAddress, reply.usageTerm);
     }
 };
 template <>
@@ -114,7 +114,7 @@
     static auto of(auto& peerUpdate) {
         return std::tie(peerUpdate.member, peerUpdate.session, peerUpdate.epoch, peerUpdate.leases,
                         peerUpdate.hostListVersion, peerUpdate.hostListAge, peerUpdate.hostList,
-                        peerUpdate.readsHosts, peerUpdate.renewals, peerUpdate.packedHostList,
+                        peerUpdate.readsHostList, peerUpdate.renewals, peerUpdate.packedHostList,
                         peerUpdate.packedHostChanges, peerUpdate.hostListReadAge, peerUpdate.clusterId);
     }
 };
@@ -181,7 +181,7 @@
 };
 template <>
 struct EnumBounds<PollStatus> {
-    static constexpr auto kLast = static_cast<std::uint8_t>(PollStatus::otherCluster);
+    static constexpr auto kLast = static_cast<std::uint8_t>(PollStatus::clusterMismatch);
 };
 
 }  // namespace beechpoint::control
--- a/src/control_messages/messages.hpp
+++ b/src/control_messages/messages.hpp
@@ -6,22 +6,24 @@
 /// missing and ignores those that it does not know.
 ///
 ///   kind             request          sender          reply             fields in order
-///   1 poll           PollRequest      gateway         PollReply         request: gateway, position, hostList, waitMs, wantsLoad,
-///                                                                         directoryDigest, acceptsHostChanges, acceptsPackedState,
+///   1 poll           PollRequest      gateway         PollReply         request: gateway, position, hostList, waitMs,
+///                                                                         requestsLoad, directoryDigest,
+///                                                                         acceptsHostChanges, acceptsPackedState,
 ///                                                                         clusterId, acceptsChunks, transferDigest, transferOffset,
 ///                                                                         unixTime
 ///                                                                       reply: status, packedTable, hostList, hostListVersion,
-///                                                                         hostListAge, liveGateways, largestLive, members, othersLoad,
+///                                                                         hostListAge, liveGatewayCount, maxLiveGateways,
+///                                                                         members, otherGatewaysLoad,
 ///                                                                         leaseMs, directoryDigest, directory, hostChanges,
 ///                                                                         packedHostList, packedHostChanges, packedDirectory,
 ///                                                                         hostListReadAge, retryAfterMs, memberRegions,
 ///                                                                         clusterId, memberIncarnation, transferDigest,
-///                                                                         transferOffset, transferSize, trueTime,
-///                                                                         usageAddress, usageTerm
+///                                                                         transferOffset, transferSize,
+///                                                                         estimatedUnixTime, usageAddress, usageTerm
 ///   2 replica        replica::Message control member  those that answer at once, if any (replica_codec.hpp)
 ///   3 peerUpdate     PeerUpdate       control member  PeerUpdateReply   request: member, session, epoch, leases, hostListVersion,
-///                                                                         hostListAge, hostList, readsHosts, renewals, packedHostList,
-///                                                                         packedHostChanges, hostListReadAge, clusterId
+///                                                                         hostListAge, hostList, readsHostList, renewals,
+///                                                                         packedHostList, packedHostChanges, hostListReadAge, clusterId
 ///                                                                       reply: hostListVersion, acceptsIncrements, unknownLeases
 ///   4 usage          UsageMessage     gateway         UsageReply        request: report, term, unixTime,
 ///                                                                         clusterId
@@ -79,7 +81,7 @@
     Position position;                         ///< of the table that it has; {0, 0}: none
     host_discovery::HostListVersion hostList;  ///< of the list that it has; {0, 0, 0}: none
     Millis waitMs = 0;                         ///< at most; the member bounds it by kMaxPollWait
-    bool wantsLoad = false;                    ///< send the other gateways' load by host
+    bool requestsLoad = false;                 ///< send the other gateways' load by host
     std::uint64_t directoryDigest = 0;         ///< of the directory that it has; 0: none
     bool acceptsHostChanges = false;           ///< understands PollReply::hostChanges; earlier versions don't
     bool acceptsPackedState =
@@ -100,8 +102,8 @@
 enum class PollStatus : std::uint8_t {
     ok = 0,
     notFresh = 1,  ///< the member's table may be stale: ask another member; only the members may be filled in
-    full = 2,      ///< the member's lease table has no room for this gateway; likewise
-    otherCluster = 3,  ///< the poll names another cluster than the member's; no other field is filled in
+    leaseTableFull = 2,   ///< the member's lease table has no room for this gateway; likewise
+    clusterMismatch = 3,  ///< the poll names another cluster than the member's; no other field is filled in
 };
 
 /// The platform's host list, with the age of its reading when it was sent; the receiver subtracts that from its own clock.
@@ -129,12 +131,14 @@
     std::optional<HostListSnapshot> hostList;         ///< where another one than PollRequest::hostList
     host_discovery::HostListVersion hostListVersion;  ///< the member's
     std::optional<Millis> hostListAge;  ///< since it was last read or confirmed; nothing: no list known
-    std::optional<std::uint32_t> liveGateways;  ///< with a lease; nothing: not known now, keep the last count
-    std::optional<std::uint32_t> largestLive;   ///< largest such count in the lease table's window; likewise
+    std::optional<std::uint32_t>
+        liveGatewayCount;  ///< with a lease; nothing: not known now, keep the last count
+    std::optional<std::uint32_t>
+        maxLiveGateways;               ///< largest such count in the lease table's window; likewise
     std::vector<std::string> members;  ///< internal addresses (IP:PORT) of the members, this one first
-    std::vector<leases::InstanceLoad> othersLoad;  ///< where PollRequest::wantsLoad
-    Millis leaseMs = 0;                            ///< counted by the gateway from when it sent the poll
-    std::uint64_t directoryDigest = 0;             ///< of the gateways in this gateway's directory
+    std::vector<leases::InstanceLoad> otherGatewaysLoad;  ///< where PollRequest::requestsLoad
+    Millis leaseMs = 0;                 ///< counted by the gateway from when it sent the poll
+    std::uint64_t directoryDigest = 0;  ///< of the gateways in this gateway's directory
     std::optional<std::vector<leases::Gateway>> directory;  ///< those, without load, where the digest differs
     std::optional<HostListDelta> hostChanges;               ///< in place of hostList, where few hosts differ
     std::string packedHostList;
@@ -148,7 +152,7 @@
     std::uint64_t transferDigest = 0;  ///< XXH3-64 of the complete packed table of which this is a chunk
     std::uint64_t transferOffset = 0;  ///< of packedTable's bytes in it
     std::uint64_t transferSize = 0;    ///< its bytes; 0: packedTable is complete
-    Millis trueTime = 0;               ///< estimated, since 1970; 0: not known
+    Millis estimatedUnixTime = 0;      ///< estimated, since 1970; 0: not known
     std::string usageAddress;          ///< internal address of the usage duty's holder; empty: none
     std::uint64_t usageTerm = 0;       ///< epoch of the view that made it the holder
 };
@@ -162,7 +166,7 @@
     host_discovery::HostListVersion hostListVersion;
     std::optional<Millis> hostListAge;         ///< since it was last read or confirmed
     std::optional<HostListSnapshot> hostList;  ///< where the receiver has not acknowledged it
-    bool readsHosts = false;                   ///< the sender reads the platform's list, with success
+    bool readsHostList = false;                ///< the sender reads the platform's list, with success
     std::vector<leases::Renewal> renewals;     ///< of leases that the receiver knows
     std::string packedHostList;                ///< where the receiver acceptsIncrements
     std::string packedHostChanges;             ///< likewise
--- a/src/directory/directory_service.hpp
+++ b/src/directory/directory_service.hpp
@@ -40,7 +40,7 @@
     void answerPending();
     /// Graceful shutdown: the waiting requests are answered, and later ones do not wait.
     void drain();
-    void ttl(double seconds) { ttlSeconds_ = seconds; }
+    void setTtl(double seconds) { ttlSeconds_ = seconds; }
 
 private:
     struct PendingRequest {
--- a/src/gateway/control_link_state.cpp
+++ b/src/gateway/control_link_state.cpp
@@ -73,7 +73,7 @@
 
 ReplyVerdict ControlLinkState::onReply(Millis now, std::uint64_t number, const control::PollReply& reply) {
     const bool isOther = clusterId_ != 0 && reply.clusterId != 0 && reply.clusterId != clusterId_;
-    if (isOther || reply.status == control::PollStatus::otherCluster) {
+    if (isOther || reply.status == control::PollStatus::clusterMismatch) {
         onFailure(now, number);
         return ReplyVerdict::otherCluster;
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -210,7 +210,7 @@
 
 void Gateway::updateLiveGateways(const control::PollReply& reply) {
     const Millis now = clock_.now();
-    const auto live = reply.largestLive ? reply.largestLive : reply.liveGateways;
+    const auto live = reply.maxLiveGateways ? reply.maxLiveGateways : reply.liveGatewayCount;
     if (live && *live > 0) {
         liveGateways_ = *live;
         liveGatewaysAt_ = now;
--- a/src/gateway/usage_report_state.cpp
+++ b/src/gateway/usage_report_state.cpp
@@ -17,8 +17,8 @@
 }
 
 void UsageReportState::onPollReply(Millis now, const control::PollReply& reply) {
-    if (reply.trueTime > 0) {
-        offsets_.push_back(reply.trueTime - now);
+    if (reply.estimatedUnixTime > 0) {
+        offsets_.push_back(reply.estimatedUnixTime - now);
         if (offsets_.size() > kTimeSamples) offsets_.pop_front();
     }
     clusterId_ = reply.clusterId;
--- a/tests/control/codec_test.cpp
+++ b/tests/control/codec_test.cpp
@@ -48,7 +48,7 @@
     request.position = {7, 9};
     request.hostList = {1, 2, 3};
     request.waitMs = 1000;
-    request.wantsLoad = true;
+    request.requestsLoad = true;
     request.acceptsHostChanges = true;
     const std::string bytes = encode(request);
     const auto envelope = openEnvelope(bytes);
@@ -60,7 +60,7 @@
     EXPECT_EQ(read.value().position, request.position);
     EXPECT_EQ(read.value().hostList, request.hostList);
     EXPECT_EQ(read.value().waitMs, request.waitMs);
-    EXPECT_TRUE(read.value().wantsLoad);
+    EXPECT_TRUE(read.value().requestsLoad);
     EXPECT_TRUE(read.value().acceptsHostChanges);
 }
 
@@ -70,10 +70,10 @@
     reply.hostList = hostList();
     reply.hostListVersion = {3, 4, 5};
     reply.hostListAge = 1.5;
-    reply.liveGateways = 4;
-    reply.largestLive = 5;
+    reply.liveGatewayCount = 4;
+    reply.maxLiveGateways = 5;
     reply.members = {"10.0.0.1:7000", "10.0.0.2:7000"};
-    reply.othersLoad = {{"i-1", 9}};
+    reply.otherGatewaysLoad = {{"i-1", 9}};
     reply.leaseMs = 3000;
     const auto read = decodePollReply(encode(reply));
     ASSERT_TRUE(read.has_value()) << read.error().text();
@@ -87,10 +87,10 @@
     EXPECT_EQ(read.value().hostList->readAge, 12.5);
     EXPECT_EQ(read.value().hostListVersion, reply.hostListVersion);
     EXPECT_EQ(read.value().hostListAge, reply.hostListAge);
-    EXPECT_EQ(read.value().liveGateways, reply.liveGateways);
-    EXPECT_EQ(read.value().largestLive, reply.largestLive);
+    EXPECT_EQ(read.value().liveGatewayCount, reply.liveGatewayCount);
+    EXPECT_EQ(read.value().maxLiveGateways, reply.maxLiveGateways);
     EXPECT_EQ(read.value().members, reply.members);
-    EXPECT_EQ(read.value().othersLoad, reply.othersLoad);
+    EXPECT_EQ(read.value().otherGatewaysLoad, reply.otherGatewaysLoad);
     EXPECT_EQ(read.value().leaseMs, reply.leaseMs);
 }
 
@@ -150,7 +150,7 @@
     peerUpdate.hostListVersion = {1, 1, 1};
     peerUpdate.hostListAge = 40;
     peerUpdate.hostList = hostList();
-    peerUpdate.readsHosts = true;
+    peerUpdate.readsHostList = true;
     const std::string bytes = encode(peerUpdate);
     const auto envelope = openEnvelope(bytes);
     ASSERT_TRUE(envelope.has_value());
@@ -162,7 +162,7 @@
     EXPECT_EQ(read.value().leases.front().gateway, gateway());
     EXPECT_EQ(read.value().leases.front().age, 250);
     EXPECT_EQ(read.value().hostList->hosts, peerUpdate.hostList->hosts);
-    EXPECT_TRUE(read.value().readsHosts);
+    EXPECT_TRUE(read.value().readsHostList);
     const auto answer = decodePeerUpdateReply(encode(PeerUpdateReply{{1, 2, 3}, true, {7}}));
     ASSERT_TRUE(answer.has_value());
     EXPECT_EQ(answer.value().hostListVersion, (host_discovery::HostListVersion{1, 2, 3}));
--- a/tests/control/control_test.cpp
+++ b/tests/control/control_test.cpp
@@ -207,10 +207,10 @@
         cluster.poll(0, pollOf("g1"));
         cluster.poll(1, pollOf("g2"));
         reply = cluster.poll(2, draining);
-        return reply && reply->liveGateways;
+        return reply && reply->liveGatewayCount;
     }));
-    EXPECT_EQ(reply->liveGateways, 3u);
-    EXPECT_EQ(reply->largestLive, 3u);
+    EXPECT_EQ(reply->liveGatewayCount, 3u);
+    EXPECT_EQ(reply->maxLiveGateways, 3u);
 }
 
 TEST_F(ControlTest, ReadsHostListAtOneMemberAndSendsItToAll) {
@@ -239,7 +239,7 @@
     const auto readers = [&] {
         std::size_t count = 0;
         for (std::size_t member = 0; member < Cluster::kMembers; member++)
-            count += cluster.member(member) && cluster.member(member)->readsHosts() ? 1 : 0;
+            count += cluster.member(member) && cluster.member(member)->readsHostList() ? 1 : 0;
         return count;
     };
     EXPECT_TRUE(cluster.runUntil([&] { return readers() == 1; }));
@@ -253,7 +253,7 @@
     EXPECT_EQ(reply->hostList->hosts.front().state, host_discovery::HostState::draining);
     // The reader is lost: another member takes over the role under a higher fencing token, or confirms the list.
     std::size_t reader = 0;
-    while (!cluster.member(reader)->readsHosts()) reader++;
+    while (!cluster.member(reader)->readsHostList()) reader++;
     cluster.kill(reader);
     const int before = calls;
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(2) && readers() == 1 && calls > before; }));
--- a/tests/control/duty_service_state_test.cpp
+++ b/tests/control/duty_service_state_test.cpp
@@ -18,15 +18,15 @@
 // One member that is alone in the view, or one of two.
 struct DutyServiceStateTest : ::testing::Test {
     DutyServiceState state{settings()};
-    DutyReplica replica = replicaIn(5, {"core-1"});
+    DutyReplicaState replica = replicaIn(5, {"core-1"});
     Millis now = 0;
     DutyServiceState::LiveGateways gateways = [] {
         return std::vector<std::pair<std::string, std::uint64_t>>{{"edge-1", 1}};
     };
 
     static DutyServiceState::Settings settings() { return {"core-1", kWindow, kLate, kDelay, 1}; }
-    static DutyReplica replicaIn(std::uint64_t epoch, const std::vector<std::string>& names) {
-        DutyReplica replica;
+    static DutyReplicaState replicaIn(std::uint64_t epoch, const std::vector<std::string>& names) {
+        DutyReplicaState replica;
         replica.fresh = true;
         replica.view.epoch = epoch;
         for (const std::string& name : names) {
@@ -78,7 +78,7 @@
     const auto actions = state.onProposed(now, replica, kUsage, wanted->attempt, decision);
     ASSERT_EQ(actions.size(), 1U);
     const auto call = std::get<duties::CallPlatform>(actions.front());
-    EXPECT_TRUE(state.mayCall(replica, call));
+    EXPECT_TRUE(state.isCallAllowed(replica, call));
     report(5, 0, now);
     EXPECT_EQ(lastReply.recordedBefore, 0U);
     EXPECT_TRUE(step().empty());
@@ -102,13 +102,13 @@
 TEST_F(DutyServiceStateTest, ACallLeavesOnlyFreshUnderTheNewestTokenByTheHolder) {
     duties::CallPlatform call;
     call.token = 5;
-    EXPECT_TRUE(state.mayCall(replica, call));
+    EXPECT_TRUE(state.isCallAllowed(replica, call));
     replica.fresh = false;
-    EXPECT_FALSE(state.mayCall(replica, call));
+    EXPECT_FALSE(state.isCallAllowed(replica, call));
     replica = replicaIn(6, {"core-1"});
-    EXPECT_FALSE(state.mayCall(replica, call));
+    EXPECT_FALSE(state.isCallAllowed(replica, call));
     replica = replicaIn(5, {"core-2"});
-    EXPECT_FALSE(state.mayCall(replica, call));
+    EXPECT_FALSE(state.isCallAllowed(replica, call));
 }
 
 TEST_F(DutyServiceStateTest, AnotherMembersCountsAndTermsAreNotAccepted) {
--- a/tests/control/gateway_service_state_test.cpp
+++ b/tests/control/gateway_service_state_test.cpp
@@ -85,8 +85,8 @@
         return state.onPoll(now, &table, request, ++tickets);
     }
     ServiceActions tick(Millis now) { return state.tick(now, &table); }
-    ServiceActions onHosts(Millis now, std::shared_ptr<const host_discovery::HostList> list) {
-        return state.onHosts(now, &table, std::move(list), now);
+    ServiceActions onHostList(Millis now, std::shared_ptr<const host_discovery::HostList> list) {
+        return state.onHostList(now, &table, std::move(list), now);
     }
 };
 
@@ -125,7 +125,7 @@
     host_discovery::Host host;
     host.instanceId = incompressible(kLargeReply);
     list->hosts.push_back(host);
-    service.onHosts(5, list);
+    service.onHostList(5, list);
     const auto first = service.poll(10, pollOf("g0", Held::nothing));
     EXPECT_FALSE(first.answers.front().reply.packedTable.empty());
     EXPECT_TRUE(first.answers.front().reply.packedHostList.empty());
@@ -156,7 +156,7 @@
     poll.clusterId = 8;
     const auto refused = service.poll(0, poll);
     ASSERT_EQ(refused.answers.size(), 1u);
-    EXPECT_EQ(refused.answers.front().reply.status, PollStatus::otherCluster);
+    EXPECT_EQ(refused.answers.front().reply.status, PollStatus::clusterMismatch);
     EXPECT_TRUE(refused.answers.front().reply.members.empty());
     EXPECT_TRUE(service.state.leases().liveGateways(1).empty());
     for (const std::uint64_t cluster : {std::uint64_t{7}, std::uint64_t{0}}) {
@@ -213,7 +213,7 @@
         now += kServiceTick;
         const auto actions = service.tick(now);
         for (const PollAnswer& answer : actions.answers)
-            answered += answer.reply.largestLive.value_or(0) == 40;
+            answered += answer.reply.maxLiveGateways.value_or(0) == 40;
     };
     for (std::size_t number = 0; number < 40; ++number)
         EXPECT_TRUE(service.poll(known + static_cast<double>(number), pollOf("g" + std::to_string(number)))
--- a/tests/duties/duty_simulation.cpp
+++ b/tests/duties/duty_simulation.cpp
@@ -33,7 +33,7 @@
 constexpr double kTolerance = 0.05;
 const Subject kUsage{Duty::usage, "", ""};
 
-using control::DutyReplica;
+using control::DutyReplicaState;
 using control::DutyServiceState;
 
 struct MemberProcess {
@@ -120,7 +120,7 @@
         DutyServiceState::Settings settings;
         settings.member = member.name;
         settings.usageWindow = kWindow;
-        settings.usageLate = kLate;
+        settings.usageReportDeadline = kLate;
         settings.takeoverDelay = kLease;
         settings.seed = random_.bits();
         member.state = std::make_unique<DutyServiceState>(std::move(settings));
@@ -143,8 +143,8 @@
         for (MemberProcess& member : members_) all.push_back(&member);
         return all;
     }
-    DutyReplica replicaOf(const MemberProcess& member) const {
-        DutyReplica replica;
+    DutyReplicaState replicaOf(const MemberProcess& member) const {
+        DutyReplicaState replica;
         replica.view = views_[member.view];
         replica.fresh = isIn(member, replica.view) && now_ - member.confirmedAt <= kFreshFor;
         replica.table = versions_[member.version];
@@ -321,7 +321,7 @@
         if (member.callInFlight || member.calls.empty()) return;
         const CallPlatform call = member.calls.front();
         member.calls.pop_front();
-        if (!member.state->mayCall(replicaOf(member), call)) return onCalled(member, call, 0);
+        if (!member.state->isCallAllowed(replicaOf(member), call)) return onCalled(member, call, 0);
         checkNotOutdated(member);
         book_.onSent(call.holder, call.token);
         member.callInFlight = true;
@@ -386,7 +386,8 @@
         if (!runs(member)) return;
         member.state->onGatewayTime(now_, gateway.name, own);
         control::PollReply reply;
-        reply.trueTime = member.state->trueTime(now_, kUnixAtZero + now_ + member.clockOffset);
+        reply.estimatedUnixTime =
+            member.state->estimatedUnixTime(now_, kUnixAtZero + now_ + member.clockOffset);
         if (const auto holder = member.state->usageHolder(views_[member.view])) {
             reply.usageAddress = holder->address;
             reply.usageTerm = holder->term;
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -63,7 +63,7 @@
         if (poll.hostList != answer.hostListVersion)
             answer.hostList = control::HostListSnapshot{answer.hostListVersion, 0, hosts};
         answer.hostListAge = 0;
-        answer.largestLive = 1;
+        answer.maxLiveGateways = 1;
         answer.directoryDigest = 7;
         if (poll.directoryDigest != answer.directoryDigest) answer.directory = directory;
         if (poll.waitMs > 0 && !answer.table && !answer.hostList) {
--- a/tests/golden/control/control_messages_test.cpp
+++ b/tests/golden/control/control_messages_test.cpp
@@ -129,7 +129,7 @@
 
 TEST_F(ControlMessagesTest, PollRequestWithEachFlag) {
     PollRequest request;
-    request.wantsLoad = true;
+    request.requestsLoad = true;
     check("poll_request/wants_load", request);
     request = {};
     request.acceptsHostChanges = true;
@@ -174,10 +174,10 @@
     reply.hostListAge = full.hostListAge;
     check("poll_reply/host_list_age", reply);
     reply = {};
-    reply.liveGateways = full.liveGateways;
+    reply.liveGatewayCount = full.liveGatewayCount;
     check("poll_reply/live_gateways", reply);
     reply = {};
-    reply.largestLive = full.largestLive;
+    reply.maxLiveGateways = full.maxLiveGateways;
     check("poll_reply/largest_live", reply);
     reply = {};
     reply.directory = full.directory;
--- a/tests/golden/control/control_samples.cpp
+++ b/tests/golden/control/control_samples.cpp
@@ -81,7 +81,7 @@
     request.position = {7, 299};
     request.hostList = {3, 1, 5};
     request.waitMs = 1000.5;
-    request.wantsLoad = true;
+    request.requestsLoad = true;
     request.directoryDigest = 0x1122334455667788u;
     request.acceptsHostChanges = true;
     request.acceptsPackedState = true;
@@ -90,15 +90,15 @@
 
 control::PollReply samplePollReply() {
     control::PollReply reply;
-    reply.status = control::PollStatus::full;
+    reply.status = control::PollStatus::leaseTableFull;
     reply.table = sampleTableUpdate(2);
     reply.hostList = sampleSharedList();
     reply.hostListVersion = {3, 4, 5};
     reply.hostListAge = 40.5;
-    reply.liveGateways = 11;
-    reply.largestLive = 12;
+    reply.liveGatewayCount = 11;
+    reply.maxLiveGateways = 12;
     reply.members = {"10.0.2.1:7000", "10.0.2.2:7000"};
-    reply.othersLoad = {{"host-1", 9}, {"host-2", 300}};
+    reply.otherGatewaysLoad = {{"host-1", 9}, {"host-2", 300}};
     reply.leaseMs = 3000;
     reply.directoryDigest = 0x8877665544332211u;
     reply.directory = sampleDirectory(2);
@@ -118,7 +118,7 @@
     peerUpdate.hostListVersion = {3, 4, 5};
     peerUpdate.hostListAge = 40.5;
     peerUpdate.hostList = sampleSharedList();
-    peerUpdate.readsHosts = true;
+    peerUpdate.readsHostList = true;
     peerUpdate.renewals = {{0xA1A2A3A4A5A6A7A8u, 120}, {9, 70'000}};
     peerUpdate.hostListReadAge = 14.5;
     return peerUpdate;
--- a/tests/golden/control/equality.hpp
+++ b/tests/golden/control/equality.hpp
@@ -28,29 +28,29 @@
 inline auto tied(const HostListSnapshot& list) { return std::tie(list.version, list.readAge, list.hosts); }
 inline auto tied(const HostListDelta& shared) { return std::tie(shared.changes, shared.readAge); }
 inline auto tied(const PollRequest& request) {
-    return std::tie(request.gateway, request.position, request.hostList, request.waitMs, request.wantsLoad,
+    return std::tie(request.gateway, request.position, request.hostList, request.waitMs, request.requestsLoad,
                     request.directoryDigest, request.acceptsHostChanges, request.acceptsPackedState,
                     request.clusterId, request.acceptsChunks, request.transferDigest, request.transferOffset);
 }
 inline auto tied(const PollReply& reply) {
     return std::tie(reply.status, reply.table, reply.packedTable, reply.hostList, reply.hostListVersion,
-                    reply.hostListAge, reply.liveGateways, reply.largestLive, reply.members, reply.othersLoad,
-                    reply.leaseMs, reply.directoryDigest, reply.directory, reply.hostChanges,
-                    reply.packedHostList, reply.packedHostChanges, reply.packedDirectory,
+                    reply.hostListAge, reply.liveGatewayCount, reply.maxLiveGateways, reply.members,
+                    reply.otherGatewaysLoad, reply.leaseMs, reply.directoryDigest, reply.directory,
+                    reply.hostChanges, reply.packedHostList, reply.packedHostChanges, reply.packedDirectory,
                     reply.hostListReadAge, reply.retryAfterMs, reply.memberRegions, reply.clusterId,
                     reply.memberIncarnation, reply.transferDigest, reply.transferOffset, reply.transferSize);
 }
 inline auto tied(const PeerUpdate& peerUpdate) {
     return std::tie(peerUpdate.member, peerUpdate.session, peerUpdate.epoch, peerUpdate.leases,
                     peerUpdate.hostListVersion, peerUpdate.hostListAge, peerUpdate.hostList,
-                    peerUpdate.readsHosts, peerUpdate.renewals, peerUpdate.packedHostList,
+                    peerUpdate.readsHostList, peerUpdate.renewals, peerUpdate.packedHostList,
                     peerUpdate.packedHostChanges, peerUpdate.hostListReadAge, peerUpdate.hostChanges,
                     peerUpdate.clusterId);
 }
 inline auto tied(const PeerUpdateReply& reply) {
     return std::tie(reply.hostListVersion, reply.acceptsIncrements, reply.unknownLeases);
 }
-inline auto tied(const FoundedView& view) { return std::tie(view.founders, view.view); }
+inline auto tied(const StoredView& view) { return std::tie(view.founders, view.view); }
 
 template <class T>
 concept Tied = requires(const T& value) {
--- a/tests/golden/control/stored_records_test.cpp
+++ b/tests/golden/control/stored_records_test.cpp
@@ -24,7 +24,7 @@
         EXPECT_EQ(encode(read.value()), bytes) << name;
     }
 
-    void checkView(const std::string& name, const control::FoundedView& view) {
+    void checkView(const std::string& name, const control::StoredView& view) {
         check(name, view, control::encodeView, control::decodeView);
     }
     void checkVote(const std::string& name, const replica::Vote& vote) {
@@ -52,7 +52,7 @@
 TEST_F(StoredRecordsTest, View) {
     checkView("view/full", {sampleFounders(), sampleView()});
     checkView("view/empty", {});
-    control::FoundedView withoutVoters{{}, sampleView()};
+    control::StoredView withoutVoters{{}, sampleView()};
     withoutVoters.view.voters.clear();
     checkView("view/without_voters", withoutVoters);
 }
--- a/tests/recovery/recovery_model.cpp
+++ b/tests/recovery/recovery_model.cpp
@@ -204,7 +204,7 @@
                          [this, index, fencingToken] { onList(index, fencingToken); });
         };
         members_.push_back(std::make_unique<Member>(settings_, view_, index, fullTable_, schedule_, onStart));
-        schedule_.at(0, [this, index] { members_[index]->state.onView(0, &members_[index]->table); });
+        schedule_.at(0, [this, index] { members_[index]->state.onViewChanged(0, &members_[index]->table); });
         tickAfter(index, control::kServiceTick);
     }
 
@@ -323,7 +323,8 @@
         Member& at = *members_[member];
         if (!at.source.running()) return;
         const Millis now = schedule_.now();
-        perform(member, at.state.onHosts(now, &at.table, hostList(settings_.hosts, now, fencingToken), now));
+        perform(member,
+                at.state.onHostList(now, &at.table, hostList(settings_.hosts, now, fencingToken), now));
     }
 
     void tickAfter(std::size_t member, Millis delay) {
--- a/tests/simulation/poll_service.cpp
+++ b/tests/simulation/poll_service.cpp
@@ -46,8 +46,8 @@
         perform(state_.onPoll(port_.now(), &table_, std::move(request.value()), lastTicket_));
     }
 
-    void onTableChanged() override { perform(state_.onTableMoved(port_.now(), &table_)); }
-    void onViewChanged() override { state_.onView(port_.now(), &table_); }
+    void onTableChanged() override { perform(state_.onTableChanged(port_.now(), &table_)); }
+    void onViewChanged() override { state_.onViewChanged(port_.now(), &table_); }
     void tick() override { perform(state_.tick(port_.now(), &table_)); }
     bool waitsForFreshness() const override { return state_.waitsForFreshness(); }
 
