--- a/src/dispatch/action_list.hpp
+++ b/src/dispatch/action_list.hpp
@@ -1,4 +1,4 @@
-/// The actions of one turn of the dispatcher, in order, and the bound on its log lines.
+/// Collects the dispatcher's actions for one event, in order, and rate-limits its log lines.
 #pragma once
 
 #include <map>
@@ -11,10 +11,11 @@
 
 namespace beechpoint::dispatch {
 
-/// Appends to the caller's vector between begin() and end(). act() and log() may only be called between these.
+/// Appends to the caller's vector between begin() and end(). add() and log() may only be called between
+/// these.
 class ActionList {
 public:
-    /// Starts the handling of one event: actions go to `out`, which must live until end().
+    /// Begins one event: actions are appended to `out`, which must live until end().
     void begin(Millis now, std::vector<Action>& out) {
         now_ = now;
         out_ = &out;
@@ -23,15 +24,15 @@
 
     /// Appends an action.
     template <class T>
-    void act(T action) {
+    void add(T action) {
         out_->emplace_back(std::move(action));
     }
-    /// Appends a log line, unless one of its kind was logged within kLogInterval.
+    /// Appends a log line, unless one of the same kind was logged within kLogInterval.
     void log(const char* kind, std::string text) {
-        const auto [entry, first] = loggedAt_.try_emplace(kind, now_);
-        if (!first && now_ - entry->second < kLogInterval) return;
+        const auto [entry, inserted] = lastLoggedAt_.try_emplace(kind, now_);
+        if (!inserted && now_ - entry->second < kLogInterval) return;
         entry->second = now_;
-        act(Log{kind, std::move(text)});
+        add(Log{kind, std::move(text)});
     }
 
 private:
@@ -39,7 +40,7 @@
 
     Millis now_ = 0;
     std::vector<Action>* out_ = nullptr;
-    std::map<std::string, Millis> loggedAt_;
+    std::map<std::string, Millis> lastLoggedAt_;
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/admission.cpp
+++ b/src/dispatch/admission.cpp
@@ -8,40 +8,43 @@
 
 namespace {
 
-constexpr double kFreeUtilization = 0.5;  // below it nothing is rejected; the scores price the wait
-constexpr double kMargin = 1.2;           // on it: the utilization is an estimate
-// Waits that are tolerated, by priority class, in latency targets; the last one for all further classes.
+constexpr double kFreeUtilization = 0.5;    // below it nothing is rejected; host scores include the wait
+constexpr double kUtilizationMargin = 1.2;  // the utilization is an estimate
+// Tolerated wait in latency targets, by priority class; the last value applies to all further classes.
 constexpr std::array<double, 3> kToleratedTargets = {3, 2, 1.5};
-constexpr double kDeadlinePart = 0.6;
-constexpr Millis kEarliestRetry = 300;
-constexpr Millis kLatestRetry = 1000;
-constexpr double kHonouredPart = 0.33;  // of the time left: up to it clients wait as they are advised
-// A request that is pending for longer than a quarter of its latency target without an offer is priced by the operators.
-constexpr double kPendingPart = 0.22;
+constexpr double kMaxWaitDeadlineFraction = 0.6;
+constexpr Millis kMinRetryAfter = 300;
+constexpr Millis kMaxRetryAfter = 1000;
+// Clients follow a Retry-After of up to this fraction of their remaining time.
+constexpr double kHonouredDeadlineFraction = 0.33;
+// Operators penalize requests that are pending without a send for more than a quarter of their latency
+// target.
+constexpr double kPendingTargetFraction = 0.22;
 
 double toleratedTargets(int priorityClass) {
-    const auto rank = std::clamp<std::size_t>(static_cast<std::size_t>(std::max(0, priorityClass)), 0,
-                                              kToleratedTargets.size() - 1);
-    return kToleratedTargets[rank];
+    const auto index = std::clamp<std::size_t>(static_cast<std::size_t>(std::max(0, priorityClass)), 0,
+                                               kToleratedTargets.size() - 1);
+    return kToleratedTargets[index];
 }
 
 }  // namespace
 
 AdmissionDecision admit(const AdmissionForecast& forecast) {
-    if (forecast.utilization < kFreeUtilization * kMargin) return {};
+    if (forecast.utilization < kFreeUtilization * kUtilizationMargin) return {};
     const Millis tolerated = std::min(toleratedTargets(forecast.priorityClass) * forecast.latencyTarget,
-                                      kDeadlinePart * forecast.deadline);
+                                      kMaxWaitDeadlineFraction * forecast.deadline);
     if (forecast.wait <= tolerated) return {};
     return {false, retryAfter(forecast.wait - tolerated, forecast.deadline)};
 }
 
 Millis retryAfter(Millis excess, Millis deadlineLeft) {
-    const Millis soon = std::clamp(excess, kEarliestRetry, kLatestRetry);
-    return std::min(soon, kHonouredPart * std::max(0.0, deadlineLeft));
+    const Millis delay = std::clamp(excess, kMinRetryAfter, kMaxRetryAfter);
+    return std::min(delay, kHonouredDeadlineFraction * std::max(0.0, deadlineLeft));
 }
 
 Millis maxPendingTime(Millis latencyTarget, Millis deadlineLeft) {
-    return std::min(kPendingPart * latencyTarget, kDeadlinePart * std::max(0.0, deadlineLeft));
+    return std::min(kPendingTargetFraction * latencyTarget,
+                    kMaxWaitDeadlineFraction * std::max(0.0, deadlineLeft));
 }
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/admission_forecast.hpp
+++ b/src/dispatch/admission_forecast.hpp
@@ -1,4 +1,4 @@
-/// The figures that admission decides by: the wait to be expected, and how busy the hosts are.
+/// Computes the input of admission control: the expected wait and the utilization of the hosts.
 #pragma once
 
 #include <vector>
@@ -11,8 +11,8 @@
 
 namespace beechpoint::dispatch {
 
-/// For a request at the best of these hosts (indexes of the table). The used capacity is estimated from this gateway's own
-/// attempts, taken for an even part of all gateways'.
+/// Forecast for a request at the best of the `allowed` hosts (indexes in the table). The used capacity is
+/// extrapolated from this gateway's own attempts, on the assumption that all gateways send equally many.
 [[nodiscard]] AdmissionForecast forecast(const Request& request, const HostTable& hosts,
                                          const std::vector<int>& allowed, const RouteRecord& route,
                                          const ServiceState& service, Millis now);
--- a/src/dispatch/attempt_log.hpp
+++ b/src/dispatch/attempt_log.hpp
@@ -1,4 +1,5 @@
-/// The attempts in flight, which outlive their requests, and what their results teach about hosts and routes.
+/// Tracks attempts in flight, which may outlive their requests, and updates host and route statistics from
+/// their results.
 #pragma once
 
 #include <map>
@@ -15,32 +16,35 @@
 
 namespace beechpoint::dispatch {
 
-/// Owns the record of each attempt from its Send to its AttemptEnded. Decides nothing about requests: see AttemptResults.
+/// Owns the record of each attempt from its Send to its AttemptEnded. Decisions about requests are made in
+/// AttemptResults.
 class AttemptLog {
 public:
     AttemptLog(HostTable& hosts, RouteTable& routes, ServiceTable& services, HostHealth& health)
         : hosts_(hosts), routes_(routes), services_(services), health_(health) {}
 
-    /// Attempt `number` of the request is sent to the host (index of the table), which is expected to prefill `tokens`.
-    void sent(const Request& request, int number, int host, double tokens, Millis now);
-    /// Its first event or byte has come. `request`: nullptr where it has ended. False: no such attempt is in flight.
-    [[nodiscard]] bool firstByte(const AttemptFirstByte& first, const Request* request, Millis now);
-    /// It has ended and is forgotten. `request` and the result as above.
-    [[nodiscard]] bool ended(const AttemptEnded& ended, const Request* request, Millis now);
+    /// Attempt `number` of the request is sent to the host (index in the table), which is expected to prefill
+    /// `tokens`.
+    void recordSend(const Request& request, int number, int host, double tokens, Millis now);
+    /// Its first event or byte was received. `request`: nullptr if it has ended. False: no such attempt is in
+    /// flight.
+    [[nodiscard]] bool recordFirstByte(const AttemptFirstByte& first, const Request* request, Millis now);
+    /// The attempt ended; removes its record. `request` and the result as above.
+    [[nodiscard]] bool recordEnd(const AttemptEnded& ended, const Request* request, Millis now);
 
     /// Attempts in flight.
-    [[nodiscard]] std::size_t size() const { return sent_.size(); }
+    [[nodiscard]] std::size_t size() const { return inFlight_.size(); }
 
 private:
-    using Key = std::pair<RequestId, int>;  // request and number of the attempt
+    using Key = std::pair<RequestId, int>;  // request and attempt number
 
-    void learn(SentAttempt& sent, Outcome outcome, bool unusable, Millis now);
+    void updateStatistics(SentAttempt& sent, Outcome outcome, bool unusable, Millis now);
 
     HostTable& hosts_;
     RouteTable& routes_;
     ServiceTable& services_;
     HostHealth& health_;
-    std::map<Key, SentAttempt> sent_;
+    std::map<Key, SentAttempt> inFlight_;
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/attempt_results.cpp
+++ b/src/dispatch/attempt_results.cpp
@@ -10,18 +10,19 @@
 
 bool isSuccess(int status) { return status >= 200 && status < 300; }
 
-// Statuses that promise to a client that nothing has run. Only the gateway itself gives such a promise.
-bool promisesNotRun(int status) { return status == 408 || status == 421 || status == 429 || status == 503; }
+// Statuses by which a client may assume that the request did not run. Only the gateway itself may guarantee
+// that.
+bool impliesNotRun(int status) { return status == 408 || status == 421 || status == 429 || status == 503; }
 
 bool isUnusable(const AttemptHead& head, const Request& request) {
     const bool success = isSuccess(head.status);
     const bool unsealed = success && !head.sealed;
     const bool failure = head.status >= 500 && request.idempotent();
     const bool cannotResume = request.open && !success;
-    return unsealed || promisesNotRun(head.status) || failure || cannotResume;
+    return unsealed || impliesNotRun(head.status) || failure || cannotResume;
 }
 
-// Whether the answer is passed on only later: a stream with its first event, a short answer of an idempotent request
+// Whether the answer is relayed later: a stream with its first event, a short answer to an idempotent request
 // once it is complete, so that the request can still fail over.
 bool isBuffered(const AttemptHead& head, const Request& request) {
     const bool shortAnswer = head.bodyBytes && *head.bodyBytes <= kMaxBufferedBytes;
@@ -37,7 +38,7 @@
     if (!attempt.inFlight || attempt.cancelled || head.rejected) return;
     attempt.status = head.status;
     attempt.unusable = isUnusable(head, *request);
-    if (attempt.unusable || request->open) return;  // a resumed one goes on with its first event
+    if (attempt.unusable || request->open) return;  // a resumed stream continues with its first event
     if (isBuffered(head, *request)) return;
     completion_.relay(*request, head.attempt);
     checks_.schedule(head.id);
@@ -45,7 +46,7 @@
 
 void AttemptResults::handle(const AttemptFirstByte& first) {
     Request* const request = requests_.findWithAttempt(first.id, first.attempt);
-    const bool known = state_.attempts.firstByte(first, request, state_.now);
+    const bool known = state_.attempts.recordFirstByte(first, request, state_.now);
     if (!known || !request) return;
     Attempt& attempt = request->attempt(first.attempt);
     attempt.firstByte = true;
@@ -56,7 +57,7 @@
 
 void AttemptResults::handle(const AttemptEnded& ended) {
     Request* const request = requests_.findWithAttempt(ended.id, ended.attempt);
-    const bool known = state_.attempts.ended(ended, request, state_.now);
+    const bool known = state_.attempts.recordEnd(ended, request, state_.now);
     if (!known || !request) return;
     Attempt& attempt = request->attempt(ended.attempt);
     attempt.inFlight = false;
@@ -79,12 +80,13 @@
         return;
     }
     const bool relayed = request.relayed == ended.attempt;
-    if (!relayed && request.relayed >= 0) return;  // the hedged attempt beside the one that is relayed
+    if (!relayed && request.relayed >= 0) return;  // another attempt's answer is being relayed
     if (relayed && !resumesAfter(request)) return;
     failover_.retry(request, attempt.host);
 }
 
-// The relayed answer ended early: whether the request goes on at another host. It is erased where it does not.
+// The relayed answer ended early. True: the request resumes at another host. False: it was given up and
+// erased.
 bool AttemptResults::resumesAfter(Request& request) {
     request.relayed = kNoAttempt;
     if (!request.resumable()) {
@@ -92,7 +94,7 @@
         return false;
     }
     state_.actions.log("stream resumed",
-                       fmt::format("route {} behind event '{}'", request.arrival.route, request.lastEventId));
+                       fmt::format("route {} after event '{}'", request.arrival.route, request.lastEventId));
     return true;
 }
 
--- a/src/dispatch/attempt_results.hpp
+++ b/src/dispatch/attempt_results.hpp
@@ -1,4 +1,4 @@
-/// What comes back of attempts, and what it means for their requests: relayed, retried, resumed or given up.
+/// Handles the results of attempts: their requests are relayed, retried, resumed or given up.
 #pragma once
 
 #include "dispatch/dispatch_state.hpp"
@@ -9,18 +9,18 @@
 
 namespace beechpoint::dispatch {
 
-/// Events about attempts or requests that are over are normal: they only teach (see AttemptLog).
+/// Events about ended attempts or requests are normal: they only update statistics (see AttemptLog).
 class AttemptResults {
 public:
     AttemptResults(DispatchState& state, RequestTable& requests, Failover& failover,
                    RequestCompletion& completion, RequestChecks& checks)
         : state_(state), requests_(requests), failover_(failover), completion_(completion), checks_(checks) {}
 
-    /// The answer's head: decides whether the answer is usable, and whether it is relayed at once.
+    /// The response head: decides whether the answer is usable and whether it is relayed at once.
     void handle(const AttemptHead& head);
-    /// The first event of a stream, which is relayed from here on; or the first byte of another answer's body.
+    /// The first event of a stream, which starts relaying it, or the first body byte of any other answer.
     void handle(const AttemptFirstByte& first);
-    /// The end: a complete proper answer ends the request; else it fails over.
+    /// The attempt's end: a complete usable answer ends the request; otherwise the request fails over.
     void handle(const AttemptEnded& ended);
 
 private:
--- a/src/dispatch/attempt_sender.cpp
+++ b/src/dispatch/attempt_sender.cpp
@@ -12,13 +12,13 @@
 
 using Scores = std::vector<coordinator::policy::Scored>;
 
-constexpr int kMaxFailedConnects = 4;  // attempts that did not reach a host, beyond the hosts allowed
+constexpr int kMaxFailedConnects = 4;  // attempts that reached no host, in addition to maxAttempts
 constexpr int kMaxPriority = 9;
 
-// The Priority header's value for a class, 0 being the most urgent of both.
+// The Priority header's value for a class. In both, 0 is the most urgent.
 int hostPriority(int priorityClass) { return std::clamp(1 + 2 * priorityClass, 0, kMaxPriority); }
 
-// Seconds to the first event that the score was made of.
+// The host's expected time to the first event, as used in its score.
 double expectedTimeS(const Scores& scores, int host) {
     double expected = 0;
     for (const coordinator::policy::Scored& scored : scores)
@@ -31,8 +31,8 @@
 AttemptSender::AttemptSender(DispatchState& state) : state_(state), hedges_(state.settings.retryWindow) {}
 
 void AttemptSender::requestArrived(const Request& request) {
-    state_.serviceOf(request).budget.requested(state_.now);
-    if (request.idempotent()) hedges_.idempotentArrived(state_.now);
+    state_.serviceOf(request).budget.recordRequest(state_.now);
+    if (request.idempotent()) hedges_.recordIdempotentRequest(state_.now);
 }
 
 std::optional<RejectReason> AttemptSender::forbidden(const Request& request) const {
@@ -45,7 +45,7 @@
     return std::nullopt;
 }
 
-// The budgets are asked first and charged only where both allow the attempt.
+// Both budgets are checked before either is charged.
 std::optional<RejectReason> AttemptSender::spendBudgets(Request& request, ServiceState& service,
                                                         AttemptKind kind) {
     const bool hedged = kind == AttemptKind::hedged;
@@ -70,7 +70,7 @@
     const int number = static_cast<int>(request.attempts.size());
     const bool engine = service.load.engine;
     const double tokens = engine ? state_.selection.tokensToPrefill(request, service, host) : 0;
-    state_.attempts.sent(request, number, host, tokens, state_.now);
+    state_.attempts.recordSend(request, number, host, tokens, state_.now);
 
     Attempt attempt;
     attempt.host = host;
@@ -91,7 +91,7 @@
     action.engine = engine;
     action.resume = request.open;
     if (request.open) action.lastEventId = request.lastEventId;
-    state_.actions.act(std::move(action));
+    state_.actions.add(std::move(action));
     return std::nullopt;
 }
 
--- a/src/dispatch/attempt_sender.hpp
+++ b/src/dispatch/attempt_sender.hpp
@@ -1,4 +1,4 @@
-/// Sends an attempt of a request to a host, within the rules and budgets that bound retries and hedged attempts.
+/// Sends attempts to hosts, within the rules and budgets that limit retries and hedged attempts.
 #pragma once
 
 #include <optional>
@@ -11,21 +11,22 @@
 
 namespace beechpoint::dispatch {
 
-/// Whether an attempt stands alone or beside another one in flight ("hedged request", The Tail at Scale, 2013).
+/// hedged: sent while another attempt of the request is in flight (Dean and Barroso, "The Tail at Scale",
+/// 2013).
 enum class AttemptKind { ordinary, hedged };
 
-/// Owns the gateway's budget of hedged attempts; the retry budgets are the services'.
+/// Owns the gateway's hedge budget; each service has its own retry budget.
 class AttemptSender {
 public:
     explicit AttemptSender(DispatchState& state);
 
-    /// A client's request has come, which earns hedged attempts if it is idempotent.
+    /// A client's request arrived; adds to the retry budget and, if it is idempotent, to the hedge budget.
     void requestArrived(const Request& request);
-    /// The rule that forbids a further attempt of the request, budgets aside; nothing where it may be sent. Keeps the
-    /// invariant that a request that is not idempotent has at most one attempt that may have run.
+    /// The rule, other than a budget, that forbids another attempt; nullopt: it may be sent. Ensures that at
+    /// most one attempt of a non-idempotent request may have run.
     [[nodiscard]] std::optional<RejectReason> forbidden(const Request& request) const;
-    /// Sends it to the host (an index of the host table, one of `scores`). Nothing: it has been sent; else the rule or
-    /// budget that stands against it, and nothing has changed.
+    /// Sends an attempt to the host (an index in the host table, one of `scores`). nullopt: sent; otherwise
+    /// the rule or budget that forbids it, and nothing has changed.
     [[nodiscard]] std::optional<RejectReason> send(Request& request, int host,
                                                    const std::vector<coordinator::policy::Scored>& scores,
                                                    AttemptKind kind);
--- a/src/dispatch/dispatch_state.cpp
+++ b/src/dispatch/dispatch_state.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kCalmPart = 0.25;  // of the latency target: a longer mean time means that everything is slow
+constexpr double kHeadroomFraction = 0.25;  // of the latency target; above it, all hosts are slow
 
 }  // namespace
 
@@ -33,8 +33,8 @@
     return selection.ranked(request, routeOf(request), serviceOf(request), now);
 }
 
-bool DispatchState::isCalm(const Request& request) {
-    return routeOf(request).timeS(now) * 1000 <= kCalmPart * request.arrival.latencyTarget;
+bool DispatchState::hasLatencyHeadroom(const Request& request) {
+    return routeOf(request).timeS(now) * 1000 <= kHeadroomFraction * request.arrival.latencyTarget;
 }
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/dispatch_state.hpp
+++ b/src/dispatch/dispatch_state.hpp
@@ -1,4 +1,5 @@
-/// What the dispatcher's parts have in common: settings, time, randomness, actions and what is known of hosts, routes and services.
+/// State shared by the dispatcher's parts: settings, time, random numbers, actions, hosts, routes and
+/// services.
 #pragma once
 
 #include <cstdint>
@@ -20,8 +21,8 @@
 
 namespace beechpoint::dispatch {
 
-/// Owned by the Dispatcher, which outlives all parts that refer to it. The members refer to one another, hence no copies.
-/// Not thread-safe, like the Dispatcher.
+/// Owned by the Dispatcher and outlives all parts that refer to it. Not copyable, since members refer to one
+/// another. Not thread-safe, like the Dispatcher.
 struct DispatchState {
     DispatchState(Settings settings, std::uint64_t seed, Millis startedAt);
     DispatchState(const DispatchState&) = delete;
@@ -29,7 +30,7 @@
 
     Settings settings;
     SplitMix random;
-    Millis now;  ///< of the event that is being handled; never goes back
+    Millis now;  ///< time of the event being handled; never decreases
     ActionList actions;
     HostTable hosts;
     RouteTable routes;
@@ -42,15 +43,15 @@
     [[nodiscard]] bool isEnabled(Mechanism mechanism) const {
         return settings.mechanisms.isEnabled(mechanism);
     }
-    /// The service that was drawn for the request. Marks it as used now.
+    /// The service drawn for the request. Marks it as used now.
     ServiceState& serviceOf(const Request& request);
-    /// The record of the request's route, with the request's latency target. Marks it as used now.
+    /// The record of the request's route, updated with the request's latency target. Marks it as used now.
     RouteRecord& routeOf(const Request& request);
     /// The hosts that the request may be sent to now, best score first.
     [[nodiscard]] std::vector<coordinator::policy::Scored> ranked(const Request& request);
-    /// Whether the route's answers come well within its latency target. Where all hosts are slow alike, hedged attempts
-    /// would only feed the overload.
-    [[nodiscard]] bool isCalm(const Request& request);
+    /// Whether the route's mean time is well below its latency target. If all hosts are slow, hedged attempts
+    /// would only add to the overload.
+    [[nodiscard]] bool hasLatencyHeadroom(const Request& request);
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -22,19 +22,19 @@
 namespace {
 
 constexpr Millis kPruneInterval = 5000;
-constexpr Millis kRecordAge = 60000;  // what was not used for so long is forgotten
+constexpr Millis kRecordRetention = 60000;  // unused records are removed after this time
 constexpr Millis kNever = std::numeric_limits<double>::infinity();
 
 }  // namespace
 
-/// Owns the parts and hands each event to the one that it concerns.
+/// Owns the parts and passes each event to the part that handles it.
 class Dispatcher::Impl {
 public:
     Impl(Settings settings, std::uint64_t seed, Millis now)
         : state_(std::move(settings), seed, now), prunedAt_(now) {}
 
     void handle(Millis now, const Event& event, std::vector<Action>& out) {
-        state_.services.smoothWaiting(state_.hosts, std::max(0.0, now - state_.now));
+        state_.services.updateMeanWaiting(state_.hosts, std::max(0.0, now - state_.now));
         state_.now = std::max(state_.now, now);
         state_.actions.begin(state_.now, out);
         std::visit([this](const auto& one) { on(one); }, event);
@@ -78,22 +78,22 @@
         for (const RequestId id : requests_.all())
             completion_.giveUp(*requests_.find(id), RejectReason::shutDown);
     }
-    void on(const Tick&) {}  // handle() checks what is due, whatever the event
+    void on(const Tick&) {}  // handle() runs all due checks on every event
 
     void prune() {
         if (state_.now < prunedAt_ + kPruneInterval) return;
         prunedAt_ = state_.now;
-        state_.hosts.prune(state_.now, state_.now - kRecordAge);
-        state_.routes.prune(state_.now - kRecordAge);
-        state_.services.prune(state_.now - kRecordAge);
+        state_.hosts.prune(state_.now, state_.now - kRecordRetention);
+        state_.routes.prune(state_.now - kRecordRetention);
+        state_.services.prune(state_.now - kRecordRetention);
     }
-    // Asks for a Tick only where none is asked for that comes as soon.
+    // Requests a Tick unless one is already requested for this time or earlier.
     void setTimer() {
         const Millis at = std::min(requests_.nextCheckAt(), state_.health.nextCheckAt());
         if (state_.now >= timerAt_) timerAt_ = kNever;
         if (at >= timerAt_ || at == kNever) return;
         timerAt_ = std::max(at, state_.now);
-        state_.actions.act(SetTimer{timerAt_});
+        state_.actions.add(SetTimer{timerAt_});
     }
 
     // Each part refers only to parts above it.
@@ -109,7 +109,7 @@
     AttemptResults results_{state_, requests_, failover_, completion_, checks_};
     LoadReporter loadReporter_{state_};
     Millis prunedAt_;
-    Millis timerAt_ = kNever;  // when a Tick was asked for
+    Millis timerAt_ = kNever;  // requested time of the next Tick
 };
 
 Dispatcher::Dispatcher(Settings settings, std::uint64_t seed, Millis now)
--- a/src/dispatch/failover.hpp
+++ b/src/dispatch/failover.hpp
@@ -1,4 +1,5 @@
-/// Where a request goes after an attempt has ended without an answer: the failure tree of the retry design.
+/// Chooses the next host after an attempt ended without a usable answer: the failure tree of the retry
+/// design.
 #pragma once
 
 #include "dispatch/attempt_sender.hpp"
@@ -7,17 +8,18 @@
 
 namespace beechpoint::dispatch {
 
-/// Decides on retries. Shares the failure tree (coordinator/failure_tree.hpp) with the gatherer's coordinator.
+/// Decides about retries. The failure tree (coordinator/failure_tree.hpp) is shared with the gatherer's
+/// coordinator.
 class Failover {
 public:
-    /// In place of a host: no attempt failed just now, the request was pending.
+    /// Passed as `failed` if no attempt failed: the request was pending.
     static constexpr int kNoHost = -1;
 
     Failover(DispatchState& state, AttemptSender& sender, RequestCompletion& completion)
         : state_(state), sender_(sender), completion_(completion) {}
 
-    /// Sends the request to the next host, leaves it to its other attempts, makes it pending, or gives it up (it is
-    /// erased then). `failed`: the host table's index of the host whose attempt ended.
+    /// Sends the request to the next host, waits for its other attempts, makes it pending, or gives it up,
+    /// which erases it. `failed`: index in the host table of the host whose attempt ended.
     void retry(Request& request, int failed);
 
 private:
--- a/src/dispatch/hedge_budget.hpp
+++ b/src/dispatch/hedge_budget.hpp
@@ -1,5 +1,6 @@
-/// How many hedged attempts may be sent beside first attempts: a part of the idempotent requests in the window. Hedging
-/// more than a small part of the requests would double the load just when hosts are slow (The Tail at Scale, 2013).
+/// Limits hedged attempts to a fraction of the idempotent requests in a sliding window. Hedging more than a
+/// small fraction would double the load just when hosts are slow (Dean and Barroso, "The Tail at Scale",
+/// 2013).
 #pragma once
 
 #include "core/clock.hpp"
@@ -7,25 +8,25 @@
 
 namespace beechpoint::dispatch {
 
-/// One object a gateway, over all services.
+/// One per gateway, for all services.
 class HedgeBudget {
 public:
-    /// `window`: of the sliding counts.
+    /// `window`: length of the sliding window.
     explicit HedgeBudget(Millis window)
         : idempotent_(window, SlidingCount::Edge::lower), hedged_(window, SlidingCount::Edge::upper) {}
 
-    /// An idempotent request has come.
-    void idempotentArrived(Millis now) { idempotent_.add(now); }
+    /// An idempotent request arrived.
+    void recordIdempotentRequest(Millis now) { idempotent_.add(now); }
     /// Whether one more hedged attempt may be sent now.
     [[nodiscard]] bool allows(Millis now) {
         return static_cast<double>(hedged_.count(now)) + 1 <=
-               kHedgedPart * static_cast<double>(idempotent_.count(now));
+               kMaxHedgedFraction * static_cast<double>(idempotent_.count(now));
     }
     /// A hedged attempt is sent.
     void spend(Millis now) { hedged_.add(now); }
 
 private:
-    static constexpr double kHedgedPart = 0.1;
+    static constexpr double kMaxHedgedFraction = 0.1;
 
     SlidingCount idempotent_;
     SlidingCount hedged_;
--- a/src/dispatch/host_health.cpp
+++ b/src/dispatch/host_health.cpp
@@ -8,25 +8,23 @@
 
 namespace {
 
-constexpr Millis kFirstCheckInterval =
-    500;  // between checks of a partitioned host; doubled up to the longest
-constexpr Millis kLongestCheckInterval = 2000;
-constexpr Millis kCheckTimeout = 3000;  // a check whose end does not come is given up
-constexpr Millis kShortestFullPause =
-    20;  // a host that reports that it is full gets nothing for so long at least
-constexpr Millis kLongestFullPause = 500;
+constexpr Millis kMinCheckInterval = 500;  // of a partitioned host; doubled up to kMaxCheckInterval
+constexpr Millis kMaxCheckInterval = 2000;
+constexpr Millis kCheckTimeout = 3000;  // a check without a result is given up
+constexpr Millis kMinFullPause = 20;    // without sends to a host that reported that it is full
+constexpr Millis kMaxFullPause = 500;
 
 }  // namespace
 
 void HostHealth::markFull(HostSlot& slot, const RouteRecord& route, Millis now) {
     const Millis mean = 1000 * route.timeS(now);
-    slot.fullUntil = now + std::clamp(mean, kShortestFullPause, kLongestFullPause);
+    slot.fullUntil = now + std::clamp(mean, kMinFullPause, kMaxFullPause);
 }
 
 void HostHealth::markPartitioned(HostSlot& slot, ConnectionFailure failure, Millis now) {
     if (!slot.partitioned) {
         slot.healthCheckAt = now;
-        slot.healthCheckInterval = kFirstCheckInterval;
+        slot.healthCheckInterval = kMinCheckInterval;
         actions_.log("host partitioned", fmt::format("{} at {}", slot.host.instanceId, slot.host.address));
     }
     slot.partitioned = true;
@@ -39,7 +37,7 @@
     slot.endedAt = now;
 }
 
-// One that could not be reached at all may have been started anew, so it counts as warming up.
+// A host that was unreachable may have restarted, so it is treated as warming up.
 void HostHealth::markReachable(HostSlot& slot, Millis now) {
     if (slot.unreachable) slot.warmingUpSince = now;
     if (slot.partitioned) actions_.log("host reachable", slot.host.instanceId);
@@ -57,13 +55,13 @@
 void HostHealth::requestHealthCheck(HostSlot& slot, Millis now) {
     slot.healthCheckPending = true;
     slot.healthCheckAt = now + kCheckTimeout;
-    actions_.act(CheckHealth{slot.host.instanceId, slot.host.address, slot.host.service});
+    actions_.add(CheckHealth{slot.host.instanceId, slot.host.address, slot.host.service});
 }
 
 void HostHealth::checkUnresponsive(HostSlot& slot, Millis now) {
     if (!slot.listed || slot.partitioned) return;
-    const bool underWay = slot.healthCheckPending && now < slot.healthCheckAt;
-    if (!underWay) requestHealthCheck(slot, now);
+    const bool checkInFlight = slot.healthCheckPending && now < slot.healthCheckAt;
+    if (!checkInFlight) requestHealthCheck(slot, now);
 }
 
 void HostHealth::checkPartitioned(Millis now) {
@@ -86,10 +84,10 @@
         markReachable(slot, now);
         return;
     }
-    if (ended.answered && !slot.partitioned) return;  // it runs, and is full or draining
+    if (ended.answered && !slot.partitioned) return;  // the host is running, but full or draining
     markPartitioned(slot, ended.answered ? ConnectionFailure::reset : ConnectionFailure::notConnected, now);
     slot.healthCheckAt = now + slot.healthCheckInterval;
-    slot.healthCheckInterval = std::min(2 * slot.healthCheckInterval, kLongestCheckInterval);
+    slot.healthCheckInterval = std::min(2 * slot.healthCheckInterval, kMaxCheckInterval);
 }
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/host_health.hpp
+++ b/src/dispatch/host_health.hpp
@@ -1,14 +1,14 @@
-/// Which hosts are full, partitioned, warming up or reachable, by the results of attempts and health checks. A host whose
-/// connection broke, or that can't be connected to, may be dead long before the platform's list says so: it gets nothing
-/// until a health check passes.
+/// Tracks which hosts are full, partitioned, warming up or reachable, from the results of attempts and health
+/// checks. A host may fail long before the platform's list shows it, so a host whose connection broke or
+/// could not be opened gets no requests until a health check passes.
 ///
-/// | state       | event                              | becomes                                                |
+/// | state       | event                              | next state                                             |
 /// | ----------- | ---------------------------------- | ------------------------------------------------------ |
 /// | reachable   | connection broken                  | partitioned                                            |
-/// | reachable   | no connection, unanswered check    | partitioned and unreachable                            |
+/// | reachable   | failed connect, unanswered check   | partitioned and unreachable                            |
 /// | partitioned | answer, healthy check              | reachable                                              |
-/// | any         | 421: another instance's address    | ended, until it is not listed any more                 |
-/// | unreachable | answer, healthy check              | reachable, warming up: it may have been started anew   |
+/// | any         | 421: another instance's address    | ended, until it is no longer listed                    |
+/// | unreachable | answer, healthy check              | reachable and warming up: it may have restarted        |
 #pragma once
 
 #include <limits>
@@ -21,34 +21,36 @@
 
 namespace beechpoint::dispatch {
 
-/// How the contact with a host was lost.
+/// How the connection to a host failed.
 enum class ConnectionFailure {
-    reset,         ///< sent, then closed or reset, or a health check that failed with an answer
-    notConnected,  ///< it could not be reached at all, and may have to start anew
+    reset,         ///< closed or reset after a send, or an answered health check that failed
+    notConnected,  ///< no connection could be opened; the host may be restarting
 };
 
-/// Writes the health of hosts into their slots and asks for health checks. Owns only the time of the next check.
+/// Writes the health of hosts into their slots and requests health checks. Owns only the time of the next
+/// check.
 class HostHealth {
 public:
     HostHealth(HostTable& hosts, ActionList& actions) : hosts_(hosts), actions_(actions) {}
 
-    /// It reports that it is full: it gets nothing for about one mean time of the route. Overload is no fault.
+    /// The host reported that it is full: pauses sends to it for about the route's mean time. Not counted as
+    /// a failure.
     void markFull(HostSlot& slot, const RouteRecord& route, Millis now);
-    /// Contact is lost: health checks begin, at once.
+    /// The connection failed: starts health checks at once.
     void markPartitioned(HostSlot& slot, ConnectionFailure failure, Millis now);
-    /// Another instance is at its address. Instances never come back, so it gets nothing any more.
+    /// Another instance is at its address. Instances never return, so nothing more is sent to it.
     void markEnded(HostSlot& slot, Millis now);
-    /// A proper answer or a healthy check came from it.
+    /// The host sent a usable answer or passed a health check.
     void markReachable(HostSlot& slot, Millis now);
-    /// It reports that it is warming up. Unknown hosts are ignored.
+    /// The host reported that it is warming up. Unknown hosts are ignored.
     void markWarmingUp(const WarmupReported& report, Millis now);
     /// The result of a CheckHealth. Unknown hosts are ignored.
     void healthCheckEnded(const HealthCheckEnded& ended, Millis now);
-    /// Checks a host that is unresponsive, unless a check is under way.
+    /// Checks an unresponsive host, unless a check is in flight.
     void checkUnresponsive(HostSlot& slot, Millis now);
     /// Checks all partitioned hosts whose next check is due.
     void checkPartitioned(Millis now);
-    /// When checkPartitioned() has work next; infinity: no host is partitioned.
+    /// When the next check of a partitioned host is due; infinity: no host is partitioned.
     [[nodiscard]] Millis nextCheckAt() const { return nextCheckAt_; }
 
 private:
--- a/src/dispatch/host_table.cpp
+++ b/src/dispatch/host_table.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-constexpr Millis kUnlistedMemory =
-    30000;  // of a host that is not listed: an incomplete list does not make it new
+// A host that is missing from the list for less time keeps its state: the list may have been incomplete.
+constexpr Millis kUnlistedRetention = 30000;
 
-// The platform lists an instance that has crashed for some seconds. One that it lists for much longer has not ended: it is tried again.
-constexpr Millis kEndedMemory = 20000;
+// The platform lists a crashed instance for some seconds. One that is still listed after this time has not
+// ended and may be sent to again.
+constexpr Millis kEndedRetention = 20000;
 
 }  // namespace
 
@@ -29,14 +30,14 @@
 }
 
 void HostTable::listHost(const Host& host, Millis now) {
-    const auto known = index_.find(host.instanceId);
-    const bool added = known == index_.end();
+    const auto known = indexById_.find(host.instanceId);
+    const bool added = known == indexById_.end();
     HostSlot& slot = at(added ? allocateSlot(host.instanceId) : known->second);
     const bool returned = !added && slot.unlistedAt > 0;
     slot.host = host;
     slot.listed = true;
     slot.unlistedAt = 0;
-    if (now > slot.endedAt + kEndedMemory) slot.endedAt = 0;
+    if (now > slot.endedAt + kEndedRetention) slot.endedAt = 0;
     if (host.warmupLeft > 0) slot.warmingUpUntil = std::max(slot.warmingUpUntil, now + host.warmupLeft);
     if ((added && listReceived_) || returned) slot.warmingUpSince = now;
 }
@@ -44,20 +45,20 @@
 void HostTable::evacuate(const EvacuatedZones& zones, Millis now) {
     const std::set<std::string> next(zones.zones.begin(), zones.zones.end());
     for (HostSlot& slot : slots_) {
-        const bool returned = evacuated_.contains(slot.host.zone) && !next.contains(slot.host.zone);
+        const bool returned = evacuatedZones_.contains(slot.host.zone) && !next.contains(slot.host.zone);
         if (slot.listed && returned) slot.warmingUpSince = now;
     }
-    evacuated_ = next;
+    evacuatedZones_ = next;
 }
 
 int HostTable::find(const std::string& instance) const {
-    const auto found = index_.find(instance);
-    return found == index_.end() ? -1 : found->second;
+    const auto found = indexById_.find(instance);
+    return found == indexById_.end() ? -1 : found->second;
 }
 
-int HostTable::findKey(std::uint32_t key) const {
-    const auto found = keys_.find(key);
-    return found == keys_.end() ? -1 : found->second;
+int HostTable::findByKey(std::uint32_t key) const {
+    const auto found = indexByKey_.find(key);
+    return found == indexByKey_.end() ? -1 : found->second;
 }
 
 const std::vector<int>& HostTable::ofService(const std::string& service) const {
@@ -68,14 +69,14 @@
 
 int HostTable::allocateSlot(const std::string& instance) {
     int index = static_cast<int>(slots_.size());
-    if (spare_.empty()) {
+    if (freeSlots_.empty()) {
         slots_.emplace_back();
     } else {
-        index = spare_.back();
-        spare_.pop_back();
+        index = freeSlots_.back();
+        freeSlots_.pop_back();
     }
-    keys_[hostKey(instance)] = index;
-    index_[instance] = index;
+    indexByKey_[hostKey(instance)] = index;
+    indexById_[instance] = index;
     return index;
 }
 
@@ -86,12 +87,13 @@
             const coordinator::policy::Record& record = entry.second;
             return record.out.empty() && std::max(record.f.at, record.lastServed) < toNanos(oldest);
         });
-        const bool expired = !slot.listed && slot.unlistedAt > 0 && now > slot.unlistedAt + kUnlistedMemory;
+        const bool expired =
+            !slot.listed && slot.unlistedAt > 0 && now > slot.unlistedAt + kUnlistedRetention;
         if (!expired || slot.inFlight > 0 || slot.host.instanceId.empty()) continue;
-        index_.erase(slot.host.instanceId);
-        keys_.erase(hostKey(slot.host.instanceId));
+        indexById_.erase(slot.host.instanceId);
+        indexByKey_.erase(hostKey(slot.host.instanceId));
         slot = HostSlot{};
-        spare_.push_back(i);
+        freeSlots_.push_back(i);
     }
 }
 
--- a/src/dispatch/initial_send.cpp
+++ b/src/dispatch/initial_send.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double kOddsPowerInformed = 12;  // where the load of the other gateways is known
+constexpr double kOddsPowerWithPeerLoad = 12;  // if the load of the other gateways is known
 
 }  // namespace
 
@@ -31,8 +31,8 @@
 }
 
 int InitialSend::widthOf(const Request& request, const Scores& choice) {
-    const bool several =
-        state_.isEnabled(Mechanism::widthTest) && request.hedgingAllowed() && state_.isCalm(request);
+    const bool several = state_.isEnabled(Mechanism::widthTest) && request.hedgingAllowed() &&
+                         state_.hasLatencyHeadroom(request);
     if (!several) return 1;
     static const std::deque<double> none;
     const RouteRecord& route = state_.routeOf(request);
@@ -44,9 +44,10 @@
     return std::min(policy::width(choice, route.gainTargetS(), recentOf), request.arrival.maxAttempts);
 }
 
-// Where the others' load is known the scores can be trusted more: the draw need not spread the requests so widely.
+// With the load of the other gateways the scores are more accurate, so the draw can favour the best hosts
+// more.
 double InitialSend::oddsPower() const {
-    return state_.reportedLoad.active() ? kOddsPowerInformed : policy::kOddsPower;
+    return state_.reportedLoad.active() ? kOddsPowerWithPeerLoad : policy::kOddsPower;
 }
 
 void InitialSend::sendToOne(Request& request, const Scores& choice) {
--- a/src/dispatch/initial_send.hpp
+++ b/src/dispatch/initial_send.hpp
@@ -1,4 +1,4 @@
-/// Where a request goes first: the weighted draw and the width test of the retry design.
+/// Chooses the first hosts of a request: the weighted draw and the width test of the retry design.
 #pragma once
 
 #include <vector>
@@ -10,14 +10,15 @@
 
 namespace beechpoint::dispatch {
 
-/// Makes the first attempt, or the first ones of an idempotent request for which several hosts at once pay.
+/// Sends the first attempt, or several parallel first attempts if that is expected to gain enough for an
+/// idempotent request.
 class InitialSend {
 public:
     InitialSend(DispatchState& state, AttemptSender& sender, RequestCompletion& completion)
         : state_(state), sender_(sender), completion_(completion) {}
 
-    /// Sends a request that has no attempt yet. Where no host may take it now it becomes pending. It may be given up,
-    /// and is erased then.
+    /// Sends a request that has no attempt yet, or makes it pending if no host can take it now. If it is
+    /// given up, it is erased.
     void send(Request& request);
 
 private:
--- a/src/dispatch/load_reporter.cpp
+++ b/src/dispatch/load_reporter.cpp
@@ -7,9 +7,9 @@
 void LoadReporter::report() {
     if (!state_.isEnabled(Mechanism::loadReports)) return;
     state_.reportedLoad.expire(state_.now);
-    state_.services.setLoadReported(state_.reportedLoad.active());
+    state_.services.setPeerLoadKnown(state_.reportedLoad.active());
     ReportLoad changes = takeChanges();
-    if (!changes.hosts.empty()) state_.actions.act(std::move(changes));
+    if (!changes.hosts.empty()) state_.actions.add(std::move(changes));
 }
 
 ReportLoad LoadReporter::takeChanges() {
@@ -19,7 +19,7 @@
         if (!slot.loadChanged) continue;
         slot.loadChanged = false;
         const std::uint32_t key = hostKey(slot.host.instanceId);
-        changes.hosts.push_back({key, slot.waiting, slot.waitingS});
+        changes.hosts.push_back({key, slot.waiting, slot.waitingPrefillS});
         if (slot.newSlowness > 0) changes.speeds.push_back({key, slot.newSlowness});
         slot.newSlowness = 0;
     }
--- a/src/dispatch/load_reporter.hpp
+++ b/src/dispatch/load_reporter.hpp
@@ -1,16 +1,17 @@
-/// Reports to the other gateways what this one has waiting at each host.
+/// Reports this gateway's load at each host to the other gateways.
 #pragma once
 
 #include "dispatch/dispatch_state.hpp"
 
 namespace beechpoint::dispatch {
 
-/// The outgoing side of load reports; ReportedLoad is the incoming one.
+/// Outgoing load reports; incoming ones are handled by ReportedLoad.
 class LoadReporter {
 public:
     explicit LoadReporter(DispatchState& state) : state_(state) {}
 
-    /// Forgets gateways that report no longer, and adds one ReportLoad with what changed since the last one, if anything.
+    /// Expires the reports of other gateways, and adds a ReportLoad with the changes since the last one, if
+    /// any.
     void report();
 
 private:
--- a/src/dispatch/mechanisms.hpp
+++ b/src/dispatch/mechanisms.hpp
@@ -1,6 +1,6 @@
-/// The mechanisms of a gateway's decisions, each of which can be turned off by its name (`--without NAME`), to measure what
-/// it gains. The enumerators follow these outside names and meanings, which may not change: overdueCopies is hedged
-/// requests, prefixHomes prefix affinity, sharedLoad reported load, silentProbes health checks of unresponsive hosts.
+/// Mechanisms of the dispatcher, each of which can be disabled by name (`--without NAME`) to measure its
+/// effect. The names and descriptions in kMechanismNames are part of the command line and do not follow the
+/// enumerators.
 #pragma once
 
 #include <algorithm>
@@ -25,7 +25,7 @@
 };
 inline constexpr std::size_t kMechanismCount = 10;
 
-/// A row of the list that the command line shows.
+/// A mechanism's name and description on the command line.
 struct MechanismName {
     Mechanism mechanism;
     std::string_view name;
@@ -46,7 +46,7 @@
     {Mechanism::widthTest, "width-test", "sends a repeatable request to several hosts at once"},
 }};
 
-/// Which are on; all at first.
+/// The set of enabled mechanisms; initially all.
 class Mechanisms {
 public:
     [[nodiscard]] bool isEnabled(Mechanism mechanism) const {
@@ -58,7 +58,7 @@
     std::bitset<kMechanismCount> off_;
 };
 
-/// Nothing: no mechanism has this name.
+/// nullopt: no mechanism has this name.
 [[nodiscard]] inline std::optional<Mechanism> findMechanism(std::string_view name) {
     const auto found = std::ranges::find(kMechanismNames, name, &MechanismName::name);
     if (found == kMechanismNames.end()) return std::nullopt;
--- a/src/dispatch/messages.hpp
+++ b/src/dispatch/messages.hpp
@@ -1,6 +1,6 @@
-/// What a gateway's dispatcher is notified of (events) and what it tells its driver, the gateway, to do (actions). Plain
-/// values; times are Millis of the program's monotonic clock, durations Millis as well. None of them goes on the wire as
-/// it is.
+/// Events that a gateway's dispatcher handles, and actions that it requests from its driver, the gateway.
+/// Plain values; times are milliseconds of the process's monotonic clock, durations are milliseconds too.
+/// None of them is a wire format.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace beechpoint::dispatch {
 
-using RequestId = std::uint64_t;  // the driver's, never used twice
+using RequestId = std::uint64_t;  // assigned by the driver, never reused
 
 enum class RequestType { idempotent, nonIdempotent, streaming };
 
@@ -23,7 +23,7 @@
     double weight = 1;
 };
 
-/// A part of a prompt. Parts are shared between requests; the last one is the request's own or its session's.
+/// A part of a prompt. Requests share all parts but the last, which belongs to the request or its session.
 struct PromptPart {
     std::string id;
     std::uint32_t tokens = 0;
@@ -31,66 +31,67 @@
 
 // ---- events
 
-/// A client's request has been read. Answered by Relay or a final action.
+/// A client's request has been read. It ends with a relayed answer or a final action.
 struct RequestArrived {
     RequestId id = 0;
-    std::string attemptId;  ///< the client's X-Attempt-Id, for the log
+    std::string attemptId;  ///< the client's X-Attempt-Id, for logging
     std::string route;
-    std::vector<WeightedService> services;  ///< the route's traffic split; one is drawn for each request
+    std::vector<WeightedService> services;  ///< the route's traffic split; one is drawn per request
     RequestType type = RequestType::nonIdempotent;
     Millis timeout = 0;        ///< of the route
-    Millis latencyTarget = 0;  ///< to the answer, or to a stream's first event
-    Millis gapTarget = 0;      ///< longest gap between a stream's events that is in time
-    Millis deadline = 0;       ///< time left from now: the smaller one of the client's and the route's
+    Millis latencyTarget = 0;  ///< for the answer, or for a stream's first event
+    Millis gapTarget = 0;      ///< for the gap between two events of a stream
+    Millis deadline = 0;       ///< time left: the smaller of the client's and the route's
     int priorityClass = 0;     ///< 0 is the most urgent
-    int maxAttempts = 1;       ///< most hosts that the request may be sent to
+    int maxAttempts = 1;       ///< maximum number of hosts that the request may be sent to
     bool resumable = false;
     std::vector<PromptPart> prompt;
-    std::uint32_t promptTokens = 0;     ///< in all; 0: the sum of the parts
-    std::uint32_t maxOutputTokens = 0;  ///< most tokens of the answer
-    std::uint64_t bodyBytes = 0;        ///< of the request; 0: guessed from the tokens
-    /// Regions whose hosts may serve it (of route and tenant, both binding): nothing is any, an empty list none.
+    std::uint32_t promptTokens = 0;     ///< total; 0: the sum of the parts
+    std::uint32_t maxOutputTokens = 0;  ///< of the answer
+    std::uint64_t bodyBytes = 0;        ///< of the request; 0: estimated from the tokens
+    /// Regions whose hosts may serve it, allowed by both route and tenant. nullopt: any region; empty: none.
     std::optional<std::vector<std::string>> allowedRegions;
 };
 
-/// An attempt's answer has begun and checks so far (id, framing). `rejected`: X-Not-Executed or status 421.
+/// An attempt's response head was received; its attempt id and framing are valid. `rejected`: X-Not-Executed
+/// or status 421.
 struct AttemptHead {
     RequestId id = 0;
     int attempt = 0;
     int status = 0;
     bool rejected = false;
-    bool sealed = true;                      ///< a 2xx without X-Server-Seal is no success
-    std::optional<std::uint64_t> bodyBytes;  ///< Content-Length, where there is one
+    bool sealed = true;                      ///< has X-Server-Seal; a 2xx without it is not a success
+    std::optional<std::uint64_t> bodyBytes;  ///< Content-Length, if present
 };
 
-/// The first event of a stream, or the first byte of another answer's body. Comes once an attempt.
+/// The first event of a stream, or the first body byte of any other answer. At most once per attempt.
 struct AttemptFirstByte {
     RequestId id = 0;
     int attempt = 0;
 };
 
 enum class Outcome {
-    served,             ///< the complete answer came, whatever its status but for rejected
-    hostError,          ///< the host answered with a failure of its own (5xx); it ran
-    rejected,           ///< X-Not-Executed: never ran
-    misdirected,        ///< 421: the addressed instance is not at that address any more; never ran
-    notConnected,       ///< no connection, or nothing of the request was written: never ran
-    noCapacity,         ///< the driver had no connection to give within its limits: never ran
-    resetBeforeAnswer,  ///< sent, then reset or closed before any head: may have run
-    incomplete,         ///< the answer began and ended early
-    malformed,          ///< bytes that are no answer
-    attemptIdMismatch,  ///< an answer with another attempt's id
+    served,             ///< complete answer, whatever its status, unless rejected
+    hostError,          ///< the host answered with its own failure (5xx); the request ran
+    rejected,           ///< X-Not-Executed: did not run
+    misdirected,        ///< 421: the instance is no longer at that address; did not run
+    notConnected,       ///< no connection, or no byte of the request written: did not run
+    noCapacity,         ///< the driver's connection limits were reached: did not run
+    resetBeforeAnswer,  ///< sent, then reset or closed before a head: may have run
+    incomplete,         ///< the answer was truncated
+    malformed,          ///< not a valid HTTP answer
+    attemptIdMismatch,  ///< the answer has another attempt's id
     timedOut,           ///< Send::timeout passed; may have run
-    cancelled           ///< by Cancel; may have run
+    cancelled           ///< ended by Cancel; may have run
 };
 
-/// Exactly one for each Send, also after the request's end and after Cancel.
+/// Exactly one for each Send, including after Cancel and after the request has ended.
 struct AttemptEnded {
     RequestId id = 0;
     int attempt = 0;
     Outcome outcome = Outcome::served;
-    std::string lastEventId;  ///< of a stream: the last event that was passed on completely; empty: none
-    Millis warmupLeft = 0;    ///< X-Warmup-Remaining, where the answer carried one
+    std::string lastEventId;  ///< of a stream: the last event relayed completely; empty: none
+    Millis warmupLeft = 0;    ///< X-Warmup-Remaining, if the answer had it
 };
 
 struct ClientDisconnected {
@@ -99,46 +100,47 @@
 
 enum class HostState { serving, draining };
 
-/// A host of the platform's list.
+/// A host in the platform's host list.
 struct Host {
     std::string instanceId;
     std::string service;
     std::string address;
     std::string zone;
-    std::string region;  ///< empty: unknown, which no allowed region is
+    std::string region;  ///< empty: unknown, which matches no allowed region
     int capacity = 1;
     HostState state = HostState::serving;
     Millis warmupLeft = 0;
-    std::optional<Millis> remaining;  ///< announced time until it ends
+    std::optional<Millis> remaining;  ///< announced time until the host terminates
 };
 
-/// The complete host list, each time. A list that could not be read makes no event.
+/// The complete host list, which replaces the earlier one. A list that could not be read causes no event.
 struct HostList {
     std::vector<Host> hosts;
 };
 
-/// A service of the configuration, as far as the dispatcher needs it.
+/// The part of a service's configuration that the dispatcher uses.
 struct Service {
     std::string name;
     double warmupS = 0;
-    double warmupPerS = 0;  ///< requests a second that a host that is warming up bears; 0: no bound
+    double warmupPerS = 0;  ///< requests per second allowed for a host that is warming up; 0: no bound
     int maxConnections = 0;
-    bool engine = false;  ///< a model host: it prefills prompts and caches parts of them
+    bool engine = false;  ///< its hosts are model servers that prefill prompts and cache prefixes
     std::uint64_t cacheTokens = 0;
 };
 
-/// All services of the configuration in force.
+/// All services of the active configuration.
 struct ServiceList {
     std::vector<Service> services;
 };
 
-/// All zones that are evacuated.
+/// All evacuated zones.
 struct EvacuatedZones {
     std::vector<std::string> zones;
 };
 
-/// How many gateways divide the budgets among themselves: the largest number live in the last retry window. Unknown: no part of what
-/// all have together. `rank`: this one's index among the names of the live ones in order, or -1.
+/// The number of gateways that share the budgets: the maximum number of live gateways in the last retry
+/// window. While it is unknown, this gateway's share of the slack and of slow start is 0. `rank`: this
+/// gateway's index in the sorted names of the live ones, or -1.
 struct Fleet {
     int liveGateways = 1;
     bool known = false;
@@ -151,45 +153,47 @@
     Millis left = 0;
 };
 
-/// The result of a CheckHealth: a GET of the service's health path. Healthy only with 200 and this instance's X-Instance-Id.
+/// The result of a CheckHealth: a GET of the service's health path. Healthy requires 200 and this instance's
+/// X-Instance-Id.
 struct HealthCheckEnded {
     std::string instanceId;
     bool healthy = false;
     Millis warmupLeft = 0;
-    bool answered = false;  ///< an HTTP answer came from it, whatever its status
+    bool answered = false;  ///< the host sent an HTTP answer of any status
 };
 
-/// Attempts that wait for their first event at a host, and how long the host is expected to prefill for them.
+/// Attempts that are waiting for their first event at a host, and the host's expected prefill time for them.
 struct HostLoad {
-    std::uint32_t host = 0;  ///< hostKey() of its instance
+    std::uint32_t host = 0;  ///< hostKey() of the instance
     int waiting = 0;
-    double workS = 0;  ///< seconds
+    double workS = 0;  ///< expected prefill time, seconds
     bool operator==(const HostLoad&) const = default;
 };
 
-/// How long a host took to prefill a prompt, over what was expected of an average host.
+/// Ratio of a host's measured prefill time to the expected time of an average host.
 struct HostSpeed {
     std::uint32_t host = 0;
     double slowness = 1;
     bool operator==(const HostSpeed&) const = default;
 };
 
-/// Identifies a host in messages between gateways: a hash of its instance's id, the same in all gateways.
+/// Identifies a host in messages between gateways: a hash of the instance id that is the same in all
+/// gateways.
 std::uint32_t hostKey(const std::string& instanceId);
 
-/// What other gateways have waiting. `full`: hosts that are not named have nothing of this source waiting.
+/// Load reported by another gateway or zone. `full`: hosts that are not listed have no load from this source.
 struct PeerLoad {
     std::uint64_t source = 0;
     bool full = false;
     std::vector<HostLoad> hosts;
-    Millis validFor = 2500;         ///< without a newer report the source counts for nothing after so long
-    std::vector<HostSpeed> speeds;  ///< measured since its last report
+    Millis validFor = 2500;         ///< the report expires after this time
+    std::vector<HostSpeed> speeds;  ///< measured since the source's last report
 };
 
-/// The process ends: every request gets its final action now, and no request is sent to a host any more.
+/// The process shuts down: every request gets its final action now, and nothing more is sent to hosts.
 struct ShutDown {};
 
-/// The time asked for by SetTimer has come.
+/// The timer of SetTimer has expired.
 struct Tick {};
 
 using Event = std::variant<RequestArrived, AttemptHead, AttemptFirstByte, AttemptEnded, ClientDisconnected,
@@ -198,37 +202,39 @@
 
 // ---- actions
 
-/// Sends the request to a host, with X-Target-Instance. What comes of it is buffered (head, and body up to kMaxBufferedBytes)
-/// until Relay, Cancel or the end.
+/// Sends the request to a host, with X-Target-Instance. The driver buffers the answer (head, and body up to
+/// kMaxBufferedBytes) until Relay, Cancel or the attempt's end.
 struct Send {
     RequestId id = 0;
-    int attempt = 0;  ///< numbered from 0 in a request
+    int attempt = 0;  ///< numbered from 0 within a request
     std::string instanceId;
     std::string address;
     std::string service;
-    Millis timeout = 0;   ///< X-Deadline-Remaining, and the attempt's time-out
-    int priority = 5;     ///< the Priority header, for model hosts
-    bool engine = false;  ///< whether the Priority header is wanted
-    /// Takes a relayed stream up again: events go on behind `lastEventId` (empty: from the first, without the header)
-    /// in the answer that the client has already; the new head is not passed on.
+    Millis timeout = 0;   ///< of the attempt; sent as X-Deadline-Remaining
+    int priority = 5;     ///< the Priority header, for model servers
+    bool engine = false;  ///< whether to send the Priority header
+    /// Resumes a relayed stream in the answer that the client is already receiving: events continue after
+    /// `lastEventId` (empty: from the first one, without the header), and the new head is not relayed.
     bool resume = false;
     std::string lastEventId;
 };
 
-/// Ends an attempt that is in flight; its AttemptEnded (cancelled) follows.
+/// Cancels an attempt in flight; its AttemptEnded (cancelled) follows.
 struct Cancel {
     RequestId id = 0;
     int attempt = 0;
 };
 
-/// This attempt's answer is the client's: all that came and will come of it. It may follow the attempt's end, in the
-/// same batch of actions. After a resuming Send it stands for going on in the open answer.
+/// Relays this attempt's answer to the client: what was buffered and all that follows. It may come after the
+/// attempt's end, in the same batch of actions. After a resuming Send it continues the answer that is already
+/// open.
 struct Relay {
     RequestId id = 0;
     int attempt = 0;
 };
 
-/// Final: it has not run and never will. `retryAfter` 0: no advice. `reason` is for logs and tests, not for the client.
+/// Final: the request has not run and will not. `retryAfter` 0: no Retry-After. `reason` is for logs and
+/// tests, not for the client.
 struct Reject {
     RequestId id = 0;
     int status = 503;
@@ -236,47 +242,49 @@
     RejectReason reason = RejectReason::noHostAvailable;
 };
 
-/// Final, without a promise: 502 or 504.
+/// Final: 502 or 504. The request may have run.
 struct Fail {
     RequestId id = 0;
     int status = 502;
     RejectReason reason = RejectReason::deadlinePassed;  ///< for logs and tests
 };
 
-/// Final: the relayed answer can't go on and is ended without a proper close, so that the client notices.
+/// Final: the relayed answer cannot be completed. It is ended without a proper close, so that the client
+/// detects it.
 struct AbortResponse {
     RequestId id = 0;
     RejectReason reason = RejectReason::deadlinePassed;  ///< for logs and tests
 };
 
-/// Checks a host's health; one HealthCheckEnded must follow within a second.
+/// Starts a health check of a host; its HealthCheckEnded must follow within a second.
 struct CheckHealth {
     std::string instanceId;
     std::string address;
     std::string service;
 };
 
-/// A Tick is wanted at this time; replaces the one asked for before.
+/// Requests a Tick at this time, instead of the one requested before.
 struct SetTimer {
     Millis at = 0;
 };
 
-/// What this gateway has waiting at hosts where that has changed; for the other gateways.
+/// This gateway's load at the hosts where it has changed, to be sent to the other gateways.
 struct ReportLoad {
     std::vector<HostLoad> hosts;
-    std::vector<HostSpeed> speeds;  ///< measured since the last time
+    std::vector<HostSpeed> speeds;  ///< measured since the last report
 };
 
 /// A line for the gateway's log.
 struct Log {
-    std::string kind;  ///< one of few; operators search for it
+    std::string kind;  ///< one of a small fixed set; operators search for it
     std::string text;
 };
 
 using Action =
     std::variant<Send, Cancel, Relay, Reject, Fail, AbortResponse, CheckHealth, SetTimer, ReportLoad, Log>;
 
-/// An answer of an idempotent request that is no stream is relayed once it is complete, if its length is at most this.
+/// A non-streaming answer to an idempotent request is relayed only once it is complete, if it is no longer
+/// than this.
 inline constexpr std::uint64_t kMaxBufferedBytes = 65536;
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/overdue_attempts.hpp
+++ b/src/dispatch/overdue_attempts.hpp
@@ -1,4 +1,4 @@
-/// Attempts whose first byte is later than expected: hedged requests, and health checks of unresponsive hosts.
+/// Handles attempts whose first byte is overdue: hedged requests, and health checks of unresponsive hosts.
 #pragma once
 
 #include <vector>
@@ -14,16 +14,17 @@
 public:
     OverdueAttempts(DispatchState& state, AttemptSender& sender) : state_(state), sender_(sender) {}
 
-    /// Asks for health checks of hosts that are unresponsive, and sends a hedged attempt where that is expected to pay.
+    /// Requests health checks of unresponsive hosts, and sends a hedged attempt if that is expected to answer
+    /// earlier.
     void check(Request& request);
-    /// When a request with attempts in flight is to be checked next, its deadline at the latest.
+    /// Time of the next check of a request with attempts in flight, at most its deadline.
     [[nodiscard]] Millis nextCheckAt(const Request& request) const;
 
 private:
     void checkUnresponsiveHosts(const Request& request);
     void hedge(Request& request);
-    bool pays(const Request& request, const Attempt& attempt,
-              const std::vector<coordinator::policy::Scored>& choice, double silence);
+    bool isWorthHedging(const Request& request, const Attempt& attempt,
+                        const std::vector<coordinator::policy::Scored>& choice, double silence);
 
     DispatchState& state_;
     AttemptSender& sender_;
--- a/src/dispatch/predictor.hpp
+++ b/src/dispatch/predictor.hpp
@@ -1,5 +1,5 @@
-/// The times t and failure rates f that the retry design's score is made of, learnt from this gateway's own attempts, and
-/// for model hosts the time to prefill what a prompt has that the host is not expected to have cached.
+/// Predicts the times t and failure rates f of the retry design's score from this gateway's own attempts and,
+/// for model servers, the time to prefill the part of a prompt that the host is not expected to have cached.
 #pragma once
 
 #include <algorithm>
@@ -12,66 +12,67 @@
 
 namespace beechpoint::dispatch {
 
-/// What is known of a route's requests over all hosts. Times are normal ones: without queue and prefill.
+/// Statistics of a route's requests over all hosts. Times exclude queueing and prefill.
 struct RouteRecord {
     RouteId id = 0;
     coordinator::policy::Mean time{coordinator::policy::kWindowS};
     Millis latencyTarget = 0;
     Millis usedAt = 0;
 
-    static constexpr Millis kLeastTarget = 10;
+    static constexpr Millis kMinLatencyTarget = 10;
     double gainTargetS() const {
-        return coordinator::policy::kGainShare * std::max(latencyTarget, kLeastTarget) * 1e-3;
+        return coordinator::policy::kGainShare * std::max(latencyTarget, kMinLatencyTarget) * 1e-3;
     }
     double timeS(Millis now) const { return time.value(toNanos(now), gainTargetS()); }
 };
 
-/// What is common to the hosts of a service.
+/// State common to the hosts of a service.
 struct ServiceLoad {
     bool engine = false;
     PrefillRate rate;
-    double usualWaiting = 0;  ///< own attempts per host without a first event, over the last seconds
+    double meanWaitingPerHost = 0;  ///< this gateway's attempts without a first event, moving average
     int gateways = 1;
-    bool othersReported = false;  ///< the other gateways report what they have waiting
-    bool hostSpeed = true;        ///< hosts differ in speed
+    bool peerLoadKnown = false;  ///< the other gateways report their load
+    bool hostSpeed = true;       ///< whether to use the measured speed of each host
 };
 
-/// An attempt as it was sent.
+/// An attempt in flight, with the predictions from the time it was sent.
 struct SentAttempt {
     int host = 0;
     std::string service;
     std::string route;
     Millis sentAt = 0;
-    double tokens = 0;    ///< to be prefilled, as expected
-    double workS = 0;     ///< and the seconds that it takes
-    int ahead = 0;        ///< own attempts without a first event then
-    double aheadS = 0;    ///< seconds of prefill before it, of all gateways as far as known
-    bool waiting = true;  ///< for the first event
+    double prefillTokens = 0;  ///< expected tokens to prefill
+    double prefillS = 0;       ///< expected time to prefill them, seconds
+    int attemptsAhead = 0;     ///< attempts already waiting at the host, of all known gateways
+    double prefillAheadS = 0;  ///< prefill time of these, seconds
+    bool awaitingFirstByte = true;
 };
 
-/// Functions over the records; owns nothing.
+/// Stateless functions on the records.
 class Predictor {
 public:
-    /// Seconds to the first event of a request of the route that has `tokens` to be prefilled there.
+    /// Expected seconds to the first event of a request of the route with `tokens` to prefill at the host.
     [[nodiscard]] static double timeS(const HostSlot& slot, const RouteRecord& route, const ServiceLoad& load,
                                       double tokens, Millis now);
-    /// Seconds that the host still prefills for what waits there, of all gateways as far as known.
+    /// Remaining prefill time of the attempts waiting at the host, of all known gateways, in seconds.
     [[nodiscard]] static double backlog(const HostSlot& slot, const ServiceLoad& load, Millis now);
-    /// Seconds that the host takes to prefill so many prompt tokens.
+    /// Seconds that the host takes to prefill `tokens`.
     [[nodiscard]] static double prefillS(const HostSlot& slot, const ServiceLoad& load, double tokens,
                                          Millis now);
-    /// Expected part of the route's requests that fail there.
+    /// Expected fraction of the route's requests that fail at the host.
     [[nodiscard]] static double failureRate(const HostSlot& slot, RouteId route, Millis now);
 
-    /// An attempt is sent: it is waiting there.
-    static void sent(HostSlot& slot, RouteId route, const SentAttempt& attempt);
-    /// It no longer waits: its first event came, or it ended.
-    static void waitingEnded(HostSlot& slot, RouteId route, SentAttempt& attempt, Millis now);
-    /// It took `tookS` to its first event (or complete answer), or certainly more (`atLeast`).
-    static void learnTime(HostSlot& slot, RouteRecord& route, ServiceLoad& load, const SentAttempt& attempt,
-                          double tookS, bool atLeast, Millis now);
-    /// It ended: `served` properly, or as the host's failure.
-    static void learnEnd(HostSlot& slot, RouteId route, bool served, Millis now);
+    /// An attempt is sent to the host and waits for its first event.
+    static void recordSend(HostSlot& slot, RouteId route, const SentAttempt& attempt);
+    /// The attempt stops waiting: its first event was received, or it ended.
+    static void endWaiting(HostSlot& slot, RouteId route, SentAttempt& attempt, Millis now);
+    /// Records the time to the first event (or complete answer); `isLowerBound`: it was not received within
+    /// `elapsedS`.
+    static void recordTime(HostSlot& slot, RouteRecord& route, ServiceLoad& load, const SentAttempt& attempt,
+                           double elapsedS, bool isLowerBound, Millis now);
+    /// Records whether the attempt was served or failed at the host.
+    static void recordOutcome(HostSlot& slot, RouteId route, bool served, Millis now);
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/prefill_rate.hpp
+++ b/src/dispatch/prefill_rate.hpp
@@ -1,6 +1,7 @@
-/// How long the model hosts of a service take to prefill, learnt from (tokens, time to the first event) of attempts that
-/// were alone at their host: the slope of a line through them, with weights that fall by age, and for each size of prompt by how much
-/// the times lie off that line (long prompts take more than in proportion, and what was expected to be cached is not always there).
+/// Estimates the prefill time of a service's model servers from (tokens, time to the first event) of attempts
+/// that were alone at their host: a linear fit with weights that decay with age, and a correction factor per
+/// bucket of prompt sizes. The corrections are needed because long prompts take more than proportional time,
+/// and because tokens that were expected to be cached sometimes are not.
 #pragma once
 
 #include <array>
@@ -8,33 +9,33 @@
 
 namespace beechpoint::dispatch {
 
-/// One object a service.
+/// One per service.
 class PrefillRate {
 public:
-    /// One more measurement; the weight of the earlier ones falls.
+    /// Adds a measurement; the weights of the earlier ones decay.
     void add(double tokens, double seconds);
-    /// Slope of the line.
+    /// Slope of the fit.
     [[nodiscard]] double tokensPerSecond() const { return rate_; }
-    /// Expected prefill time of so many tokens.
+    /// Expected prefill time of `tokens`.
     [[nodiscard]] double seconds(double tokens) const;
 
 private:
-    static constexpr double kDefault = 40000;  // tokens a second, until enough has been seen
+    static constexpr double kDefaultRate = 40000;  // tokens per second, until there are enough measurements
     double weight_ = 0;
     double tokens_ = 0;
-    double time_ = 0;
+    double seconds_ = 0;
     double tokensSquared_ = 0;
-    double product_ = 0;
-    double rate_ = kDefault;
+    double tokenSeconds_ = 0;
+    double rate_ = kDefaultRate;
 
-    static constexpr std::size_t kSizes = 8;  // each twice the one before
-    static std::size_t sizeOf(double tokens);
+    static constexpr std::size_t kBuckets = 8;  // each covers twice the prompt size of the one before
+    static std::size_t bucketOf(double tokens);
     void correct(double tokens, double seconds);
     struct Correction {
         double factor = 1;
-        double weight = 4;  // of the 1 that is assumed
+        double weight = 4;  // of the initial factor 1
     };
-    std::array<Correction, kSizes> corrections_{};
+    std::array<Correction, kBuckets> corrections_{};
 };
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/prefix_affinity.cpp
+++ b/src/dispatch/prefix_affinity.cpp
@@ -9,19 +9,20 @@
 
 namespace {
 
-constexpr double kLoadFactor = 1.25;  // of the mean, as in consistent hashing with bounded loads
-constexpr double kLoadFree = 3;       // and these on top: small numbers are chance
+// Multiple of the mean load (Mirrokni et al., "Consistent Hashing with Bounded Loads").
+constexpr double kBoundedLoadFactor = 1.25;
+constexpr double kBoundedLoadSlack = 3;  // added, since small counts vary at random
 
 constexpr std::uint64_t kFnvOffset = 0xCBF29CE484222325ULL;
 constexpr std::uint64_t kFnvPrime = 0x100000001B3ULL;
 
-std::uint64_t absorb(std::uint64_t hash, std::string_view text) {
+std::uint64_t fnv1a(std::uint64_t hash, std::string_view text) {
     for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kFnvPrime;
-    return (hash ^ 0xFF) * kFnvPrime;  // an end mark: "ab","c" is not "a","bc"
+    return (hash ^ 0xFF) * kFnvPrime;  // terminator: "ab","c" differs from "a","bc"
 }
 
-// Finaliser of SplitMix64: FNV alone leaves the high bits of similar names alike.
-std::uint64_t finish(std::uint64_t hash) {
+// The SplitMix64 finalizer: with FNV-1a alone, similar names have similar high bits.
+std::uint64_t mix(std::uint64_t hash) {
     hash = (hash ^ (hash >> 30)) * 0xBF58476D1CE4E5B9ULL;
     hash = (hash ^ (hash >> 27)) * 0x94D049BB133111EBULL;
     return hash ^ (hash >> 31);
@@ -32,18 +33,18 @@
 SharedPrefix sharedPrefix(const std::vector<PromptPart>& prompt) {
     SharedPrefix shared{kFnvOffset, 0};
     for (std::size_t i = 0; i + 1 < prompt.size(); ++i) {
-        shared.key = absorb(shared.key, prompt[i].id);
+        shared.key = fnv1a(shared.key, prompt[i].id);
         shared.tokens += prompt[i].tokens;
     }
     return shared;
 }
 
 std::uint32_t hostKey(const std::string& instanceId) {
-    return static_cast<std::uint32_t>(finish(absorb(kFnvOffset, instanceId)));
+    return static_cast<std::uint32_t>(mix(fnv1a(kFnvOffset, instanceId)));
 }
 
 std::uint64_t rendezvousWeight(std::uint64_t key, const std::string& instance) {
-    return finish(finish(key) ^ absorb(kFnvOffset, instance));
+    return mix(mix(key) ^ fnv1a(kFnvOffset, instance));
 }
 
 std::vector<int> rendezvousRanks(std::uint64_t key, const std::vector<const std::string*>& instances) {
@@ -59,14 +60,14 @@
     return ranks;
 }
 
-double expectedMiss(int rank) {
-    constexpr std::array<double, 3> kMisses = {0, 0.6, 0.8};
+double expectedMissRatio(int rank) {
+    constexpr std::array<double, 3> kMissRatios = {0, 0.6, 0.8};
     const auto index = static_cast<std::size_t>(rank);
-    return index < kMisses.size() ? kMisses[index] : 1;
+    return index < kMissRatios.size() ? kMissRatios[index] : 1;
 }
 
-bool overloadedHome(int waiting, double meanWaiting) {
-    return waiting > kLoadFactor * meanWaiting + kLoadFree;
+bool isHomeOverloaded(int waiting, double meanWaiting) {
+    return waiting > kBoundedLoadFactor * meanWaiting + kBoundedLoadSlack;
 }
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/prefix_affinity.hpp
+++ b/src/dispatch/prefix_affinity.hpp
@@ -1,7 +1,7 @@
-/// Which model host is expected to have the shared parts of a prompt in its prefix cache: the prefix's home. All gateways
-/// agree on it without communication: the
-/// hosts are ordered for each prefix by rendezvous hashing of (prefix, instance), so a host that comes or goes moves
-/// only the prefixes that it holds.
+/// Prefix affinity: the host that is expected to have a prompt's shared parts in its prefix cache is the
+/// prefix's home. For each prefix the hosts are ordered by rendezvous hashing of (prefix, instance). All
+/// gateways compute the same order without communication, and adding or removing a host moves only the
+/// prefixes that it holds.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,26 @@
 
 namespace beechpoint::dispatch {
 
-/// The parts of a prompt before its last one, which is the request's own or its session's.
+/// All parts of a prompt but the last, which belongs to the request or its session.
 struct SharedPrefix {
     std::uint64_t key = 0;     ///< hash of the parts' ids
-    std::uint32_t tokens = 0;  ///< 0: nothing is shared
+    std::uint32_t tokens = 0;  ///< 0: no shared parts
 };
 
 [[nodiscard]] SharedPrefix sharedPrefix(const std::vector<PromptPart>& prompt);
 
-/// Highest random weight: the host with the highest one comes first.
+/// Weight of an instance for a key in rendezvous (highest random weight) hashing.
 [[nodiscard]] std::uint64_t rendezvousWeight(std::uint64_t key, const std::string& instance);
 
-/// The rank of each instance in the prefix's order, in the order given: 0 is its home.
+/// Rank of each instance for the prefix, in the order of `instances`; 0 is the home.
 [[nodiscard]] std::vector<int> rendezvousRanks(std::uint64_t key,
                                                const std::vector<const std::string*>& instances);
 
-/// The part of the prefix that a host of this rank is expected to have to prefill. Spilled requests go to the second and
-/// third in order first, so these hold it now and then.
-[[nodiscard]] double expectedMiss(int rank);
+/// Fraction of the prefix that a host of this rank is expected to prefill. Requests spill to ranks 1 and 2
+/// first, so these sometimes have it cached.
+[[nodiscard]] double expectedMissRatio(int rank);
 
-/// Bounded load: whether a home has so much waiting that it takes no more for the sake of its cache.
-[[nodiscard]] bool overloadedHome(int waiting, double meanWaiting);
+/// Whether so many attempts wait at a home that its cache no longer counts in its favour (bounded load).
+[[nodiscard]] bool isHomeOverloaded(int waiting, double meanWaiting);
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/reported_load.cpp
+++ b/src/dispatch/reported_load.cpp
@@ -17,7 +17,7 @@
     }
     for (const HostLoad& each : load.hosts) replace(source, each, now);
     for (const HostSpeed& speed : load.speeds)
-        if (const int index = hosts_.findKey(speed.host); index >= 0)
+        if (const int index = hosts_.findByKey(speed.host); index >= 0)
             hosts_.at(index).slowness.add(toNanos(now), speed.slowness);
 }
 
@@ -36,7 +36,7 @@
 
 void ReportedLoad::add(std::uint32_t host, int waiting, double workS, Millis now) {
     Figures& total = totals_[host];
-    const int index = hosts_.findKey(host);
+    const int index = hosts_.findByKey(host);
     if (index >= 0 && (total.waiting + hosts_.at(index).waiting == 0 || waiting < 0))
         hosts_.at(index).progressAt = now;
     total.waiting += waiting;
@@ -46,10 +46,10 @@
 }
 
 void ReportedLoad::write(std::uint32_t host, const Figures& total) {
-    const int index = hosts_.findKey(host);
+    const int index = hosts_.findByKey(host);
     if (index < 0) return;
-    hosts_.at(index).othersWaiting = total.waiting;
-    hosts_.at(index).othersS = std::max(0.0, total.workS);
+    hosts_.at(index).peerWaiting = total.waiting;
+    hosts_.at(index).peerPrefillS = std::max(0.0, total.workS);
 }
 
 void ReportedLoad::hostsChanged() {
--- a/src/dispatch/reported_load.hpp
+++ b/src/dispatch/reported_load.hpp
@@ -1,8 +1,9 @@
-/// What other gateways report to have waiting at each host (Prequal, 2024). A gateway alone sees a small part of the
-/// requests; a prompt that it sends behind another gateway's waits for the prefill of both.
+/// Load that other gateways report for each host ("Load is not what you should balance: Introducing Prequal",
+/// 2024). Each gateway sends only a small part of the requests, and a prompt that is sent after another
+/// gateway's waits for both prefills.
 ///
-/// Each source (a gateway, or all gateways of another zone together) reports absolute figures, so a message that is lost or comes
-/// twice does no lasting harm. A source counts for nothing once its last report is no longer valid.
+/// Each source (a gateway, or all gateways of another zone together) reports absolute values, so a lost or
+/// duplicate message has no lasting effect. A source's load is dropped when its last report expires.
 #pragma once
 
 #include <cstddef>
@@ -17,19 +18,19 @@
 
 namespace beechpoint::dispatch {
 
-/// Owns the figures by source, and writes their totals into the slots of the host table.
+/// Owns the load by source and writes the totals into the slots of the host table.
 class ReportedLoad {
 public:
     static constexpr std::size_t kMaxSources = 1024;
-    static constexpr std::size_t kMaxHosts = 4096;  ///< of one source
+    static constexpr std::size_t kMaxHosts = 4096;  ///< per source
 
     explicit ReportedLoad(HostTable& hosts) : hosts_(hosts) {}
 
-    /// A report has come. Sources and hosts beyond the bounds are ignored.
+    /// Applies a report. Sources and hosts beyond the limits are ignored.
     void update(const PeerLoad& load, Millis now);
-    /// The table of hosts has changed: writes the totals into their slots again.
+    /// The host table has changed: writes the totals into its slots again.
     void hostsChanged();
-    /// Forgets sources whose last report is no longer valid.
+    /// Removes sources whose last report has expired.
     void expire(Millis now);
     /// Whether any source has a valid report.
     [[nodiscard]] bool active() const { return !sources_.empty(); }
--- a/src/dispatch/request_arrivals.cpp
+++ b/src/dispatch/request_arrivals.cpp
@@ -19,7 +19,7 @@
     if (requests_.contains(arrived.id)) return;
     Request request = makeRequest(arrived, state_.random(), state_.now);
     if (const auto reject = rejection(request)) {
-        state_.actions.act(*reject);
+        state_.actions.add(*reject);
         return;
     }
     initialSend_.send(requests_.add(std::move(request)));
--- a/src/dispatch/request_arrivals.hpp
+++ b/src/dispatch/request_arrivals.hpp
@@ -1,4 +1,4 @@
-/// What becomes of a request at its arrival: rejected, or taken in and sent.
+/// Handles arriving requests: they are rejected, or admitted and sent.
 #pragma once
 
 #include <optional>
@@ -12,14 +12,15 @@
 
 namespace beechpoint::dispatch {
 
-/// Applies the limits at arrival in this order: a service to send to and time left, the limit of requests, admission.
+/// Checks at arrival, in this order: a service and time left, the request limit, admission control.
 class RequestArrivals {
 public:
     RequestArrivals(DispatchState& state, RequestTable& requests, AttemptSender& sender,
                     InitialSend& initialSend, RequestChecks& checks)
         : state_(state), requests_(requests), sender_(sender), initialSend_(initialSend), checks_(checks) {}
 
-    /// A request that is known already changes nothing. Each other one takes one random draw, also a rejected one.
+    /// Ignores a request that is already in the table. Every other request, also a rejected one, uses one
+    /// random number.
     void handle(const RequestArrived& arrived);
 
 private:
--- a/src/dispatch/request_checks.hpp
+++ b/src/dispatch/request_checks.hpp
@@ -1,4 +1,4 @@
-/// Time: checks requests when they are due, and all that wait for a host when hosts have changed.
+/// Checks requests when their check is due, and all pending requests when the hosts have changed.
 #pragma once
 
 #include <vector>
@@ -12,7 +12,7 @@
 
 namespace beechpoint::dispatch {
 
-/// Keeps the invariant that each request in the table has a check scheduled, no later than its deadline.
+/// Invariant: each request in the table has a check scheduled no later than its deadline.
 class RequestChecks {
 public:
     RequestChecks(DispatchState& state, RequestTable& requests, InitialSend& initialSend, Failover& failover,
@@ -24,11 +24,11 @@
           overdue_(overdue),
           completion_(completion) {}
 
-    /// Checks those that are due now, the more urgent first.
+    /// Checks the requests that are due, most urgent first.
     void checkDue();
-    /// Checks those that wait for a host, the more urgent first.
+    /// Checks the pending requests, most urgent first.
     void checkPending();
-    /// The request has changed: sets the time of its next check. Nothing where it has ended.
+    /// Schedules the next check of a request that has changed. No effect if it has ended.
     void schedule(RequestId id);
 
 private:
--- a/src/dispatch/request_completion.cpp
+++ b/src/dispatch/request_completion.cpp
@@ -17,7 +17,7 @@
     if (request.relayed == number) return;
     request.relayed = number;
     request.open = true;
-    state_.actions.act(Relay{request.arrival.id, number});
+    state_.actions.add(Relay{request.arrival.id, number});
     cancelOthers(request, number);
 }
 
@@ -29,13 +29,13 @@
 void RequestCompletion::giveUp(Request& request, RejectReason reason) {
     const RequestId id = request.arrival.id;
     if (request.open) {
-        state_.actions.act(AbortResponse{id, reason});
+        state_.actions.add(AbortResponse{id, reason});
     } else if (!request.mayHaveRun()) {
-        // A Reject promises that nothing has run, also where running twice would do no harm.
+        // A Reject guarantees that nothing has run, for idempotent requests too.
         const Millis advice = retryAfter(0, request.deadlineAt - state_.now);
-        state_.actions.act(Reject{id, kServiceUnavailable, advice, reason});
+        state_.actions.add(Reject{id, kServiceUnavailable, advice, reason});
     } else {
-        state_.actions.act(Fail{id, kBadGateway, reason});
+        state_.actions.add(Fail{id, kBadGateway, reason});
     }
     end(request);
 }
@@ -50,7 +50,7 @@
         giveUp(request, RejectReason::deadlinePassed);
         return;
     }
-    state_.actions.act(Fail{id, kGatewayTimeout, RejectReason::deadlinePassed});
+    state_.actions.add(Fail{id, kGatewayTimeout, RejectReason::deadlinePassed});
     end(request);
 }
 
@@ -59,7 +59,7 @@
         Attempt& attempt = request.attempt(i);
         if (i == except || !attempt.inFlight || attempt.cancelled) continue;
         attempt.cancelled = true;
-        state_.actions.act(Cancel{request.arrival.id, i});
+        state_.actions.add(Cancel{request.arrival.id, i});
     }
 }
 
--- a/src/dispatch/request_completion.hpp
+++ b/src/dispatch/request_completion.hpp
@@ -1,4 +1,4 @@
-/// How a request ends: its answer is relayed, or it gets its final action.
+/// Ends requests: their answer is relayed, or they get their final action.
 #pragma once
 
 #include "dispatch/dispatch_state.hpp"
@@ -7,22 +7,23 @@
 
 namespace beechpoint::dispatch {
 
-/// Gives each request exactly one end. All functions but relay() and cancelOthers() erase the request from the table:
-/// the reference is invalid afterwards. Attempts still in flight are cancelled, and their ends only teach.
+/// Ends each request exactly once. All functions but relay() and cancelOthers() may erase the request from
+/// the table, which invalidates the reference. Attempts in flight are cancelled, and their results only
+/// update statistics.
 class RequestCompletion {
 public:
     RequestCompletion(DispatchState& state, RequestTable& requests) : state_(state), requests_(requests) {}
 
-    /// This attempt's answer becomes the client's; the others are cancelled. Nothing where it is already.
+    /// Relays this attempt's answer to the client and cancels the others. No effect if it is already relayed.
     void relay(Request& request, int number);
-    /// The relayed answer has come to its end, or nobody waits for the request any more: no action but cancellations.
+    /// The relayed answer is complete, or the client has disconnected: only cancels the attempts in flight.
     void end(Request& request);
-    /// Ends it by what is certain: AbortResponse once the answer has begun, Reject (503) where nothing has run, else
-    /// Fail (502).
+    /// Ends the request by AbortResponse if the answer has begun, Reject (503) if nothing has run, and
+    /// otherwise Fail (502).
     void giveUp(Request& request, RejectReason reason);
-    /// The same, unless an attempt is in flight that may still answer.
+    /// Calls giveUp() unless an attempt is in flight that may still answer.
     void giveUpUnlessInFlight(Request& request, RejectReason reason);
-    /// Its deadline has passed: AbortResponse, Reject (503) where nothing has run, else Fail (504).
+    /// The deadline has passed: like giveUp(), but Fail has status 504.
     void timeOut(Request& request);
 
 private:
--- a/src/dispatch/request_factory.cpp
+++ b/src/dispatch/request_factory.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Guesses, for what a request costs between regions.
+// Estimates for the cost of transfers between regions.
 constexpr double kBytesPerTokenIn = 3;
 constexpr double kBytesPerTokenOut = 10;
 
--- a/src/dispatch/request_factory.hpp
+++ b/src/dispatch/request_factory.hpp
@@ -1,4 +1,4 @@
-/// Makes the dispatcher's Request of the event that announces it.
+/// Creates a Request from its RequestArrived event.
 #pragma once
 
 #include "core/clock.hpp"
@@ -7,8 +7,8 @@
 
 namespace beechpoint::dispatch {
 
-/// `draw`, from 0 up to 1, picks the service by the weights of the route's split; Request::service stays empty where they
-/// add up to nothing.
+/// `draw`, in [0, 1), selects the service by the weights of the route's split. Request::service stays empty
+/// if the weights sum to 0.
 [[nodiscard]] Request makeRequest(const RequestArrived& arrived, double draw, Millis now);
 
 }  // namespace beechpoint::dispatch
--- a/src/dispatch/request_table.cpp
+++ b/src/dispatch/request_table.cpp
@@ -49,7 +49,7 @@
     return ids;
 }
 
-// The id comes last, so that the order never depends on the hash table's.
+// The id breaks ties, so that the order does not depend on the hash table.
 void RequestTable::sortByUrgency(std::vector<RequestId>& ids) const {
     std::sort(ids.begin(), ids.end(), [&](RequestId left, RequestId right) {
         const Request& first = requests_.at(left);
--- a/src/dispatch/request_table.hpp
+++ b/src/dispatch/request_table.hpp
@@ -1,4 +1,4 @@
-/// The requests that have no final answer yet, and when each is to be checked next.
+/// The requests that have not ended, and the time of each one's next check.
 #pragma once
 
 #include <cstddef>
@@ -12,30 +12,30 @@
 
 namespace beechpoint::dispatch {
 
-/// Owns the requests. References stay valid until erase() of that request. Results that list several requests have an
-/// order that depends on the requests alone, so that decisions are reproducible.
+/// Owns the requests. References stay valid until erase() of that request. Lists of requests have an order
+/// that depends on the requests alone, so that decisions are reproducible.
 class RequestTable {
 public:
     [[nodiscard]] bool contains(RequestId id) const { return requests_.contains(id); }
     [[nodiscard]] std::size_t size() const { return requests_.size(); }
-    /// Takes in a request whose id is not known yet.
+    /// Adds a request whose id is not in the table yet.
     Request& add(Request request);
     /// nullptr: no such request, or it has ended.
     [[nodiscard]] Request* find(RequestId id);
-    /// The same; nullptr also where the request has no such attempt.
+    /// The same; nullptr also if the request has no such attempt.
     [[nodiscard]] Request* findWithAttempt(RequestId id, int attempt);
     void erase(RequestId id);
 
     /// All requests, by id.
     [[nodiscard]] std::vector<RequestId> all() const;
-    /// Those that wait for a host, the more urgent first and then in order of arrival.
+    /// The pending requests, most urgent first, then in order of arrival.
     [[nodiscard]] std::vector<RequestId> pending() const;
-    /// Those whose check is due, in the same order.
+    /// The requests whose check is due, in the same order.
     [[nodiscard]] std::vector<RequestId> due(Millis now) const;
 
     /// Replaces the time of the request's next check.
     void scheduleCheck(RequestId id, Millis at) { checks_.set(id, at); }
-    /// Infinity: none is scheduled.
+    /// Time of the earliest check; infinity: none is scheduled.
     [[nodiscard]] Millis nextCheckAt() const { return checks_.next(); }
 
 private:
--- a/src/dispatch/route_table.hpp
+++ b/src/dispatch/route_table.hpp
@@ -1,4 +1,4 @@
-/// What is known of each route's requests over all hosts. Bounded: the least recently used one is evicted.
+/// Statistics of each route's requests over all hosts. Bounded: the least recently used record is evicted.
 #pragma once
 
 #include <cstddef>
@@ -13,9 +13,9 @@
 /// Owns the records; references are valid until the next use() or prune().
 class RouteTable {
 public:
-    /// The route's record, made where there is none, and marked as used now.
+    /// The route's record, created if there is none. Marks it as used now.
     RouteRecord& use(const std::string& name, Millis now);
-    /// Forgets those that were not used since `oldest`.
+    /// Removes records that were not used since `oldest`.
     void prune(Millis oldest);
 
 private:
--- a/src/dispatch/service_state.hpp
+++ b/src/dispatch/service_state.hpp
@@ -1,4 +1,4 @@
-/// A service as the dispatcher knows it: its settings, this gateway's part of the budgets, and its hosts' common figures.
+/// State of a service: its settings, this gateway's share of the budgets, and its load statistics.
 #pragma once
 
 #include "core/clock.hpp"
@@ -17,11 +17,11 @@
     RetryBudget budget;
     SlowStartShare slowStartShare;
     ServiceLoad load;
-    bool configured = false;            ///< in the configuration in force
-    bool slowStartShareUnsure = false;  ///< made while sends of an earlier process may still count
+    bool configured = false;                 ///< in the active configuration
+    bool slowStartShareProvisional = false;  ///< computed while sends of a previous process may still count
     Millis usedAt = 0;
 
-    /// Whether hosts that are warming up have a bound of requests.
+    /// Whether requests to hosts that are warming up are limited.
     [[nodiscard]] bool warmupBounded() const { return service.warmupPerS > 0; }
     [[nodiscard]] Millis warmup() const { return service.warmupS * 1000; }
 };
--- a/src/dispatch/service_table.cpp
+++ b/src/dispatch/service_table.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr double kUsualMemoryMs = 10000;
+constexpr double kSmoothingMs = 10000;
 
 }  // namespace
 
-ServiceState& ServiceTable::at(const std::string& name, Millis now) {
+ServiceState& ServiceTable::getOrCreate(const std::string& name, Millis now) {
     const auto found = services_.find(name);
     if (found != services_.end()) return found->second;
     const RetryBounds bounds{settings_.retryBudgetRatio, settings_.retryWindow, settings_.retryBudgetSlack};
@@ -26,18 +26,18 @@
 }
 
 ServiceState& ServiceTable::use(const std::string& name, Millis now) {
-    ServiceState& state = at(name, now);
-    if (state.slowStartShareUnsure && !earlierProcessMayCount(now)) applyFleet(state, now);
+    ServiceState& state = getOrCreate(name, now);
+    if (state.slowStartShareProvisional && !previousProcessMayCount(now)) applyFleet(state, now);
     state.usedAt = now;
     return state;
 }
 
-// While that is so, an earlier process of this gateway may have sent as well.
+// While sends of a previous process may count, the slow-start share is 0.
 void ServiceTable::applyFleet(ServiceState& state, Millis now) {
     const double bound = state.service.warmupPerS * settings_.warmupOvershoot + settings_.warmupSlack;
-    state.slowStartShareUnsure = earlierProcessMayCount(now);
-    state.slowStartShare =
-        SlowStartShare(bound, fleet_.liveGateways, fleet_.known && !state.slowStartShareUnsure, fleet_.rank);
+    state.slowStartShareProvisional = previousProcessMayCount(now);
+    state.slowStartShare = SlowStartShare(bound, fleet_.liveGateways,
+                                          fleet_.known && !state.slowStartShareProvisional, fleet_.rank);
     state.budget.setFleet(fleet_.liveGateways, fleet_.known);
     state.load.gateways = std::max(1, fleet_.liveGateways);
 }
@@ -45,7 +45,7 @@
 void ServiceTable::configure(const ServiceList& list, Millis now) {
     for (auto& [name, state] : services_) state.configured = false;
     for (const Service& each : list.services) {
-        ServiceState& state = at(each.name, now);
+        ServiceState& state = getOrCreate(each.name, now);
         state.service = each;
         state.configured = true;
         state.load.engine = each.engine;
@@ -58,20 +58,20 @@
     for (auto& [name, state] : services_) applyFleet(state, now);
 }
 
-void ServiceTable::smoothWaiting(const HostTable& hosts, Millis passed) {
+void ServiceTable::updateMeanWaiting(const HostTable& hosts, Millis passed) {
     if (passed <= 0) return;
-    const double decay = std::exp(-passed / kUsualMemoryMs);
+    const double decay = std::exp(-passed / kSmoothingMs);
     for (auto& [name, state] : services_) {
         const std::vector<int>& own = hosts.ofService(name);
         double waiting = 0;
         for (const int i : own) waiting += hosts.at(i).waiting;
         const double mean = waiting / static_cast<double>(std::max<std::size_t>(1, own.size()));
-        state.load.usualWaiting = decay * state.load.usualWaiting + (1 - decay) * mean;
+        state.load.meanWaitingPerHost = decay * state.load.meanWaitingPerHost + (1 - decay) * mean;
     }
 }
 
-void ServiceTable::setLoadReported(bool reported) {
-    for (auto& [name, state] : services_) state.load.othersReported = reported;
+void ServiceTable::setPeerLoadKnown(bool known) {
+    for (auto& [name, state] : services_) state.load.peerLoadKnown = known;
 }
 
 void ServiceTable::prune(Millis oldest) {
--- a/src/dispatch/service_table.hpp
+++ b/src/dispatch/service_table.hpp
@@ -1,5 +1,5 @@
-/// The services that requests go to, each with this gateway's part of the budgets. Bounded: a service that is not
-/// in the configuration is forgotten once it is not used.
+/// The services that requests are sent to, each with this gateway's share of the budgets. Bounded: an unused
+/// service that is not in the configuration is removed.
 #pragma once
 
 #include <string>
@@ -14,30 +14,30 @@
 
 struct Settings;
 
-/// Owns the states; references are valid until prune(), which never removes a service that was used lately.
+/// Owns the states; references are valid until prune(), which never removes a recently used service.
 class ServiceTable {
 public:
     ServiceTable(const Settings& settings, Millis startedAt) : settings_(settings), startedAt_(startedAt) {}
 
-    /// The service's state, made where there is none.
-    ServiceState& at(const std::string& name, Millis now);
-    /// The same for a request; marks the service as used now.
+    /// The service's state, created if there is none.
+    ServiceState& getOrCreate(const std::string& name, Millis now);
+    /// The same for a request. Marks the service as used now.
     ServiceState& use(const std::string& name, Millis now);
 
     /// Replaces the configuration.
     void configure(const ServiceList& list, Millis now);
-    /// The number of gateways that divide the budgets among themselves has changed.
+    /// The number of gateways that share the budgets has changed.
     void setFleet(const Fleet& fleet, Millis now);
-    /// Time passes: the usual number of attempts that wait at a host of each service.
-    void smoothWaiting(const HostTable& hosts, Millis passed);
-    /// Whether the other gateways report what they have waiting.
-    void setLoadReported(bool reported);
-    /// Forgets those that are not in the configuration and were not used since `oldest`.
+    /// Updates each service's moving average of attempts waiting per host.
+    void updateMeanWaiting(const HostTable& hosts, Millis passed);
+    /// Sets whether the other gateways report their load.
+    void setPeerLoadKnown(bool known);
+    /// Removes services that are not in the configuration and were not used since `oldest`.
     void prune(Millis oldest);
 
 private:
-    // Whether sends of an earlier process of this gateway may still count.
-    bool earlierProcessMayCount(Millis now) const { return now < startedAt_ + SlowStartShare::kSpan; }
+    // Whether sends of a previous process of this gateway may still be within the slow-start span.
+    bool previousProcessMayCount(Millis now) const { return now < startedAt_ + SlowStartShare::kSpan; }
     void applyFleet(ServiceState& state, Millis now);
 
     const Settings& settings_;
--- a/src/dispatch/sliding_count.hpp
+++ b/src/dispatch/sliding_count.hpp
@@ -1,4 +1,4 @@
-/// How many events fell into a sliding window, in buckets: memory is bounded whatever the rate.
+/// Counts the events in a sliding window. Events are grouped in buckets, so memory is bounded at any rate.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,18 @@
 
 namespace beechpoint::dispatch {
 
-/// Times must not go back.
+/// Times must not decrease.
 class SlidingCount {
 public:
-    /// Whether a bucket that lies across the window's older edge counts fully (an upper bound) or not at all (a lower one).
+    /// Whether a bucket across the window's older edge counts fully (upper bound) or not at all (lower
+    /// bound).
     enum class Edge { upper, lower };
 
     SlidingCount(Millis window, Edge edge) : window_(window), edge_(edge) {}
 
-    /// One event.
+    /// Adds an event.
     void add(Millis now) {
-        drop(now);
+        dropExpired(now);
         const Millis width = window_ / kBuckets;
         if (buckets_.empty() || now >= buckets_.back().start + width) buckets_.push_back({now, width, 0});
         ++buckets_.back().count;
@@ -26,7 +27,7 @@
     }
     /// Events in (now - window, now].
     [[nodiscard]] std::uint64_t count(Millis now) {
-        drop(now);
+        dropExpired(now);
         return total_;
     }
 
@@ -39,7 +40,7 @@
         Millis oldest(Edge edge) const { return edge == Edge::upper ? start + width : start; }
     };
 
-    void drop(Millis now) {
+    void dropExpired(Millis now) {
         while (!buckets_.empty() && buckets_.front().oldest(edge_) < now - window_) {
             total_ -= buckets_.front().count;
             buckets_.pop_front();
--- a/src/dispatch/timer_queue.hpp
+++ b/src/dispatch/timer_queue.hpp
@@ -1,4 +1,4 @@
-/// When each request is to be checked next.
+/// Timers of requests, ordered by time.
 #pragma once
 
 #include <limits>
@@ -12,23 +12,23 @@
 
 namespace beechpoint::dispatch {
 
-/// At most one time a request. Free of clocks and I/O: the owner asks what is due.
+/// Holds at most one timer per request. Uses no clock: the owner polls due().
 class TimerQueue {
 public:
-    /// Replaces the request's earlier time.
+    /// Sets the request's timer, replacing an earlier one.
     void set(RequestId id, Millis at) {
         erase(id);
         at_.emplace(id, at);
         order_.emplace(at, id);
     }
-    /// Nothing where no time is set.
+    /// No effect if no timer is set.
     void erase(RequestId id) {
         const auto found = at_.find(id);
         if (found == at_.end()) return;
         order_.erase({found->second, id});
         at_.erase(found);
     }
-    /// Those that are due, the longest due first.
+    /// The requests whose timer has expired, earliest first.
     [[nodiscard]] std::vector<RequestId> due(Millis now) const {
         std::vector<RequestId> ids;
         for (const auto& [at, id] : order_) {
@@ -37,7 +37,7 @@
         }
         return ids;
     }
-    /// The earliest time; infinity: none is set.
+    /// The earliest time; infinity: no timer is set.
     [[nodiscard]] Millis next() const {
         return order_.empty() ? std::numeric_limits<double>::infinity() : order_.begin()->first;
     }
--- a/tests/dispatch/admission_test.cpp
+++ b/tests/dispatch/admission_test.cpp
@@ -30,10 +30,10 @@
 
 TEST(Admission, RejectsAtArrivalWhenServiceIsFull) {
     Harness harness;
-    Host host = hostNamed("a");
+    Host host = makeHost("a");
     host.capacity = 2;
-    harness.start({host}, {serviceNamed("svc")});
-    // Enough slow answers that the host is known to be slow, and then more than it has capacity for.
+    harness.start({host}, {makeService("svc")});
+    // Slow answers first, so that the host is measured as slow, then more requests than its capacity.
     for (int i = 0; i < 10; ++i) {
         RequestArrived arrived = harness.request();
         arrived.deadline = 30000;
@@ -45,10 +45,10 @@
     for (int i = 0; i < 12 && !rejected; ++i) {
         RequestArrived arrived = harness.request(RequestType::nonIdempotent);
         arrived.priorityClass = 2;
-        const std::vector<Reject> rejections = only<Reject>(harness.handle(arrived));
+        const std::vector<Reject> rejections = actionsOf<Reject>(harness.handle(arrived));
         if (rejections.empty()) continue;
         rejected = true;
-        EXPECT_GE(i, 1);  // not while half of the capacity were free
+        EXPECT_GE(i, 1);  // not while half of the capacity is free
         EXPECT_EQ(rejections.front().status, 503);
         EXPECT_GT(rejections.front().retryAfter, 0);
         EXPECT_LE(rejections.front().retryAfter, 2000 / 3.0);
@@ -60,9 +60,9 @@
     Settings settings = testSettings();
     settings.maxRequests = 3;
     Harness harness(settings);
-    harness.start({hostNamed("a")}, {serviceNamed("svc")});
-    for (int i = 0; i < 3; ++i) EXPECT_TRUE(only<Reject>(harness.handle(harness.request())).empty());
-    EXPECT_EQ(only<Reject>(harness.handle(harness.request())).size(), 1u);
+    harness.start({makeHost("a")}, {makeService("svc")});
+    for (int i = 0; i < 3; ++i) EXPECT_TRUE(actionsOf<Reject>(harness.handle(harness.request())).empty());
+    EXPECT_EQ(actionsOf<Reject>(harness.handle(harness.request())).size(), 1u);
     EXPECT_EQ(harness.dispatcher.requestCount(), 3u);
 }
 
--- a/tests/dispatch/budget_test.cpp
+++ b/tests/dispatch/budget_test.cpp
@@ -20,10 +20,10 @@
         upper.add(now);
         lower.add(now);
         events.push_back(now);
-        const auto true_ = static_cast<std::uint64_t>(
+        const auto exact = static_cast<std::uint64_t>(
             events.end() - std::lower_bound(events.begin(), events.end(), now - 1000));
-        ASSERT_GE(upper.count(now), true_);
-        ASSERT_LE(lower.count(now), true_);
+        ASSERT_GE(upper.count(now), exact);
+        ASSERT_LE(lower.count(now), exact);
         ASSERT_LE(upper.count(now) - lower.count(now), 20u);
     }
 }
@@ -40,46 +40,46 @@
 TEST(RetryBudget, GrowsWithRequestsAndStaysSpentWithinWindow) {
     RetryBudget budget({0.2, 10000, 0});
     budget.setFleet(1, true);
-    for (int i = 0; i < 100; ++i) budget.requested(i);
-    int sent = 0;
-    while (budget.allows(100)) budget.spend(100), ++sent;
-    EXPECT_EQ(sent, 10);  // half of the ratio
+    for (int i = 0; i < 100; ++i) budget.recordRequest(i);
+    int retryCount = 0;
+    while (budget.allows(100)) budget.spend(100), ++retryCount;
+    EXPECT_EQ(retryCount, 10);  // half of the ratio
     EXPECT_FALSE(budget.allows(9000));
 }
 
-// For random traffic at random gateways, a third more of them than are known, further sends never exceed the rule's
-// budget in any window, however many are wanted.
+// With half as many gateways again as are known and random traffic, the retries of all gateways together stay
+// within the budget in every window.
 TEST(RetryBudgetProperty, SumOverGatewaysStaysUnderBudgetWithRandomTraffic) {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         SplitMix random(seed);
         const int known = 1 + static_cast<int>(random.below(8));
-        const int real = known + known / 2;
+        const int actual = known + known / 2;
         const RetryBounds bounds{0.05 + 0.3 * random(), 10000, 60 * random()};
-        std::vector<RetryBudget> budgets(static_cast<std::size_t>(real), RetryBudget(bounds));
+        std::vector<RetryBudget> budgets(static_cast<std::size_t>(actual), RetryBudget(bounds));
         for (RetryBudget& budget : budgets) budget.setFleet(known, true);
-        std::vector<Millis> requests, further;
-        double load = 0.05;
+        std::vector<Millis> requests, retries;
+        double requestProbability = 0.05;
         for (Millis now = 0; now < 40000; now += 5) {
-            if (static_cast<int>(now) % 4000 == 0) load = random() * random();
+            if (static_cast<int>(now) % 4000 == 0) requestProbability = random() * random();
             for (RetryBudget& budget : budgets) {
-                if (random() < load) budget.requested(now), requests.push_back(now);
+                if (random() < requestProbability) budget.recordRequest(now), requests.push_back(now);
                 if (random() < 0.3 && budget.allows(now)) {
                     budget.spend(now);
-                    further.push_back(now + 100 * random());  // its arrival
+                    retries.push_back(now + 100 * random());  // arrival time
                 }
             }
         }
-        std::sort(further.begin(), further.end());
-        const auto within = [](const std::vector<Millis>& times, Millis from, Millis to) {
+        std::sort(retries.begin(), retries.end());
+        const auto countWithin = [](const std::vector<Millis>& times, Millis from, Millis to) {
             return static_cast<double>(std::upper_bound(times.begin(), times.end(), to) -
                                        std::lower_bound(times.begin(), times.end(), from));
         };
-        for (const Millis start : further) {
+        for (const Millis start : retries) {
             const Millis window = bounds.window;
-            const double most =
-                std::max({within(requests, start, start + window), within(requests, start - window, start),
-                          within(requests, start - window / 2, start + window / 2)});
-            ASSERT_LE(within(further, start, start + window), bounds.ratio * most + bounds.slack)
+            const double maxRequests = std::max(
+                {countWithin(requests, start, start + window), countWithin(requests, start - window, start),
+                 countWithin(requests, start - window / 2, start + window / 2)});
+            ASSERT_LE(countWithin(retries, start, start + window), bounds.ratio * maxRequests + bounds.slack)
                 << "seed " << seed << " at " << start;
         }
     }
--- a/tests/dispatch/harness.hpp
+++ b/tests/dispatch/harness.hpp
@@ -11,8 +11,8 @@
 
 namespace beechpoint::dispatch {
 
-inline Host hostNamed(const std::string& name, const std::string& service = "svc",
-                      const std::string& region = "north", const std::string& zone = "north-1") {
+inline Host makeHost(const std::string& name, const std::string& service = "svc",
+                     const std::string& region = "north", const std::string& zone = "north-1") {
     Host host;
     host.instanceId = name;
     host.service = service;
@@ -23,8 +23,8 @@
     return host;
 }
 
-inline Service serviceNamed(const std::string& name, double warmupS = 0, double warmupPerS = 0,
-                            bool engine = false) {
+inline Service makeService(const std::string& name, double warmupS = 0, double warmupPerS = 0,
+                           bool engine = false) {
     Service service;
     service.name = name;
     service.warmupS = warmupS;
@@ -47,7 +47,7 @@
     explicit Harness(Settings settings = testSettings(), std::uint64_t seed = 1)
         : now(1000000), dispatcher(std::move(settings), seed, now) {}
 
-    // Everything that the dispatcher does at one event.
+    // Passes an event to the dispatcher and returns its actions.
     std::vector<Action> handle(const Event& event) {
         std::vector<Action> actions;
         dispatcher.handle(now, event, actions);
@@ -56,7 +56,7 @@
         all.insert(all.end(), actions.begin(), actions.end());
         return actions;
     }
-    // Time passes; ticks come when they were asked for.
+    // Advances the virtual time, with a Tick whenever one was requested.
     std::vector<Action> advance(Millis span) {
         std::vector<Action> actions;
         const Millis end = now + span;
@@ -73,7 +73,7 @@
         handle(ServiceList{services});
         handle(Fleet{gateways, true, 0});
         handle(HostList{hosts});
-        advance(2000);  // past the time in which sends of an earlier process may count
+        advance(2000);  // past the span in which sends of a previous process count
     }
     RequestArrived request(RequestType type = RequestType::idempotent) {
         RequestArrived arrived;
@@ -100,7 +100,7 @@
                               const std::string& lastEventId = {}) {
         return handle(AttemptEnded{id, attempt, outcome, lastEventId, 0});
     }
-    // A complete proper answer.
+    // Passes the events of a complete usable answer.
     std::vector<Action> serve(RequestId id, int attempt) {
         std::vector<Action> actions = head(id, attempt);
         for (const std::vector<Action>& more :
@@ -116,8 +116,9 @@
     std::vector<Action> all;
 };
 
+// The actions of type T.
 template <class T>
-std::vector<T> only(const std::vector<Action>& actions) {
+std::vector<T> actionsOf(const std::vector<Action>& actions) {
     std::vector<T> result;
     for (const Action& action : actions)
         if (const T* one = std::get_if<T>(&action)) result.push_back(*one);
--- a/tests/dispatch/policy_test.cpp
+++ b/tests/dispatch/policy_test.cpp
@@ -1,4 +1,4 @@
-// The retry design's own pieces: draw, width test, failure tree.
+// Functions of the retry design: draw, width test, failure tree.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -60,7 +60,7 @@
 }
 
 TEST_F(WidthTest, IsLargestWidthThatGains) {
-    // The second adds nothing, the third does: the largest x counts, not the first failure.
+    // The second host gains nothing, the third does: the largest width that gains is used.
     for (int i = 0; i < 16; ++i) {
         recent[0].push_back(0.5), recent[1].push_back(0.5), recent[2].push_back(0.1);
     }
--- a/tests/dispatch/prefix_affinity_test.cpp
+++ b/tests/dispatch/prefix_affinity_test.cpp
@@ -49,7 +49,7 @@
     static std::vector<Host> hosts() {
         std::vector<Host> list;
         for (int i = 0; i < 8; ++i) {
-            Host host = hostNamed("i-" + std::to_string(i));
+            Host host = makeHost("i-" + std::to_string(i));
             host.capacity = 64;
             list.push_back(host);
         }
@@ -63,8 +63,8 @@
         arrived.maxOutputTokens = 50;
         return arrived;
     }
-    static std::string hostOf(Harness& harness, const RequestArrived& arrived) {
-        const std::vector<Send> sends = only<Send>(harness.handle(arrived));
+    static std::string sendAndServe(Harness& harness, const RequestArrived& arrived) {
+        const std::vector<Send> sends = actionsOf<Send>(harness.handle(arrived));
         EXPECT_EQ(sends.size(), 1u);
         harness.advance(50);
         harness.serve(arrived.id, 0);
@@ -73,13 +73,13 @@
 };
 
 TEST_F(PrefixAffinityTest, GatewaysWithDifferentSeedsChooseSameHostForLongPrefix) {
-    Harness one(testSettings(), 1), two(testSettings(), 99);
-    for (Harness* harness : {&one, &two}) harness->start(hosts(), {serviceNamed("svc", 0, 0, true)}, 2);
+    Harness first(testSettings(), 1), second(testSettings(), 99);
+    for (Harness* harness : {&first, &second}) harness->start(hosts(), {makeService("svc", 0, 0, true)}, 2);
     std::set<std::string> used;
     for (int document = 0; document < 40; ++document) {
-        const std::string host = hostOf(one, stream(one, document, 6000));
-        EXPECT_EQ(host, hostOf(two, stream(two, document, 6000)));
-        EXPECT_EQ(host, hostOf(one, stream(one, document, 6000)));
+        const std::string host = sendAndServe(first, stream(first, document, 6000));
+        EXPECT_EQ(host, sendAndServe(second, stream(second, document, 6000)));
+        EXPECT_EQ(host, sendAndServe(first, stream(first, document, 6000)));
         used.insert(host);
     }
     EXPECT_GE(used.size(), 6u);
@@ -87,18 +87,18 @@
 
 TEST_F(PrefixAffinityTest, ShortPrefixIsSpreadOverHosts) {
     Harness harness;
-    harness.start(hosts(), {serviceNamed("svc", 0, 0, true)});
+    harness.start(hosts(), {makeService("svc", 0, 0, true)});
     std::set<std::string> used;
-    for (int i = 0; i < 60; ++i) used.insert(hostOf(harness, stream(harness, 1, 60)));
+    for (int i = 0; i < 60; ++i) used.insert(sendAndServe(harness, stream(harness, 1, 60)));
     EXPECT_GE(used.size(), 4u);
 }
 
 TEST_F(PrefixAffinityTest, OverloadedHomeSpillsToOtherHosts) {
     Harness harness;
-    harness.start(hosts(), {serviceNamed("svc", 0, 0, true)});
+    harness.start(hosts(), {makeService("svc", 0, 0, true)});
     std::map<std::string, int> used;
     for (int i = 0; i < 40; ++i) {
-        const std::vector<Send> sends = only<Send>(harness.handle(stream(harness, 1, 6000)));
+        const std::vector<Send> sends = actionsOf<Send>(harness.handle(stream(harness, 1, 6000)));
         ASSERT_EQ(sends.size(), 1u);
         ++used[sends.front().instanceId];
     }
@@ -107,15 +107,15 @@
 }
 
 TEST_F(PrefixAffinityTest, GatewaysChooseSameSecondHostWhenHomeIsRemoved) {
-    Harness one(testSettings(), 1), two(testSettings(), 99);
-    for (Harness* harness : {&one, &two}) harness->start(hosts(), {serviceNamed("svc", 0, 0, true)}, 2);
-    const std::string home = hostOf(one, stream(one, 3, 6000));
-    std::vector<Host> left = hosts();
-    std::erase_if(left, [&](const Host& host) { return host.instanceId == home; });
-    for (Harness* harness : {&one, &two}) harness->handle(HostList{left});
-    const std::string second = hostOf(one, stream(one, 3, 6000));
-    EXPECT_NE(second, home);
-    EXPECT_EQ(second, hostOf(two, stream(two, 3, 6000)));
+    Harness first(testSettings(), 1), second(testSettings(), 99);
+    for (Harness* harness : {&first, &second}) harness->start(hosts(), {makeService("svc", 0, 0, true)}, 2);
+    const std::string home = sendAndServe(first, stream(first, 3, 6000));
+    std::vector<Host> remaining = hosts();
+    std::erase_if(remaining, [&](const Host& host) { return host.instanceId == home; });
+    for (Harness* harness : {&first, &second}) harness->handle(HostList{remaining});
+    const std::string nextHost = sendAndServe(first, stream(first, 3, 6000));
+    EXPECT_NE(nextHost, home);
+    EXPECT_EQ(nextHost, sendAndServe(second, stream(second, 3, 6000)));
 }
 
 }  // namespace
--- a/tests/dispatch/reject_reason_test.cpp
+++ b/tests/dispatch/reject_reason_test.cpp
@@ -1,4 +1,4 @@
-// Each rejection names its reason: the rows of dispatch/reject_reason.hpp.
+// The reason of each rejection, by the rows of the table in dispatch/reject_reason.hpp.
 #include "dispatch/reject_reason.hpp"
 
 #include <memory>
@@ -14,11 +14,11 @@
 protected:
     void start(const Settings& settings = testSettings()) {
         harness = std::make_unique<Harness>(settings);
-        harness->start({hostNamed("a"), hostNamed("b")}, {serviceNamed("svc")});
+        harness->start({makeHost("a"), makeHost("b")}, {makeService("svc")});
     }
-    // The reason of the only rejection among the actions.
+    // Expects exactly one rejection among the actions, with this reason.
     static void expectRejected(const std::vector<Action>& actions, RejectReason reason) {
-        const std::vector<Reject> rejections = only<Reject>(actions);
+        const std::vector<Reject> rejections = actionsOf<Reject>(actions);
         ASSERT_EQ(rejections.size(), 1u);
         EXPECT_EQ(rejections.front().reason, reason);
         EXPECT_EQ(rejections.front().status, 503);
@@ -27,7 +27,7 @@
     std::unique_ptr<Harness> harness;
 };
 
-TEST_F(RejectReasonTest, IsNoServiceWhenWeightsAddUpToNothing) {
+TEST_F(RejectReasonTest, IsNoServiceWhenWeightsSumToZero) {
     start();
     RequestArrived arrived = harness->request();
     arrived.services = {{"svc", 0}};
@@ -51,7 +51,7 @@
 
 TEST_F(RejectReasonTest, IsAdmissionWhenExpectedWaitIsTooLong) {
     start();
-    for (int i = 0; i < 10; ++i) {  // slow answers, so that long waits are expected
+    for (int i = 0; i < 10; ++i) {  // slow answers increase the expected wait
         RequestArrived slow = harness->request();
         slow.deadline = 30000;
         harness->handle(slow);
@@ -59,7 +59,7 @@
         harness->serve(slow.id, 0);
     }
     std::vector<Action> actions;
-    for (int i = 0; i < 40 && only<Reject>(actions).empty(); ++i) {
+    for (int i = 0; i < 40 && actionsOf<Reject>(actions).empty(); ++i) {
         RequestArrived arrived = harness->request(RequestType::nonIdempotent);
         arrived.priorityClass = 2;
         actions = harness->handle(arrived);
@@ -74,7 +74,7 @@
     expectRejected(harness->advance(75), RejectReason::noHostAvailable);
 }
 
-TEST_F(RejectReasonTest, IsAttemptLimitWhenAllHostsAllowedRejected) {
+TEST_F(RejectReasonTest, IsAttemptLimitWhenMaxAttemptsAreRejected) {
     start();
     RequestArrived arrived = harness->request(RequestType::nonIdempotent);
     arrived.maxAttempts = 1;
@@ -90,11 +90,11 @@
     harness->handle(arrived);
     std::vector<Action> actions;
     for (int attempt = 0; attempt < 5; ++attempt) {
-        ASSERT_TRUE(only<Reject>(actions).empty());
+        ASSERT_TRUE(actionsOf<Reject>(actions).empty());
         harness->handle(HealthCheckEnded{"a", true, 0, true});
         harness->handle(HealthCheckEnded{"b", true, 0, true});
         actions = harness->ended(arrived.id, attempt, Outcome::noCapacity);
-        if (only<Reject>(actions).empty()) harness->advance(60);
+        if (actionsOf<Reject>(actions).empty()) harness->advance(60);
     }
     expectRejected(actions, RejectReason::connectLimit);
 }
@@ -109,14 +109,15 @@
     expectRejected(harness->ended(arrived.id, 0, Outcome::rejected), RejectReason::retryBudget);
 }
 
-TEST_F(RejectReasonTest, IsShutDownWhenProcessEnds) {
+TEST_F(RejectReasonTest, IsShutDownWhenProcessShutsDown) {
     start();
     harness->handle(HostList{});
     harness->handle(harness->request(RequestType::nonIdempotent));
     expectRejected(harness->handle(ShutDown{}), RejectReason::shutDown);
 }
 
-// Its check comes only after its deadline, as where the process was delayed. Nothing has run, and the answer says so.
+// The check of a pending request runs after its deadline, for example because the process was delayed. The
+// request has not run, so it is rejected.
 TEST_F(RejectReasonTest, IsDeadlinePassedWhenPendingBeyondItsDeadline) {
     start();
     harness->handle(HostList{});
@@ -124,19 +125,20 @@
     harness->now += 2500;
     const std::vector<Action> actions = harness->handle(Tick{});
     expectRejected(actions, RejectReason::deadlinePassed);
-    EXPECT_TRUE(only<Fail>(actions).empty());
+    EXPECT_TRUE(actionsOf<Fail>(actions).empty());
 }
 
-TEST_F(RejectReasonTest, IsNamedInFailuresToo) {
+TEST_F(RejectReasonTest, IsSetInFailuresToo) {
     start();
     const RequestArrived late = harness->request(RequestType::nonIdempotent);
     harness->handle(late);
-    const std::vector<Fail> timedOut = only<Fail>(harness->advance(2100));
+    const std::vector<Fail> timedOut = actionsOf<Fail>(harness->advance(2100));
     ASSERT_EQ(timedOut.size(), 1u);
     EXPECT_EQ(timedOut.front().reason, RejectReason::deadlinePassed);
     const RequestArrived broken = harness->request(RequestType::nonIdempotent);
     harness->handle(broken);
-    const std::vector<Fail> failed = only<Fail>(harness->ended(broken.id, 0, Outcome::resetBeforeAnswer));
+    const std::vector<Fail> failed =
+        actionsOf<Fail>(harness->ended(broken.id, 0, Outcome::resetBeforeAnswer));
     ASSERT_EQ(failed.size(), 1u);
     EXPECT_EQ(failed.front().reason, RejectReason::mayRunTwice);
 }
--- a/tests/dispatch/reported_load_test.cpp
+++ b/tests/dispatch/reported_load_test.cpp
@@ -1,4 +1,4 @@
-// What other gateways have waiting counts in the choice of a host.
+// Load reported by other gateways, and its effect on the choice of a host.
 #include "dispatch/reported_load.hpp"
 
 #include <gtest/gtest.h>
@@ -11,8 +11,8 @@
 
 class ReportedLoadTest : public ::testing::Test {
 protected:
-    ReportedLoadTest() { list({"a", "b"}); }
-    void list(const std::vector<std::string>& names) {
+    ReportedLoadTest() { setHosts({"a", "b"}); }
+    void setHosts(const std::vector<std::string>& names) {
         HostList hosts;
         for (const std::string& name : names) {
             Host host;
@@ -39,76 +39,76 @@
 TEST_F(ReportedLoadTest, SumsReportsOfAllSources) {
     report(1, false, {load("a", 1, 0.2)});
     report(2, false, {load("a", 2, 0.5), load("b", 1, 0.1)});
-    EXPECT_EQ(slot("a").othersWaiting, 3);
-    EXPECT_DOUBLE_EQ(slot("a").othersS, 0.7);
-    EXPECT_EQ(slot("b").othersWaiting, 1);
+    EXPECT_EQ(slot("a").peerWaiting, 3);
+    EXPECT_DOUBLE_EQ(slot("a").peerPrefillS, 0.7);
+    EXPECT_EQ(slot("b").peerWaiting, 1);
 }
 
-TEST_F(ReportedLoadTest, ReplacesEarlierFiguresOfSource) {
+TEST_F(ReportedLoadTest, ReplacesEarlierLoadOfSource) {
     report(1, false, {load("a", 3, 0.6)});
     report(1, false, {load("a", 1, 0.2)});
     report(1, false, {load("a", 1, 0.2)});
-    EXPECT_EQ(slot("a").othersWaiting, 1);
+    EXPECT_EQ(slot("a").peerWaiting, 1);
     report(1, false, {load("a", 0, 0)});
-    EXPECT_EQ(slot("a").othersWaiting, 0);
-    EXPECT_DOUBLE_EQ(slot("a").othersS, 0);
+    EXPECT_EQ(slot("a").peerWaiting, 0);
+    EXPECT_DOUBLE_EQ(slot("a").peerPrefillS, 0);
 }
 
-TEST_F(ReportedLoadTest, FullReportClearsHostsItDoesNotName) {
+TEST_F(ReportedLoadTest, FullReportClearsUnlistedHosts) {
     report(1, false, {load("a", 1, 0.2), load("b", 1, 0.2)});
     report(1, true, {load("b", 2, 0.4)});
-    EXPECT_EQ(slot("a").othersWaiting, 0);
-    EXPECT_EQ(slot("b").othersWaiting, 2);
+    EXPECT_EQ(slot("a").peerWaiting, 0);
+    EXPECT_EQ(slot("b").peerWaiting, 2);
 }
 
-TEST_F(ReportedLoadTest, ForgetsSourceWhenReportIsNoLongerValid) {
+TEST_F(ReportedLoadTest, ForgetsSourceWhenReportExpires) {
     report(1, false, {load("a", 1, 0.2)}, 500);
     report(2, false, {load("a", 1, 0.3)}, 5000);
     now_ += 501;
     reportedLoad_.expire(now_);
-    EXPECT_EQ(slot("a").othersWaiting, 1);
+    EXPECT_EQ(slot("a").peerWaiting, 1);
     EXPECT_TRUE(reportedLoad_.active());
     now_ += 5000;
     reportedLoad_.expire(now_);
-    EXPECT_EQ(slot("a").othersWaiting, 0);
+    EXPECT_EQ(slot("a").peerWaiting, 0);
     EXPECT_FALSE(reportedLoad_.active());
 }
 
 TEST_F(ReportedLoadTest, AppliesEarlierReportWhenHostIsListed) {
     report(1, false, {load("c", 2, 0.4)});
-    list({"a", "b", "c"});
-    EXPECT_EQ(slot("c").othersWaiting, 2);
+    setHosts({"a", "b", "c"});
+    EXPECT_EQ(slot("c").peerWaiting, 2);
     report(1, false, {load("c", 0, 0)});
-    EXPECT_EQ(slot("c").othersWaiting, 0);
+    EXPECT_EQ(slot("c").peerWaiting, 0);
 }
 
 TEST_F(ReportedLoadTest, IgnoresSourcesAndHostsBeyondBounds) {
     for (std::uint64_t source = 1; source <= ReportedLoad::kMaxSources + 10; ++source)
         report(source, false, {load("a", 1, 0.1)});
-    EXPECT_EQ(slot("a").othersWaiting, static_cast<int>(ReportedLoad::kMaxSources));
+    EXPECT_EQ(slot("a").peerWaiting, static_cast<int>(ReportedLoad::kMaxSources));
     std::vector<HostLoad> many;
     for (std::uint32_t host = 0; host < ReportedLoad::kMaxHosts; ++host) many.push_back({host, 1, 0.1});
     report(1, true, many);
     report(1, false, {load("b", 1, 0.1)});
-    EXPECT_EQ(slot("b").othersWaiting, 0);
+    EXPECT_EQ(slot("b").peerWaiting, 0);
 }
 
 TEST_F(ReportedLoadTest, BacklogShrinksWithTimeButStaysAboveZero) {
     ServiceLoad load;
-    load.engine = load.othersReported = true;
+    load.engine = load.peerLoadKnown = true;
     report(1, false, {this->load("a", 1, 1.0)});
     EXPECT_DOUBLE_EQ(Predictor::backlog(slot("a"), load, now_), 1.0);
     EXPECT_NEAR(Predictor::backlog(slot("a"), load, now_ + 400), 0.6, 1e-9);
-    const double atLast = Predictor::backlog(slot("a"), load, now_ + 5000);
-    EXPECT_GT(atLast, 0);
-    EXPECT_LT(atLast, 0.6);
+    const double later = Predictor::backlog(slot("a"), load, now_ + 5000);
+    EXPECT_GT(later, 0);
+    EXPECT_LT(later, 0.6);
 }
 
-TEST_F(ReportedLoadTest, AppliesSpeedsMeasuredByOthersUnlessTurnedOff) {
+TEST_F(ReportedLoadTest, AppliesSpeedsMeasuredByPeersUnlessDisabled) {
     ServiceLoad load;
     load.engine = true;
     const double average = Predictor::prefillS(slot("a"), load, 10'000, now_);
-    for (int count = 0; count < 30; ++count)
+    for (int i = 0; i < 30; ++i)
         reportedLoad_.update(PeerLoad{1, false, {}, 1000, {{hostKey("a"), 1.5}}}, now_);
     EXPECT_GT(Predictor::prefillS(slot("a"), load, 10'000, now_), 1.35 * average);
     EXPECT_DOUBLE_EQ(Predictor::prefillS(slot("b"), load, 10'000, now_), average);
@@ -116,75 +116,77 @@
     EXPECT_DOUBLE_EQ(Predictor::prefillS(slot("a"), load, 10'000, now_), average);
 }
 
-// ---- In the dispatcher
+// ---- in the dispatcher
 
 constexpr int kDispatchers = 40;
 
 void startWithTwoHosts(Harness& harness) {
-    harness.start({hostNamed("a"), hostNamed("b")}, {serviceNamed("svc", 0, 0, true)}, 2);
+    harness.start({makeHost("a"), makeHost("b")}, {makeService("svc", 0, 0, true)}, 2);
 }
 
-// Of so many dispatchers that have this report, how many send their first prompt to host "a" of two.
-int sendToFirst(const PeerLoad& report, const Settings& settings = testSettings()) {
-    int first = 0;
+// Number of dispatchers, out of kDispatchers with this report, that send their first prompt to "a" rather
+// than "b".
+int countSendsToA(const PeerLoad& report, const Settings& settings = testSettings()) {
+    int count = 0;
     for (int seed = 1; seed <= kDispatchers; ++seed) {
         Harness harness(settings, static_cast<std::uint64_t>(seed));
         startWithTwoHosts(harness);
         harness.handle(report);
-        RequestArrived asked = harness.request(RequestType::streaming);
-        asked.prompt = {{"own", 4000}};
-        const std::vector<Send> sent = only<Send>(harness.handle(asked));
-        if (sent.size() == 1 && sent.front().instanceId == "a") ++first;
+        RequestArrived arrival = harness.request(RequestType::streaming);
+        arrival.prompt = {{"own", 4000}};
+        const std::vector<Send> sent = actionsOf<Send>(harness.handle(arrival));
+        if (sent.size() == 1 && sent.front().instanceId == "a") ++count;
     }
-    return first;
+    return count;
 }
 
-PeerLoad waitingAtFirst() { return {7, true, {{hostKey("a"), 3, 30.0}}, 1e6, {}}; }
+PeerLoad backlogAtA() { return {7, true, {{hostKey("a"), 3, 30.0}}, 1e6, {}}; }
 
 TEST(DispatcherReportedLoad, AvoidsHostWithReportedBacklog) {
-    EXPECT_EQ(sendToFirst(waitingAtFirst()), 0);
-    EXPECT_GT(sendToFirst(PeerLoad{7, true, {}, 1e6, {}}), kDispatchers / 4);
+    EXPECT_EQ(countSendsToA(backlogAtA()), 0);
+    EXPECT_GT(countSendsToA(PeerLoad{7, true, {}, 1e6, {}}), kDispatchers / 4);
 }
 
-TEST(DispatcherReportedLoad, NeitherAppliesNorSendsReportsWhenTurnedOff) {
+TEST(DispatcherReportedLoad, NeitherAppliesNorSendsReportsWhenDisabled) {
     Settings settings = testSettings();
     settings.mechanisms.disable(Mechanism::loadReports);
-    EXPECT_GT(sendToFirst(waitingAtFirst(), settings), kDispatchers / 4);
+    EXPECT_GT(countSendsToA(backlogAtA(), settings), kDispatchers / 4);
     Harness harness(settings);
     startWithTwoHosts(harness);
     harness.handle(harness.request());
-    EXPECT_TRUE(only<ReportLoad>(harness.all).empty());
+    EXPECT_TRUE(actionsOf<ReportLoad>(harness.all).empty());
 }
 
 TEST(DispatcherReportedLoad, ReportsWaitingAttemptAndItsEndOnce) {
     Harness harness;
     startWithTwoHosts(harness);
-    RequestArrived asked = harness.request(RequestType::streaming);
-    asked.prompt = {{"own", 4000}};
-    const auto reported = only<ReportLoad>(harness.handle(asked));
+    RequestArrived arrival = harness.request(RequestType::streaming);
+    arrival.prompt = {{"own", 4000}};
+    const auto reported = actionsOf<ReportLoad>(harness.handle(arrival));
     ASSERT_EQ(reported.size(), 1u);
     ASSERT_EQ(reported.front().hosts.size(), 1u);
     EXPECT_EQ(reported.front().hosts.front().waiting, 1);
     EXPECT_GT(reported.front().hosts.front().workS, 0);
-    EXPECT_TRUE(only<ReportLoad>(harness.advance(5)).empty());
-    const auto ended = only<ReportLoad>(harness.serve(asked.id, 0));
+    EXPECT_TRUE(actionsOf<ReportLoad>(harness.advance(5)).empty());
+    const auto ended = actionsOf<ReportLoad>(harness.serve(arrival.id, 0));
     ASSERT_FALSE(ended.empty());
     EXPECT_EQ(ended.front().hosts.front().waiting, 0);
 }
 
 TEST(DispatcherReportedLoad, SlowHostGetsFewerPrompts) {
     const std::vector<HostSpeed> slow(40, HostSpeed{hostKey("a"), 3});
-    EXPECT_LT(sendToFirst(PeerLoad{7, true, {}, 1e6, slow}), kDispatchers / 8);
+    EXPECT_LT(countSendsToA(PeerLoad{7, true, {}, 1e6, slow}), kDispatchers / 8);
 }
 
 TEST(PrefillRate, LearnsMoreThanProportionalTimeOfLongPrompts) {
     PrefillRate rate;
-    const auto truly = [](double tokens) { return 0.03 + tokens / 40'000 + tokens * tokens / 4e9; };
-    for (int turn = 0; turn < 400; ++turn)
+    const auto actualSeconds = [](double tokens) { return 0.03 + tokens / 40'000 + tokens * tokens / 4e9; };
+    for (int i = 0; i < 400; ++i)
         for (const double tokens : {600.0, 1'500.0, 3'000.0, 6'000.0, 12'000.0, 24'000.0})
-            rate.add(tokens, truly(tokens));
+            rate.add(tokens, actualSeconds(tokens));
     for (const double tokens : {6'000.0, 12'000.0, 24'000.0})
-        EXPECT_NEAR(rate.seconds(tokens), truly(tokens) - 0.03, 0.12 * truly(tokens)) << tokens;
+        EXPECT_NEAR(rate.seconds(tokens), actualSeconds(tokens) - 0.03, 0.12 * actualSeconds(tokens))
+            << tokens;
     EXPECT_LT(rate.seconds(100), 0.02);
 }
 
--- a/tests/dispatch/slow_start_budget_test.cpp
+++ b/tests/dispatch/slow_start_budget_test.cpp
@@ -31,28 +31,29 @@
     const SlowStartShare share(20, 4, true, 0);
     ASSERT_EQ(share.perSpan(), 3);
     SlowStartLog log;
-    for (const Millis at : {0.0, 100.0, 200.0}) log.sent(at);
+    for (const Millis at : {0.0, 100.0, 200.0}) log.recordSend(at);
     EXPECT_FALSE(log.allows(300, share));
-    EXPECT_EQ(log.freeAt(300, share), SlowStartShare::kSpan);
+    EXPECT_EQ(log.nextAllowedAt(300, share), SlowStartShare::kSpan);
     EXPECT_TRUE(log.allows(SlowStartShare::kSpan, share));
 }
 
-// Whatever the gateways want, and with a third more of them than are known, no second sees more than the bound.
+// With half as many gateways again as are known and random sends, the sends of all gateways together stay
+// within the bound in every second.
 TEST(SlowStartBudgetProperty, SumOverGatewaysStaysUnderBoundWithRandomSends) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         SplitMix random(seed);
         const int known = 1 + static_cast<int>(random.below(40));
-        const int real = known + known / 2;
+        const int actual = known + known / 2;
         const double bound = 1 + 30 * random();
-        std::vector<SlowStartLog> logs(static_cast<std::size_t>(real));
+        std::vector<SlowStartLog> logs(static_cast<std::size_t>(actual));
         std::vector<Millis> sends;
         for (Millis now = 0; now < 6000; now += 2) {
-            for (int gateway = 0; gateway < real; ++gateway) {
+            for (int gateway = 0; gateway < actual; ++gateway) {
                 const SlowStartShare share(bound, known, true, gateway % known);
                 SlowStartLog& log = logs[static_cast<std::size_t>(gateway)];
                 if (random() > 0.05 || !log.allows(now, share)) continue;
-                log.sent(now);
-                sends.push_back(now + 250 * random());  // written a little later
+                log.recordSend(now);
+                sends.push_back(now + 250 * random());  // time of the write
             }
         }
         std::sort(sends.begin(), sends.end());
