--- a/src/routing/routing_table.cpp
+++ b/src/routing/routing_table.cpp
@@ -9,19 +9,19 @@
 namespace {
 
 std::string_view withoutPort(std::string_view host) {
-    const std::size_t bracket = host.rfind(']');  // of an IPv6 address
+    const std::size_t bracket = host.rfind(']');  // end of an IPv6 address
     const std::size_t colon = host.find(':', bracket == std::string_view::npos ? 0 : bracket);
     return host.substr(0, colon);
 }
 
-std::string_view withoutBlanks(std::string_view text) {
+std::string_view trimmed(std::string_view text) {
     while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
     while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
     return text;
 }
 
 std::shared_ptr<const RouteEntry> longestMatch(const HostRoutes& host, std::string_view path) {
-    // A prefix ends with a slash: only the beginnings of the path that do can be one.
+    // Prefixes end with a slash, so only the parts of the path up to a slash are candidates.
     std::string_view candidate = path.substr(0, std::min(path.size(), host.longestPrefix));
     while (!candidate.empty()) {
         const std::size_t slash = candidate.rfind('/');
@@ -53,7 +53,7 @@
 }
 
 std::string RoutingTable::normalizeHost(std::string_view hostHeader) {
-    return configuration::comparableHost(withoutPort(withoutBlanks(hostHeader)));
+    return configuration::comparableHost(withoutPort(trimmed(hostHeader)));
 }
 
 std::shared_ptr<const RouteEntry> RoutingTable::find(std::string_view hostHeader,
--- a/src/routing/routing_table_builder.cpp
+++ b/src/routing/routing_table_builder.cpp
@@ -153,7 +153,8 @@
     table_->services_.erase(std::string{name});
 }
 
-// A list that can't be read leaves nobody known: requests are refused, since serving them would need no key.
+// If the list cannot be parsed, no tenant is known and all requests are rejected: without a list they would
+// need no key.
 void RoutingTableBuilder::setTenants(std::string_view value) {
     const auto list = configuration::parseTenants(value);
     table_->unreadable_ += list ? list->unreadable : 1;
@@ -168,7 +169,7 @@
     host.byPrefix.insert_or_assign(std::move(prefix), std::move(entry));
 }
 
-// A route whose prefix another route of the same batch has replaced is not there any more.
+// The entry may already have been replaced by another route with the same prefix in the same batch.
 void RoutingTableBuilder::removeFromHost(const RouteEntry& entry) {
     HostRoutes& host = writableHost(entry.host);
     const auto found = host.byPrefix.find(entry.route.pathPrefix);
--- a/src/routing/routing_table_builder.hpp
+++ b/src/routing/routing_table_builder.hpp
@@ -1,5 +1,5 @@
-/// Builds a routing table from another one and changed values. Private to the module: the table is shared with nobody until
-/// finish(), which ends the builder's use.
+/// Builds a routing table from a base table and changed values. Private to the module. The new table is not
+/// shared until finish(), after which the builder must not be used.
 #pragma once
 
 #include <memory>
@@ -12,12 +12,12 @@
 
 class RoutingTableBuilder {
 public:
-    /// Begins with the contents of `base`, which must outlive the builder.
+    /// Starts with the contents of `base`, which must outlive the builder.
     [[nodiscard]] static RoutingTableBuilder changing(const RoutingTable& base);
-    /// Begins empty. Entries of `base` are shared where a value is the same; it must outlive the builder.
+    /// Starts empty. Entries with unchanged values are shared with `base`, which must outlive the builder.
     [[nodiscard]] static RoutingTableBuilder replacing(const RoutingTable& base);
 
-    /// A value that can't be read is counted and leaves its entry out. Keys that are not known are ignored.
+    /// A value that cannot be parsed is counted, and its entry is left out. Unknown keys are ignored.
     void set(std::string_view key, std::string_view value);
     void remove(std::string_view key);
     [[nodiscard]] std::shared_ptr<const RoutingTable> finish(Position position);
@@ -36,7 +36,7 @@
 
     const RoutingTable& base_;
     std::shared_ptr<RoutingTable> table_ = std::make_shared<RoutingTable>();
-    StringMap<std::shared_ptr<HostRoutes>> changedHosts_;  // copies of the table's, until finish()
+    StringMap<std::shared_ptr<HostRoutes>> changedHosts_;  // copies of the table's entries, until finish()
 };
 
 }  // namespace beechpoint::routing
--- a/src/routing/string_map.hpp
+++ b/src/routing/string_map.hpp
@@ -1,4 +1,4 @@
-/// A hash map by name that is searched by string_view without a copy of the name.
+/// A hash map with string keys and lookup by string_view without a copy.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
 template <class Value>
 using StringMap = std::unordered_map<std::string, Value, StringHash, std::equal_to<>>;
 
-/// The entry of that name; null where there is none.
+/// The entry of this name; nullptr: none.
 template <class Entry>
 [[nodiscard]] std::shared_ptr<const Entry> findEntry(const StringMap<std::shared_ptr<const Entry>>& entries,
                                                      std::string_view name) {
--- a/src/routing/table_copy.hpp
+++ b/src/routing/table_copy.hpp
@@ -1,5 +1,5 @@
-/// The gateway's copy of the replicated table, as its routing table. Its position only rises: an update that is not newer is
-/// ignored, whichever member it came from. Not thread-safe; the snapshots that it gives are.
+/// The gateway's copy of the replicated table, as a routing table. Its position only increases: an update
+/// that is not newer is ignored, whichever member sent it. Not thread-safe, but its snapshots are.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,14 @@
 public:
     TableCopy();
 
-    /// Whether the copy changed. A delta must have been asked for with position() or an older position of this copy.
+    /// Returns whether the copy changed. A delta must start at position() or an earlier position of this
+    /// copy.
     bool apply(const TableUpdate& update);
 
-    /// Never null; empty at position {0, 0} before the first update.
+    /// Never null; an empty table at position {0, 0} before the first update.
     [[nodiscard]] const std::shared_ptr<const RoutingTable>& current() const { return current_; }
     [[nodiscard]] Position position() const { return current_->position(); }
-    /// Whether a configuration has come yet.
+    /// Whether a configuration has been received.
     [[nodiscard]] bool configured() const { return current_->revision() != 0; }
     [[nodiscard]] std::uint64_t ignoredUpdates() const { return ignoredUpdates_; }
 
--- a/tests/routing/routing_table_test.cpp
+++ b/tests/routing/routing_table_test.cpp
@@ -9,14 +9,14 @@
 
 using tables::route;
 
-std::string nameAt(const RoutingTable& table, std::string_view host, std::string_view path) {
+std::string routeNameAt(const RoutingTable& table, std::string_view host, std::string_view path) {
     const auto entry = table.find(host, path);
     return entry ? entry->route.name : "";
 }
 
 std::shared_ptr<const RoutingTable> tableWith(const std::string& routes) {
     Table table;
-    tables::put(table, routes);
+    tables::putRoutes(table, routes);
     return RoutingTable::fromTable(table, {1, 1});
 }
 
@@ -24,38 +24,38 @@
     const auto table =
         tableWith(route("root", "h.example", "/") + "," + route("a", "h.example", "/a/") + "," +
                   route("deep", "h.example", "/a/b/c/") + "," + route("other", "g.example", "/a/b/"));
-    EXPECT_EQ(nameAt(*table, "h.example", "/"), "root");
-    EXPECT_EQ(nameAt(*table, "h.example", "/a"), "root");
-    EXPECT_EQ(nameAt(*table, "h.example", "/ax/"), "root");
-    EXPECT_EQ(nameAt(*table, "h.example", "/a/"), "a");
-    EXPECT_EQ(nameAt(*table, "h.example", "/a/b/c"), "a");
-    EXPECT_EQ(nameAt(*table, "h.example", "/a/b/c/"), "deep");
-    EXPECT_EQ(nameAt(*table, "h.example", "/a/b/c/d/e/f"), "deep");
-    EXPECT_EQ(nameAt(*table, "g.example", "/a/b/c/"), "other");
-    EXPECT_EQ(nameAt(*table, "g.example", "/a/"), "");
-    EXPECT_EQ(nameAt(*table, "g.example", "/"), "");
-    EXPECT_EQ(nameAt(*table, "nowhere.example", "/a/"), "");
+    EXPECT_EQ(routeNameAt(*table, "h.example", "/"), "root");
+    EXPECT_EQ(routeNameAt(*table, "h.example", "/a"), "root");
+    EXPECT_EQ(routeNameAt(*table, "h.example", "/ax/"), "root");
+    EXPECT_EQ(routeNameAt(*table, "h.example", "/a/"), "a");
+    EXPECT_EQ(routeNameAt(*table, "h.example", "/a/b/c"), "a");
+    EXPECT_EQ(routeNameAt(*table, "h.example", "/a/b/c/"), "deep");
+    EXPECT_EQ(routeNameAt(*table, "h.example", "/a/b/c/d/e/f"), "deep");
+    EXPECT_EQ(routeNameAt(*table, "g.example", "/a/b/c/"), "other");
+    EXPECT_EQ(routeNameAt(*table, "g.example", "/a/"), "");
+    EXPECT_EQ(routeNameAt(*table, "g.example", "/"), "");
+    EXPECT_EQ(routeNameAt(*table, "nowhere.example", "/a/"), "");
 }
 
-TEST(RoutingTable, ComparesHostsWithoutCasePortAndFinalDot) {
+TEST(RoutingTable, ComparesHostsWithoutCasePortAndTrailingDot) {
     const auto table = tableWith(route("a", "H.Example", "/a/"));
     for (const char* host :
          {"h.example", "H.EXAMPLE", "h.example:8144", "h.example.", "h.example.:80", " h.example\t"})
-        EXPECT_EQ(nameAt(*table, host, "/a/x"), "a") << host;
+        EXPECT_EQ(routeNameAt(*table, host, "/a/x"), "a") << host;
     for (const char* host : {"", ":80", "h.exampl", "h.example.x", "xh.example", "[h.example]"})
-        EXPECT_EQ(nameAt(*table, host, "/a/x"), "") << host;
+        EXPECT_EQ(routeNameAt(*table, host, "/a/x"), "") << host;
     EXPECT_EQ(RoutingTable::normalizeHost("[::1]:80"), "[::1]");
 }
 
 TEST(RoutingTable, MatchesPathOnlyAndAsWritten) {
     const auto table = tableWith(route("a", "h", "/a/"));
-    EXPECT_EQ(nameAt(*table, "h", "/a/?x=/b/"), "a");
-    EXPECT_EQ(nameAt(*table, "h", "/?x=/a/"), "");
-    EXPECT_EQ(nameAt(*table, "h", "/A/"), "");
-    EXPECT_EQ(nameAt(*table, "h", "//a/"), "");
-    EXPECT_EQ(nameAt(*table, "h", "a/"), "");
-    EXPECT_EQ(nameAt(*table, "h", ""), "");
-    EXPECT_EQ(nameAt(*table, "h", "*"), "");
+    EXPECT_EQ(routeNameAt(*table, "h", "/a/?x=/b/"), "a");
+    EXPECT_EQ(routeNameAt(*table, "h", "/?x=/a/"), "");
+    EXPECT_EQ(routeNameAt(*table, "h", "/A/"), "");
+    EXPECT_EQ(routeNameAt(*table, "h", "//a/"), "");
+    EXPECT_EQ(routeNameAt(*table, "h", "a/"), "");
+    EXPECT_EQ(routeNameAt(*table, "h", ""), "");
+    EXPECT_EQ(routeNameAt(*table, "h", "*"), "");
 }
 
 TEST(RoutingTable, SelectsBackendByWeights) {
@@ -84,7 +84,7 @@
 
 TEST(RoutingTable, HasServicesLimitsZonesAndRevision) {
     Table table;
-    tables::put(table, route("a", "h", "/a/"));
+    tables::putRoutes(table, route("a", "h", "/a/"));
     table["limits"] = R"({"max_body_bytes":77})";
     beechpoint::apply(tables::changesOf(configuration::evacuate(table, "hub-hall", true)), table);
     const auto routing = RoutingTable::fromTable(table, {3, 4});
@@ -101,21 +101,21 @@
 
 TEST(RoutingTable, SkipsAndCountsUnreadableValues) {
     Table table;
-    tables::put(table, route("a", "h", "/a/") + "," + route("b", "h", "/b/"));
+    tables::putRoutes(table, route("a", "h", "/a/") + "," + route("b", "h", "/b/"));
     table["route/a"] = "1 {\"name\":";
     table["service/t"] = "no order";
     const auto routing = RoutingTable::fromTable(table, {1, 1});
     EXPECT_EQ(routing->unreadableCount(), 2U);
-    EXPECT_EQ(nameAt(*routing, "h", "/a/"), "");
-    EXPECT_EQ(nameAt(*routing, "h", "/b/"), "b");
+    EXPECT_EQ(routeNameAt(*routing, "h", "/a/"), "");
+    EXPECT_EQ(routeNameAt(*routing, "h", "/b/"), "b");
 }
 
-// Many slashes cost no more than the longest prefix has.
+// A path with many slashes is searched only up to the length of the longest prefix.
 TEST(RoutingTable, BoundsSearchByLongestPrefix) {
     const auto table = tableWith(route("a", "h", "/a/"));
     const std::string slashes(1 << 20, '/');
-    EXPECT_EQ(nameAt(*table, "h", slashes), "");
-    EXPECT_EQ(nameAt(*table, "h", "/a" + slashes), "a");
+    EXPECT_EQ(routeNameAt(*table, "h", slashes), "");
+    EXPECT_EQ(routeNameAt(*table, "h", "/a" + slashes), "a");
 }
 
 }  // namespace
--- a/tests/routing/tables.hpp
+++ b/tests/routing/tables.hpp
@@ -1,4 +1,4 @@
-// Replicated tables for tests of routing, made by the operator's calls.
+// Replicated tables for routing tests, built by the operator's calls.
 #pragma once
 
 #include <fmt/format.h>
@@ -27,7 +27,7 @@
 
 inline const std::string kServices = R"({"name":"s","max_connections":10},{"name":"t"})";
 
-// The changes of a call that is applied.
+// The changes of an accepted call.
 inline std::vector<Change> changesOf(const Result<configuration::Decision>& decision) {
     EXPECT_TRUE(decision) << (decision ? "" : decision.error().text());
     if (!decision) return {};
@@ -36,8 +36,8 @@
     return accepted ? accepted->changes : std::vector<Change>{};
 }
 
-// Puts a configuration with the routes on top of the table; its changes.
-inline std::vector<Change> put(Table& table, std::string_view routes) {
+// Applies a configuration with these routes to the table and returns its changes.
+inline std::vector<Change> putRoutes(Table& table, std::string_view routes) {
     const std::uint64_t current = configuration::currentRevision(table);
     const std::vector<Change> changes = changesOf(configuration::putConfiguration(
         table, std::to_string(current),
