--- a/src/control/callback_queue.hpp
+++ b/src/control/callback_queue.hpp
@@ -1,4 +1,4 @@
-/// Callbacks that are put off until the event at hand has been handled, since they may bring the next event. Not synchronized.
+/// Callbacks deferred until the current event has been handled, since they may trigger the next event. Not synchronized.
 #pragma once
 
 #include <deque>
@@ -6,16 +6,16 @@
 
 namespace beechpoint::control {
 
-/// Owns the callbacks that have not run. Whoever calls run() keeps the queue alive until it returns.
+/// Owns the callbacks that have not run. The caller of run() keeps the queue alive until it returns.
 class CallbackQueue {
 public:
     /// An empty function is ignored.
     void add(std::function<void()> callback);
-    /// Runs all in order, also those added meanwhile. Called from within a callback it does nothing: the outer call goes on.
+    /// Runs all callbacks in order, including those added meanwhile. A call from within a callback returns at once: the outer call continues.
     void run();
-    /// Whether run() is under way.
+    /// Whether run() is in progress.
     [[nodiscard]] bool running() const { return running_; }
-    /// Those that have not begun are dropped.
+    /// Drops the callbacks that have not started.
     void clear() { callbacks_.clear(); }
 
 private:
--- a/src/control/committed_table_source.hpp
+++ b/src/control/committed_table_source.hpp
@@ -1,5 +1,5 @@
-/// What GatewayServiceState and its parts see of the replica: the committed table, whether it is fresh, and the view. ReplicaTableSource gives it
-/// from replica::Replica; tests and models have their own. Owns nothing; to be used on the replica's thread.
+/// Interface through which GatewayServiceState and its parts read the replica: the committed table, its freshness and the view.
+/// ReplicaTableSource implements it over replica::Replica; tests and models have their own. Owns nothing; used on the replica's thread.
 #pragma once
 
 #include <cstdint>
@@ -19,9 +19,9 @@
     /// Whether the table may be served: this member is known to hold all that was acknowledged (replica::Replica::isFresh()).
     [[nodiscard]] virtual bool fresh(Millis now) const = 0;
     [[nodiscard]] virtual Position committedPosition() const = 0;
-    /// Identity of the cluster by the committed table (configuration/cluster_identity.hpp); 0: it has none yet.
+    /// Cluster id stored in the committed table (configuration/cluster_identity.hpp); 0: not assigned yet.
     [[nodiscard]] virtual std::uint64_t clusterId() const = 0;
-    /// From an older position to the committed one; nothing: the table may not be served.
+    /// The update from position `held` to the committed one; empty if the table may not be served.
     [[nodiscard]] virtual std::optional<TableUpdate> updateSince(Position held) const = 0;
     [[nodiscard]] virtual const replica::Member& self() const = 0;
     /// The newest view known to be decided.
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -124,7 +124,7 @@
     // ---- Requests
 
     Result<void> listenInternally() {
-        // A start that is tried again may find it listening.
+        // A retried start may find it already listening.
         if (server_.port() != 0) return boost::outcome_v2::success();
         return server_.listen(internalAddressOf(settings_));
     }
@@ -231,8 +231,8 @@
 
     // ---- Graceful shutdown
 
-    // First the operators' calls that have begun are answered, then the others are asked for a view without this member. It goes on as
-    // a member until that view is installed, so that no replica and no voter is missing in between.
+    // First the operators' calls in progress are answered, then the other members are asked for a view without this member. It stays a
+    // member until that view is installed, so that no replica and no voter is missing meanwhile.
     bool drained() {
         if (clock_.now() >= drainDeadline_) return true;
         const bool callsFinished = operatorApi_.pendingCalls() == 0;
--- a/src/control/control.hpp
+++ b/src/control/control.hpp
@@ -1,7 +1,7 @@
-/// The control role: one member of the chain that holds the configuration.
+/// The control role: one member of the replica chain that stores the configuration.
 ///
-/// What it is: the wiring of one member's parts on one event loop, and its start and graceful shutdown. What it is not: it decides
-/// nothing itself. Where each job is:
+/// Wires one member's components together on one event loop and runs its start and graceful shutdown. It contains no decision logic;
+/// the components are:
 ///   replica and its store           ReplicaDriver      replica_driver.hpp
 ///   operators' calls                OperatorApi        operator_api.hpp (decided by OperatorCalls)
 ///   gateways' polls, leases, hosts  GatewayService     gateway_service.hpp
@@ -11,8 +11,8 @@
 ///   settings of the parts           control_settings.hpp
 ///   GET /status, GET /metrics       status.hpp
 ///
-/// All functions are to be called from the thread that runs the event loop `io`; callbacks come on it. The store writes on a thread of
-/// its own (storage::StoreThread), which no other part sees.
+/// All functions must be called from the thread that runs the event loop `io`; callbacks run on it. The store writes on its own
+/// thread (storage::StoreThread), which is not visible to other components.
 #pragma once
 
 #include <cstdint>
@@ -34,8 +34,8 @@
 
 namespace beechpoint::control {
 
-/// Owns all parts of one member. Life cycle: constructed -> start() succeeds: serving -> stop(): draining -> `done`: ended. Its
-/// destruction ends it at any time, as a crash would: without answers to pending calls and without callbacks.
+/// Owns all components of one member. Life cycle: constructed -> start() succeeds: serving -> stop(): draining -> `done`: stopped.
+/// Destruction stops it at any time, as a crash would: pending calls get no answer and no callback runs.
 class Control {
 public:
     struct Options {
@@ -50,20 +50,20 @@
     Control(const Control&) = delete;
     Control& operator=(const Control&) = delete;
 
-    /// Listens and opens the store; the store is tried again by itself while the disk refuses. May be called again after an error.
-    /// Errors: unavailable (an address can't be listened on, to be tried again), invalid (the settings do not fit the role).
+    /// Listens and opens the store; opening the store is retried automatically after disk errors. May be called again after an error.
+    /// Errors: unavailable (an address can't be listened on; retry), invalid (the settings do not fit the role).
     [[nodiscard]] Result<void> start();
-    /// The settings were read again: those that may change in service (seeds, timing bounds, tolerance) are taken over.
+    /// Applies reloaded settings: only seeds, timing bounds and fault tolerance may change at run time.
     void reload(settings::ProcessSettings settings);
-    /// Graceful shutdown: pending calls are finished and the view is left, for at most about half of the grace time; then `done` is
-    /// called. A second call does nothing.
+    /// Graceful shutdown: finishes pending calls and leaves the view, within about half of the grace period, then calls `done`.
+    /// A second call does nothing.
     void stop(std::function<void()> done);
 
     /// Null until the store is open.
     [[nodiscard]] const replica::Replica* replica() const;
-    /// Holds the lease of the singleton role that reads the platform's host list.
+    /// Whether this member holds the singleton role that reads the platform's host list.
     [[nodiscard]] bool readsHostList() const;
-    /// Gateways' polls that wait for an update.
+    /// Number of gateway polls that wait for an update.
     [[nodiscard]] std::size_t pendingLongPolls() const;
 
 private:
@@ -71,8 +71,8 @@
     std::shared_ptr<Impl> impl_;
 };
 
-/// Serves until SIGTERM or SIGINT; SIGHUP and a change of the file reload the settings. Blocks the calling thread, which runs the event
-/// loop. Returns the exit status: 0 after a graceful shutdown, 1 where it could not listen, 2 where the settings are invalid.
+/// Serves until SIGTERM or SIGINT; SIGHUP or a change of the file reloads the settings. Blocks the calling thread, which runs the event
+/// loop. Returns the exit status: 0 after a graceful shutdown, 1 if it could not listen, 2 if the settings are invalid.
 [[nodiscard]] int run(const std::string& settingsPath, Clock& clock, Logger& logger);
 
 }  // namespace beechpoint::control
--- a/src/control/duty_service.cpp
+++ b/src/control/duty_service.cpp
@@ -175,7 +175,7 @@
         if (callInFlight_ || calls_.empty() || now < nextCallAt_) return;
         const duties::CallPlatform call = std::move(calls_.front());
         calls_.pop_front();
-        // The process may have stood still since the call was decided on.
+        // The process may have been suspended since the call was decided.
         if (!state_.isCallAllowed(replica(), call))
             return onCalled(call, kNotCalled, "not fresh, or not the holder");
         callInFlight_ = true;
@@ -204,13 +204,13 @@
     const Clock& clock_;
     Logger& logger_;
     ReplicaDriver& driver_;
-    rpc::Client client_;  // of its own: a call that times out closes the connection for all others
+    rpc::Client client_;  // separate: a call that times out closes the connection for all other calls
     host_discovery::PlatformClient platform_;
     double callsPerSecond_;
     DutyServiceState state_;
     std::shared_ptr<IntentWriter> writer_;
     LiveGateways liveGateways_;
-    std::deque<duties::CallPlatform> calls_;  // at most one a subject
+    std::deque<duties::CallPlatform> calls_;  // at most one per subject
     bool callInFlight_ = false;
     Millis nextCallAt_ = 0;
 };
--- a/src/control/duty_service.hpp
+++ b/src/control/duty_service.hpp
@@ -1,8 +1,8 @@
-/// The singleton duties of a control member: drives DutyServiceState, sends its calls to the platform, its proposals and settlements to the head
-/// of the chain, and answers gateways' usage reports. It decides nothing but the order of calls.
+/// Driver of DutyServiceState: sends its calls to the platform and its proposals and settlements to the head of the chain, and answers
+/// gateways' usage reports. It decides only the order of calls.
 ///
-/// Calls to the platform go one at a time, spaced so that all members together stay below what the platform accepts. To be called from the event
-/// loop's thread only, where its own callbacks run too.
+/// Calls to the platform are sent one at a time, spaced so that all members together stay below the platform's rate limit. Must be called from
+/// the event loop's thread only; its callbacks run there too.
 #pragma once
 
 #include <functional>
@@ -30,7 +30,7 @@
     struct Settings {
         DutyServiceState::Settings state;
         std::string platformAddress;  ///< IP:PORT
-        double callsPerSecond = 1;    ///< of all members together
+        double callsPerSecond = 1;    ///< limit for all members together
     };
     using LiveGateways = DutyServiceState::LiveGateways;
 
@@ -42,21 +42,21 @@
     DutyService(const DutyService&) = delete;
     DutyService& operator=(const DutyService&) = delete;
 
-    /// A gateway has polled: its time of day counts.
+    /// Records the wall-clock time of a gateway that polls.
     void onPoll(const PollRequest& request);
-    /// Adds what gateways need to know of the duties.
+    /// Fills in the fields that describe the duties.
     void completeReply(PollReply& reply) const;
-    /// A gateway's counts; `reply` is sent at once.
+    /// Handles a gateway's usage counts; `reply` is sent at once.
     void onUsage(const UsageMessage& message, rpc::Reply reply);
-    /// Another member's proposal or settlement, for the head; `reply` is sent when it is committed or won't be.
+    /// Handles another member's proposal or settlement at the head; `reply` is sent once it is committed or has failed.
     void onProposal(duties::Proposal proposal, rpc::Reply reply);
     void onSettlement(duties::Settlement settlement, rpc::Reply reply);
 
     /// To be called every kServiceTick.
     void tick();
-    /// The replica has another committed table or view.
+    /// The replica's committed table or view changed.
     void onReplicaChanged();
-    /// Graceful shutdown: nothing new is begun.
+    /// Graceful shutdown: starts no new actions.
     void drain();
 
     [[nodiscard]] std::vector<DutyStatus> status() const;
--- a/src/control/duty_service_state.cpp
+++ b/src/control/duty_service_state.cpp
@@ -14,7 +14,7 @@
 
 const Subject kUsage{duties::Duty::usage, "", ""};
 
-// Of the time until a report is due: the rest is for recording and sending it.
+// Share of the report deadline for collecting counts; the rest is for recording and sending the report.
 constexpr double kGatherShare = 0.7;
 
 std::string usageBody(const duties::WindowCounts& window) {
@@ -24,7 +24,7 @@
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// Where either has no identity yet, nothing speaks against the other.
+// A cluster id of 0 on either side means unknown and matches any cluster.
 bool isOfOtherCluster(const DutyReplicaState& replica, const UsageMessage& message) {
     const std::uint64_t own = replica.table ? configuration::clusterId(*replica.table) : 0;
     return own != 0 && message.clusterId != 0 && own != message.clusterId;
@@ -106,7 +106,7 @@
     return replica.fresh && replica.view.epoch == call.token && holds(replica, call.subject);
 }
 
-// ---- What the operators and gateways are told
+// ---- Status for operators and gateways
 
 std::optional<UsageHolder> DutyServiceState::usageHolder(const replica::View& view) const {
     if (settings_.usageWindow <= 0) return std::nullopt;
@@ -152,7 +152,7 @@
                                                   Held& held) const {
     duties::DutyContext situation;
     situation.isHolder = holds(replica, held.runner.subject());
-    // In a view between two that are known here, another member may have held it.
+    // If a view was missed in between, another member may have held the duty meanwhile.
     const bool missedView = replica.view.epoch > held.epoch + 1;
     if (!situation.isHolder || missedView) held.since.reset();
     held.epoch = replica.view.epoch;
@@ -170,7 +170,7 @@
                                                             const DutyReplicaState& replica,
                                                             const LiveGateways& gateways) const {
     const auto live = gateways();
-    // A window far ahead, once recorded, would keep all before it from being reported.
+    // Recording a window far in the future would prevent all earlier windows from being reported.
     if (!trueTime_.isConfirmed(now, live.size())) return std::nullopt;
     const auto window = collector_.nextWindow(runner.newestNumber(*replica.table),
                                               trueTime_.estimate(now, ownTime), now - collectingSince_, live);
@@ -178,7 +178,7 @@
     return duties::DutyWork{window->window, usageBody(*window)};
 }
 
-// A report holds what the holder of its term lacks: it covers a window only together with that term's other reports to this process.
+// Reports are incremental within a term: they cover a window only together with the other reports of that term to this process.
 void DutyServiceState::followTerm(Millis now, const DutyReplicaState& replica) {
     if (!holds(replica, kUsage)) collector_.clear();
     if (replica.view.epoch == collectedTerm_) return;
--- a/src/control/duty_service_state.hpp
+++ b/src/control/duty_service_state.hpp
@@ -1,7 +1,7 @@
-/// What a control member does for the singleton duties (duties/): a state machine free of I/O and clock.
+/// State machine of a control member's singleton duties (duties/), without I/O or clock.
 ///
-/// Each subject has a DutyRunner at every member; only the holder's acts. Counts of usage are collected from the gateways by the member that holds
-/// the usage duty. duty_service.hpp drives it, from one thread, and reports the end of each action.
+/// Every member has a DutyRunner for each subject; only the holder's runner acts. The holder of the usage duty collects usage counts from the
+/// gateways. DutyService (duty_service.hpp) drives it from one thread and reports the completion of each action.
 #pragma once
 
 #include <cstddef>
@@ -23,20 +23,20 @@
 
 namespace beechpoint::control {
 
-/// What it sees of the replica at one moment.
+/// The replica's state at one moment, as far as duties depend on it.
 struct DutyReplicaState {
     bool fresh = false;                  ///< in the newest view known, confirmed by a majority
     replica::View view;                  ///< the newest known
     std::shared_ptr<const Table> table;  ///< committed; null while no replica is open
 };
 
-/// The holder of the usage duty, to be told to gateways.
+/// The holder of the usage duty, as announced to gateways.
 struct UsageHolder {
     std::string address;  ///< internal address, IP:PORT
     std::uint64_t term = 0;
 };
 
-/// Of one subject, for the operators.
+/// Status of one subject, for operators.
 struct DutyStatus {
     std::string subject;
     std::string holder;  ///< by the newest view known here; empty: none
@@ -45,7 +45,7 @@
     std::size_t openIntents = 0;
     std::optional<std::uint64_t> newestNumber;
     std::string newestState;
-    int lastStatus = 0;       ///< of this member's last call; 0: none was answered
+    int lastStatus = 0;       ///< HTTP status of this member's last call; 0: none was answered
     std::uint64_t calls = 0;  ///< this member's
 };
 
@@ -61,21 +61,21 @@
 
     explicit DutyServiceState(Settings settings);
 
-    /// A gateway reports its time of day, in milliseconds since 1970.
+    /// Records a gateway's wall-clock time, in milliseconds since 1970.
     void onGatewayTime(Millis now, const std::string& gateway, Millis unixTime);
-    /// A gateway's counts.
+    /// Handles a gateway's usage counts.
     [[nodiscard]] UsageReply onUsage(Millis now, const DutyReplicaState& replica,
                                      const UsageMessage& message);
 
     /// Names and sessions of the gateways that hold a lease.
     using LiveGateways = std::function<std::vector<std::pair<std::string, std::uint64_t>>()>;
     /// To be called every kServiceTick and after the end of an action.
-    /// @param ownTime this process's time of day, in milliseconds since 1970
+    /// @param ownTime this process's wall-clock time, in milliseconds since 1970
     [[nodiscard]] std::vector<duties::DutyAction> step(Millis now, Millis ownTime,
                                                        const DutyReplicaState& replica,
                                                        const LiveGateways& gateways);
 
-    // The ends of actions.
+    // Completions of actions.
     [[nodiscard]] std::vector<duties::DutyAction> onProposed(Millis now, const DutyReplicaState& replica,
                                                              const duties::Subject& subject,
                                                              std::uint64_t attempt,
@@ -84,24 +84,24 @@
                                                            std::uint64_t attempt, int status);
     void onSettled(Millis now, const duties::Subject& subject, std::uint64_t attempt, bool recorded);
 
-    /// Whether the call may leave now: it is under the newest token, and this member is fresh. To be asked right before sending.
+    /// Whether the call may be sent now: its fencing token is the newest and this member is fresh. Check immediately before sending.
     [[nodiscard]] bool isCallAllowed(const DutyReplicaState& replica, const duties::CallPlatform& call) const;
 
-    /// Nothing where usage is not reported, or no member holds the duty.
+    /// Empty if usage is not reported or no member holds the duty.
     [[nodiscard]] std::optional<UsageHolder> usageHolder(const replica::View& view) const;
     [[nodiscard]] Millis estimatedUnixTime(Millis now, Millis ownTime) const {
         return trueTime_.estimate(now, ownTime);
     }
     [[nodiscard]] std::vector<DutyStatus> status(const DutyReplicaState& replica) const;
 
-    /// Nothing new is begun; what is under way is finished.
+    /// Graceful shutdown: starts no new actions and finishes those in progress.
     void drain() { draining_ = true; }
 
 private:
     struct Held {
         duties::DutyRunner runner;
         std::optional<Millis> since = std::nullopt;  // since when this member holds it
-        std::uint64_t epoch = 0;                     // of the view when that was last looked at
+        std::uint64_t epoch = 0;                     // of the view at the last evaluation
     };
 
     [[nodiscard]] duties::DutyContext situationOf(Millis now, const DutyReplicaState& replica,
@@ -118,10 +118,10 @@
     Settings settings_;
     duties::TrueTime trueTime_;
     duties::UsageCollector collector_;
-    std::uint64_t collectedTerm_ = 0;  // to which the collector's coverage belongs
+    std::uint64_t collectedTerm_ = 0;  // term of the collector's coverage
     Millis collectingSince_ = 0;       // when that term was first seen
     std::map<duties::Subject, Held> held_;
-    std::shared_ptr<const Table> readTable_;  // that recordedBefore_ is of; read once
+    std::shared_ptr<const Table> readTable_;  // from which recordedBefore_ was computed
     duties::WindowNumber recordedBefore_ = 0;
     bool draining_ = false;
 };
--- a/src/control/gateway_count_monitor.cpp
+++ b/src/control/gateway_count_monitor.cpp
@@ -3,7 +3,7 @@
 namespace beechpoint::control {
 namespace {
 
-// An increase by no more than one in so many is not announced: the budgets hardly change by it.
+// An increase by at most this fraction (1/8) is not announced: it hardly changes the budgets.
 constexpr std::uint32_t kSignificantFraction = 8;
 
 }  // namespace
@@ -20,7 +20,7 @@
 bool GatewayCountMonitor::shouldAnnounce(Millis now, std::optional<std::uint32_t> maxLiveGateways) {
     if (!announceAt_ || now < *announceAt_) return false;
     announceAt_.reset();
-    // The count may have fallen again within the window.
+    // The count may have decreased again within the window.
     if (!maxLiveGateways || !isSignificant(*maxLiveGateways)) return false;
     announced_ = maxLiveGateways;
     return true;
--- a/src/control/gateway_count_monitor.hpp
+++ b/src/control/gateway_count_monitor.hpp
@@ -1,7 +1,7 @@
-/// Decides when a changed count of live gateways is sent to the gateways at once.
+/// Decides when a changed count of live gateways is announced to all gateways immediately.
 ///
-/// Gateways divide budgets (limits over all gateways) by this count, so a higher one must reach all of them soon; a lower one may wait for
-/// their next polls. Free of I/O. It counts nothing itself (leases::LeaseTable does) and answers no polls (GatewayServiceState does).
+/// Gateways divide global budgets by this count, so an increase must reach all of them soon; a decrease may wait for their next polls.
+/// Without I/O. The count comes from leases::LeaseTable; GatewayServiceState answers the polls.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,23 @@
 
 namespace beechpoint::control {
 
-/// Increases of the count that come within this window are announced together. Milliseconds.
+/// Increases of the count within this window are announced together. Milliseconds.
 inline constexpr Millis kCountWindow = 300;
 
 class GatewayCountMonitor {
 public:
     /// A new value of LeaseTable::peakLiveCount().
-    /// @param maxLiveGateways nothing: the count is not known at the moment
+    /// @param maxLiveGateways empty: the count is currently unknown
     void observe(Millis now, std::optional<std::uint32_t> maxLiveGateways);
 
-    /// Whether all long polls are to be answered now with the new count. True once for each announcement.
+    /// Whether all long polls must be answered now with the new count. True once per announcement.
     [[nodiscard]] bool shouldAnnounce(Millis now, std::optional<std::uint32_t> maxLiveGateways);
 
 private:
     [[nodiscard]] bool isSignificant(std::uint32_t maxLiveGateways) const;
 
-    std::optional<std::uint32_t> announced_;  // nothing: not known when last observed, or none announced yet
-    std::optional<Millis> announceAt_;        // end of the window that runs
+    std::optional<std::uint32_t> announced_;  // empty: unknown when last observed, or none announced yet
+    std::optional<Millis> announceAt_;        // end of the current window
 };
 
 }  // namespace beechpoint::control
--- a/src/control/gateway_service.hpp
+++ b/src/control/gateway_service.hpp
@@ -1,9 +1,9 @@
-/// The gateways' side of a control member: answers their polls, by which they hold their leases, exchanges updates with the other members, and
-/// reads the platform's host list where this member has the reader role.
+/// Serves gateways at a control member: answers the polls that renew their leases, exchanges updates with the other members, and reads the
+/// platform's host list if this member has the reader role.
 ///
-/// GatewayServiceState decides all of it; this class gives it the time, the replica and the requests, sends its answers and updates, and runs the
-/// poller. It owns these, and the replies that are not sent yet; the replica is ReplicaDriver's. To be called from the I/O loop's thread only,
-/// where its own callbacks run too.
+/// GatewayServiceState makes all decisions; this class supplies the time, the replica and the requests, sends the answers and updates, and runs
+/// the poller. It owns these and the pending replies; ReplicaDriver owns the replica. Must be called from the event loop's thread only; its
+/// callbacks run there too.
 #pragma once
 
 #include <functional>
@@ -40,7 +40,7 @@
 
     /// All references must outlive it.
     /// @param onGateways called when a lease was granted or other members' leases were received
-    /// @param completeReply adds to a poll's answer what other parts of the member have for gateways
+    /// @param completeReply fills in the fields of a poll's answer that other components supply
     GatewayService(asio::io_context& io, const Clock& clock, Logger& logger, ReplicaDriver& driver,
                    rpc::Client& client, Settings settings, std::function<void()> onGateways,
                    std::function<void(PollReply&)> completeReply);
@@ -48,9 +48,9 @@
     GatewayService(const GatewayService&) = delete;
     GatewayService& operator=(const GatewayService&) = delete;
 
-    /// A gateway's poll. `reply` is sent when the poll is answered, kMaxPollWait later at most.
+    /// Handles a gateway's poll. `reply` is sent when the poll is answered, at most kMaxPollWait later.
     void onPoll(PollRequest request, rpc::Reply reply);
-    /// Another member's update; `reply` is sent at once.
+    /// Handles another member's update; `reply` is sent at once.
     void onPeerUpdate(const PeerUpdate& peerUpdate, rpc::Reply reply);
     /// The replica's committed table has a new position.
     void onTableChanged();
@@ -58,7 +58,7 @@
     void onViewChanged();
     /// To be called every kServiceTick, more often while waitsForFreshness().
     void tick();
-    /// Graceful shutdown: all long polls now, and later polls at once, are answered with notFresh, so that gateways ask another member.
+    /// Graceful shutdown: answers all long polls, and every later poll at once, with notFresh, so that gateways switch to another member.
     void drain();
 
     /// Gateways with a lease, by name.
@@ -68,7 +68,7 @@
     /// Whether this member has the role of reading the host list.
     [[nodiscard]] bool readsHostList() const;
     [[nodiscard]] std::size_t pendingLongPolls() const;
-    /// Fills in its part of the member's status: leases, host list, long polls.
+    /// Fills in the status of leases, host list and long polls.
     void describe(MemberStatus& status) const;
 
 private:
--- a/src/control/gateway_service_state.cpp
+++ b/src/control/gateway_service_state.cpp
@@ -148,7 +148,7 @@
     return updatePosition_ > request.position || hosts_.hasUpdateFor(request);
 }
 
-// Batches of duties' intents don't end the gateways' long polls.
+// Batches that contain only duty intents do not complete the gateways' long polls.
 void GatewayServiceState::noteTableChanges(const CommittedTableSource& table) {
     const Position committed = table.committedPosition();
     if (committed == checkedPosition_) return;
@@ -159,7 +159,7 @@
     if (update) checkedPosition_ = committed;
 }
 
-// Where either of the two has no identity yet, nothing speaks against the other.
+// A cluster id of 0 on either side means unknown and matches any cluster.
 bool GatewayServiceState::isOfOtherCluster(const CommittedTableSource* table, std::uint64_t clusterId) const {
     if (!table || clusterId == 0) return false;
     const std::uint64_t own = table->clusterId();
@@ -171,8 +171,8 @@
     actions.answers.push_back({ticket, responder_.refusal(table, status)});
 }
 
-// A gateway that polls again no longer waits for its earlier poll. That one is answered all the same, since a call that times out costs the
-// gateway its connection.
+// A gateway that polls again no longer waits for its earlier poll. The earlier poll is still answered, because a call that times out closes
+// the gateway's connection.
 void GatewayServiceState::answerSuperseded(Millis now, const CommittedTableSource* table,
                                            const std::string& gateway, ServiceActions& actions) {
     const auto poll = polls_.take(gateway);
--- a/src/control/gateway_service_state.hpp
+++ b/src/control/gateway_service_state.hpp
@@ -1,17 +1,17 @@
-/// What a control member decides about gateways' polls and the other members' updates: a state machine free of I/O and clock.
+/// State machine of a control member for gateways' polls and the other members' updates, without I/O or clock.
 ///
-/// Events come with the time and the replica as it is (null: not open yet); poll answers and peer updates to be sent are returned.
-/// gateway_service.hpp drives it, from one thread. It orders the events among its parts, each of which has one job:
+/// Each event carries the time and the replica's current state (null: not open yet); poll answers and peer updates to send are returned.
+/// GatewayService (gateway_service.hpp) drives it from one thread. It dispatches events to its components:
 ///
 ///   leases::LeaseTable     which gateways hold a lease; renewed by polls, merged from the other members' updates
-///   LongPolls              which waiting polls are to be answered
-///   PollResponder          what a poll is answered with
-///   GatewayCountMonitor    when all are answered at once because there are more gateways
+///   LongPolls              selects the waiting polls to answer
+///   PollResponder          builds the answer to a poll
+///   GatewayCountMonitor    detects an increased gateway count, which is announced to all gateways
 ///   HostListDistributor    the platform's host list, and whether this member reads it
-///   PeerUpdates            what the other members are sent, and when
+///   PeerUpdates            builds and schedules updates to the other members
 ///
 ///   event                  | long polls answered                        | peer updates
-///   onPoll                 | the gateway's earlier one, with no update  | soon, where the gateway is new or differs for clients
+///   onPoll                 | the gateway's earlier one, with no update  | soon, if the gateway is new or changed for clients
 ///   onPeerUpdate           | where it brought another host list         | -
 ///   onTableChanged         | those of an older position                 | -
 ///   onHostList (new list)  | those of another list                      | at once, where this member reads the list
@@ -43,7 +43,7 @@
     PollReply reply;
 };
 
-/// What the caller is to carry out, in this order.
+/// Actions for the caller to perform, in this order.
 struct ServiceActions {
     std::vector<PollAnswer> answers;
     std::vector<PeerUpdateCall> peerUpdates;
@@ -52,37 +52,37 @@
 
 class GatewayServiceState {
 public:
-    /// @param source must outlive it; what it reads is to be handed to onHostList()
+    /// @param source must outlive this; the lists that it reads are passed to onHostList()
     GatewayServiceState(leases::LeaseTable::Settings settings, Millis now, HostListSource& source);
-    // Its parts refer to one another.
+    // Its components refer to one another.
     GatewayServiceState(const GatewayServiceState&) = delete;
     GatewayServiceState& operator=(const GatewayServiceState&) = delete;
 
-    /// A gateway polls and thereby renews its lease. The answer with `ticket` comes now or from a later event.
+    /// Handles a gateway's poll, which renews its lease. The answer with `ticket` is returned now or by a later event.
     [[nodiscard]] ServiceActions onPoll(Millis now, const CommittedTableSource* table, PollRequest request,
                                         PollTicket ticket);
-    /// Another member's update. `reply` is filled in and is to be sent before the actions.
+    /// Handles another member's update. `reply` is filled in and must be sent before the actions are performed.
     [[nodiscard]] ServiceActions onPeerUpdate(Millis now, const CommittedTableSource* table,
                                               const PeerUpdate& peerUpdate, PeerUpdateReply& reply);
-    /// The end of a PeerUpdateCall. Nothing: no reply in time, or none that can be read.
+    /// Completes a PeerUpdateCall. Empty: no reply in time, or a malformed one.
     void onPeerUpdateReply(const std::string& member, const std::optional<PeerUpdateReply>& reply);
     /// The committed table has a new position.
     [[nodiscard]] ServiceActions onTableChanged(Millis now, const CommittedTableSource* table);
     /// The replica has another view.
     void onViewChanged(Millis now, const CommittedTableSource* table);
-    /// The source has read a list, or confirmed the one it had at `confirmedAt`.
+    /// The source read a list, or confirmed its current list at `confirmedAt`.
     [[nodiscard]] ServiceActions onHostList(Millis now, const CommittedTableSource* table,
                                             std::shared_ptr<const host_discovery::HostList> list,
                                             Millis confirmedAt);
     /// To be called every kServiceTick.
     [[nodiscard]] ServiceActions tick(Millis now, const CommittedTableSource* table);
-    /// Graceful shutdown: all long polls now, and later polls at once, are answered with notFresh, so that gateways ask another member.
+    /// Graceful shutdown: answers all long polls, and every later poll at once, with notFresh, so that gateways switch to another member.
     [[nodiscard]] ServiceActions drain();
 
     [[nodiscard]] const leases::LeaseTable& leases() const { return leases_; }
     [[nodiscard]] const HostListDistributor& hosts() const { return hosts_; }
     [[nodiscard]] std::size_t pendingLongPolls() const { return polls_.size(); }
-    /// Whether a poll waits for the table to become fresh: tick() is to be called more often.
+    /// Whether a poll waits for the table to become fresh; tick() must then be called more often.
     [[nodiscard]] bool waitsForFreshness() const { return polls_.waitsForFreshness(); }
     [[nodiscard]] Millis leaseMs() const { return leaseMs_; }
 
@@ -96,7 +96,7 @@
 
     [[nodiscard]] bool isOfOtherCluster(const CommittedTableSource* table, std::uint64_t clusterId) const;
 
-    // Names the members of the view, where it is known: a gateway that knows no others may ask these.
+    // Includes the members of the view, if known, so that a gateway without other addresses can switch to them.
     void refuse(const CommittedTableSource* table, PollTicket ticket, PollStatus status,
                 ServiceActions& actions) const;
     void answerSuperseded(Millis now, const CommittedTableSource* table, const std::string& gateway,
@@ -116,8 +116,8 @@
     PollResponder responder_;
     GatewayCountMonitor count_;
     PeerUpdates peerUpdates_;
-    Position checkedPosition_;  // the committed one when changes were last looked at
-    Position updatePosition_;   // the newest at which something changed that gateways need
+    Position checkedPosition_;  // committed position at the last check for changes
+    Position updatePosition_;   // newest position with a change relevant to gateways
     bool draining_ = false;
 };
 
--- a/src/control/host_list_distributor.cpp
+++ b/src/control/host_list_distributor.cpp
@@ -8,7 +8,7 @@
 namespace beechpoint::control {
 namespace {
 
-// A list that is not newer than the gateway's (another reader's) is sent only where it was confirmed within so long.
+// A list that is not newer than the gateway's (from another reader) is sent only if it was confirmed within this time.
 constexpr Millis kFreshlyConfirmed = 1500;
 constexpr std::size_t kMaxPackedBases = 64;
 
--- a/src/control/host_list_distributor.hpp
+++ b/src/control/host_list_distributor.hpp
@@ -1,6 +1,6 @@
-/// The platform's host list at a control member: holds the newest list known and fills in what a gateway or another member lacks of it.
+/// Holds the newest known host list of the platform and fills in the full list or the changes that a gateway or another member lacks.
 ///
-/// HostListReaderRole decides whether this member reads the list; PeerUpdates and PollResponder decide when it is sent and to whom. Free of I/O.
+/// HostListReaderRole decides whether this member reads the list; PeerUpdates and PollResponder decide when and to whom it is sent. Without I/O.
 /// Owned by GatewayServiceState.
 #pragma once
 
@@ -17,8 +17,8 @@
 
 namespace beechpoint::control {
 
-/// A member that does not read the list sends it to others only when it has held it for so long: after two peer updates the reader has sent it
-/// to all members that it reaches. Milliseconds.
+/// A member that is not the reader relays a list to others only after holding it for this long: within two peer updates the reader has sent it
+/// to every member that it can reach. Milliseconds.
 inline constexpr Millis kRelayAfter = 1200;
 
 /// How a list is sent to another member.
@@ -26,7 +26,7 @@
 
 class HostListDistributor {
 public:
-    /// @param source must outlive it; what it reads is to be handed to offer()
+    /// @param source must outlive this; the lists that it reads are passed to offer()
     HostListDistributor(Millis now, HostListSource& source) : role_(now, source) {}
 
     /// Starts or stops reading. Null: this process may not read.
@@ -36,27 +36,27 @@
     void stop() { role_.stop(); }
     [[nodiscard]] bool reads() const { return role_.reads(); }
 
-    /// A list, read here or received. True where it replaces the one held.
-    /// @param confirmedAt when the platform last gave or confirmed it, on this process's clock
+    /// Offers a list that was read here or received. Returns whether it replaced the current one.
+    /// @param confirmedAt when the platform last returned or confirmed it, on this process's clock
     bool offer(Millis now, std::shared_ptr<const host_discovery::HostList> list, Millis confirmedAt);
-    /// What another member reports. True where the list held was replaced.
+    /// Handles another member's report. Returns whether the current list was replaced.
     [[nodiscard]] bool onPeerUpdate(Millis now, const PeerUpdate& peerUpdate);
-    /// A member that is no longer in the view can't have the reader role.
+    /// Drops members that left the view, which can't have the reader role any more.
     void forgetMembersExcept(const std::function<bool(const std::string& member)>& isMember) {
         role_.forgetMembersExcept(isMember);
     }
 
-    /// Fills in the version, the age and what the gateway lacks.
+    /// Fills in the version, the age and the list or changes that the gateway lacks.
     void fillReply(Millis now, const PollRequest& request, PollReply& reply);
     [[nodiscard]] bool hasUpdateFor(const PollRequest& request) const {
         return list() && version() > request.hostList;
     }
 
-    /// Fills in the version, the age and whether this member reads with success.
+    /// Fills in the version, the age and whether this member reads the list successfully.
     void describe(Millis now, PeerUpdate& peerUpdate) const;
-    /// Whether this member is to send the list to another one that reported `held`: the reader at once, others after kRelayAfter.
+    /// Whether this member should send the list to one that reported `held`: the reader at once, other members after kRelayAfter.
     [[nodiscard]] bool needsUpdate(Millis now, const host_discovery::HostListVersion& held) const;
-    /// Fills in what it lacks: changes where they are known and smaller, else the full list (plain: always the full list).
+    /// Fills in the changes since `held` if they are known, else the full list (plain: always the full list).
     void addUpdate(Millis now, const host_discovery::HostListVersion& held, HostListEncoding encoding,
                    PeerUpdate& peerUpdate);
 
@@ -70,7 +70,7 @@
 
 private:
     bool offerReceived(Millis now, const PeerUpdate& peerUpdate);
-    // Both are packed at the first use for each list, since many gateways and members lack the same.
+    // Both are packed on first use and cached, since many gateways and members lack the same data.
     const std::string& packedList();
     const std::string& packedChanges(const host_discovery::HostListVersion& base);  // empty: none to send
     [[nodiscard]] std::optional<HostListSnapshot> snapshot(Millis now) const;       // nothing: no list known
--- a/src/control/host_list_reader_role.hpp
+++ b/src/control/host_list_reader_role.hpp
@@ -1,9 +1,9 @@
 /// Decides whether this control member reads the platform's host list: a singleton role of the view.
 ///
-/// The members stand in rendezvous order of the role's name. The first one reads, under the view's epoch as its fencing token. The one of rank
-/// n takes over when the list known here has not been confirmed for n * kTakeoverAfter and none before it reports that it reads, and stops when
-/// one before it does. Two readers at a time do no harm: list versions carry the fencing token and the reader.
-/// Free of I/O but for the HostListSource, which it starts and stops. Owned by HostListDistributor.
+/// Members are ranked by rendezvous hashing of the role's name. The first one reads, with the view's epoch as its fencing token. The member of
+/// rank n takes over when its list has not been confirmed for n * kTakeoverAfter and no member of lower rank reports reading, and stops when
+/// one does. Two concurrent readers are harmless: list versions carry the fencing token and the reader.
+/// Without I/O except for the HostListSource, which it starts and stops. Owned by HostListDistributor.
 #pragma once
 
 #include <cstddef>
@@ -19,10 +19,10 @@
 
 namespace beechpoint::control {
 
-/// An unconfirmed list is left to the members before this one for so long, for each of them. Milliseconds.
+/// Takeover delay of an unconfirmed list per member of lower rank. Milliseconds.
 inline constexpr Millis kTakeoverAfter = 2000;
 
-/// A member that has not reported for longer than this is not counted on to read. Milliseconds.
+/// A member that has not reported reading for longer than this is not considered a reader. Milliseconds.
 inline constexpr Millis kReaderReportExpiry = 1500;
 
 class HostListReaderRole {
@@ -30,13 +30,13 @@
     /// @param source must outlive it
     HostListReaderRole(Millis now, HostListSource& source) : startedAt_(now), source_(source) {}
 
-    /// Starts or stops reading as the view and the other members' reports say.
+    /// Starts or stops reading according to the view and the other members' reports.
     /// @param replica null: this process may not read
     /// @param known the newest list known here
     void update(Millis now, const CommittedTableSource* replica, const host_discovery::NewestHostList& known);
     void stop() { source_.stop(); }
 
-    /// Another member reports whether it reads, and the newest version that it knows.
+    /// Handles another member's report: whether it reads, and its newest version.
     void onPeerUpdate(Millis now, const PeerUpdate& peerUpdate);
     void forgetMembersExcept(const std::function<bool(const std::string& member)>& isMember);
 
--- a/src/control/intent_writer.cpp
+++ b/src/control/intent_writer.cpp
@@ -24,7 +24,7 @@
     proceed();
 }
 
-// A write that has begun leaves the replica not writable until it ends.
+// A write in progress makes the replica not writable until it completes.
 void IntentWriter::proceed() {
     endOverdue();
     while (!waiting_.empty() && driver_.replica() && driver_.replica()->isWritable() && membersRespond()) {
@@ -34,7 +34,7 @@
     }
 }
 
-// A batch that waits for a lost member would keep the others from answering polls until the view has changed.
+// A batch that waits for a failed member would prevent the others from answering polls until the view changes.
 bool IntentWriter::membersRespond() const {
     const replica::Replica& replica = *driver_.replica();
     return std::ranges::all_of(replica.view().members, [&](const replica::Member& member) {
--- a/src/control/intent_writer.hpp
+++ b/src/control/intent_writer.hpp
@@ -1,5 +1,5 @@
 /// Commits the duties' intents and their settlements at the head of the chain, one batch at a time beside the operators' writes
-/// (duties/intent_log.hpp decides). Requests that can't be carried out in time are answered as not answered: the holder asks again.
+/// (duties/intent_log.hpp decides). Requests that can't be completed in time end with `answered` false, and the holder retries.
 ///
 /// To be called from the event loop's thread only.
 #pragma once
@@ -20,7 +20,7 @@
 
 class IntentWriter : public std::enable_shared_from_this<IntentWriter> {
 public:
-    static constexpr std::size_t kMaxWaiting = 64;  ///< one more is answered at once
+    static constexpr std::size_t kMaxWaiting = 64;  ///< a further request fails at once
     static constexpr Millis kMaxWait = 700;
 
     using OnProposed = std::function<void(const ProposalReply&)>;
@@ -29,11 +29,11 @@
     /// Both must outlive it.
     IntentWriter(const Clock& clock, ReplicaDriver& driver) : clock_(clock), driver_(driver) {}
 
-    /// `done` is called once, perhaps before this returns.
+    /// `done` is called exactly once, possibly before this returns.
     void propose(duties::Proposal proposal, OnProposed done);
     void settle(duties::Settlement settlement, OnSettled done);
 
-    /// The replica may have changed, or time has passed.
+    /// Processes the queue; to be called after a change of the replica and periodically.
     void proceed();
 
 private:
--- a/src/control/long_polls.hpp
+++ b/src/control/long_polls.hpp
@@ -1,10 +1,10 @@
 /// Polls of gateways that wait for an update: at most one for each gateway.
 ///
-/// Decides which of them are to be answered; what they are answered with is PollResponder's part. Free of I/O. Owned by GatewayServiceState.
+/// Selects the polls to answer; PollResponder builds the answers. Without I/O. Owned by GatewayServiceState.
 ///
-///   this member's table is | a poll is to be answered
+///   this member's table is | a poll is answered
 ///   fresh                  | with an update; at the end of its wait; when it arrived while the table was not fresh
-///   not fresh              | kNotFreshWait after that was first noticed, so that the gateway asks another member
+///   not fresh              | kNotFreshWait after that was first detected, so that the gateway switches to another member
 #pragma once
 
 #include <cstddef>
@@ -32,9 +32,9 @@
 struct LongPoll {
     PollRequest request;
     PollTicket ticket = 0;
-    Millis deadline = 0;                ///< end of the wait that the gateway asked for
-    bool arrivedWhileNotFresh = false;  ///< answered as soon as the table is fresh, update or not
-    std::optional<Millis> refuseAt;     ///< while the table is not fresh; nothing: it was when last checked
+    Millis deadline = 0;                ///< end of the wait that the gateway requested
+    bool arrivedWhileNotFresh = false;  ///< answered as soon as the table is fresh, even without an update
+    std::optional<Millis> refuseAt;     ///< set while the table is not fresh
 };
 
 class LongPolls {
@@ -45,18 +45,18 @@
     /// @param wait milliseconds
     void add(Millis now, PollRequest request, PollTicket ticket, Millis wait, Freshness freshness);
 
-    /// Takes out the poll of that gateway, if there is one.
+    /// Removes and returns the poll of that gateway, if any.
     [[nodiscard]] std::optional<LongPoll> take(const std::string& gateway);
 
-    /// Takes out those that are to be answered now, by gateway.
-    /// @param ahead milliseconds; waits that end within it count as over
+    /// Removes and returns the polls to answer now, ordered by gateway.
+    /// @param ahead milliseconds; waits that end within this time count as expired
     [[nodiscard]] std::vector<LongPoll> takeAnswerable(Millis now, Freshness freshness, Millis ahead,
                                                        const HasUpdate& hasUpdate);
     [[nodiscard]] std::vector<LongPoll> takeAll();
 
     [[nodiscard]] std::size_t size() const { return polls_.size(); }
     [[nodiscard]] bool full() const { return polls_.size() >= kMaxLongPolls; }
-    /// Whether a poll waits for the table to become fresh: that is to be checked often.
+    /// Whether a poll waits for the table to become fresh, which must then be checked often.
     [[nodiscard]] bool waitsForFreshness() const;
 
 private:
--- a/src/control/member_requests.cpp
+++ b/src/control/member_requests.cpp
@@ -56,7 +56,7 @@
     }
 }
 
-// The caller reads an empty answer as none; a call left without any would cost it its connection.
+// The caller treats an empty answer as a failure; without any answer the call would time out and close its connection.
 void MemberRequests::rejectUnreadable(const Error& error, rpc::Reply& reply) {
     logger_.seldom("rpc", "a request can't be read: {}", field("error", error.text()));
     reply.send({});
--- a/src/control/member_requests.hpp
+++ b/src/control/member_requests.hpp
@@ -1,5 +1,5 @@
-/// Requests that a control member gets over rpc from other members and from gateways: opens the envelope and hands each kind to the
-/// part that answers it. Owns nothing, holds no state. To be called from the event loop's thread only.
+/// Dispatches rpc requests of other members and gateways: opens the envelope and passes the request to the component for its kind.
+/// Owns nothing and holds no state. Must be called from the event loop's thread only.
 #pragma once
 
 #include <string>
@@ -23,7 +23,7 @@
     MemberRequests(Logger& logger, ReplicaDriver& driver, GatewayService& gateways, DutyService& duties)
         : logger_(logger), driver_(driver), gateways_(gateways), duties_(duties) {}
 
-    /// `bytes`: one envelope (codec.hpp). Every request is answered, now or later; one that can't be read with an empty answer.
+    /// `bytes`: one envelope (codec.hpp). Every request is answered, now or later; a malformed one with an empty answer.
     void handle(const std::string& bytes, rpc::Reply reply);
 
 private:
--- a/src/control/operator_answers.hpp
+++ b/src/control/operator_answers.hpp
@@ -16,7 +16,7 @@
 [[nodiscard]] Answer appliedAnswer(CallId id, std::uint64_t revision);
 /// 4xx with `error` as the body.
 [[nodiscard]] Answer errorAnswer(CallId id, const Error& error);
-/// 503 with Retry-After. The same call is safe to be sent again, here or to another member. `reason`: text of the body.
+/// 503 with Retry-After. The same call may safely be retried, here or at another member. `reason`: text of the body.
 [[nodiscard]] Answer unavailableAnswer(CallId id, const std::string& reason);
 /// 307 to the same target at `controlAddress` (IP:PORT), the member that answers such calls.
 [[nodiscard]] Answer redirectAnswer(CallId id, const std::string& controlAddress, const std::string& target);
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -42,8 +42,8 @@
         dispatch(CallReceived{id, std::move(call.value())});
     }
 
-    // Queues the event and handles all that are queued. Called again from within an action it only queues: the outer call goes on
-    // until no event is left.
+    // Queues the event and handles all queued events. A nested call from within an action only queues: the outer call continues
+    // until the queue is empty.
     void dispatch(OperatorEvent event) {
         events_.push_back(std::move(event));
         if (dispatching_) return;
@@ -70,7 +70,7 @@
         for (OperatorAction& action : actions) std::visit([this](auto& what) { carryOut(what); }, action);
     }
 
-    // Ends of connections come before the event that is being dispatched.
+    // Disconnections are handled before the event that is being dispatched.
     void queueDisconnectedClients() {
         for (auto next = connections_.begin(); next != connections_.end();) {
             const auto entry = next++;
@@ -121,8 +121,8 @@
 
     void carryOut(const LogEvent& action) { logger_.info("operator call: {}", field("event", action.text)); }
 
-    // Whether its client has closed the connection, perhaps behind bytes that are not read yet. A call that a partition held up is
-    // not begun long after its sender has given it up and sent it elsewhere.
+    // Whether the client has closed the connection, possibly behind bytes that are not read yet. This keeps a call delayed by a
+    // partition from starting long after its sender has abandoned it and retried elsewhere.
     bool clientHasLeft(CallId id) const {
         const auto found = connections_.find(id);
         return found == connections_.end() || found->second->left();
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -1,11 +1,11 @@
 /// The operators' calls over HTTP at one control member.
 ///
-/// What it is: the driver of OperatorCalls (operator_calls.hpp), which decides. It parses requests, gives the state machine the time,
-/// the replica's state and the ends of connections as events, and carries out its actions on the member's replica and the connections.
-/// What it is not: a listener; Control hands it the requests.
+/// The driver of the state machine OperatorCalls (operator_calls.hpp): it parses requests, passes the time, the replica's state and
+/// closed connections to the state machine, and performs its actions on the member's replica and the connections.
+/// Control owns the listener and passes it the requests.
 ///
 /// Owns the connections of unanswered calls and the timer by which waiting calls are evaluated again (every 25 ms).
-/// All functions are to be called from the event loop's thread; callbacks come on it too.
+/// All functions must be called from the event loop's thread; callbacks run on it too.
 #pragma once
 
 #include <cstddef>
@@ -29,8 +29,8 @@
 
 inline constexpr std::size_t kMaxOperatorBody = std::size_t{8} * 1024 * 1024;  ///< bytes of one call
 
-/// Life cycle: serves from its construction on; after startDraining() it finishes what it has begun and answers the rest 503. Its
-/// destruction ends it silently: answers that were still to come are dropped.
+/// Life cycle: serves from construction on; after startDraining() it finishes the calls in progress and answers the rest 503.
+/// Destruction drops pending answers silently.
 class OperatorApi {
 public:
     /// All references must outlive it.
@@ -39,9 +39,9 @@
     OperatorApi(const OperatorApi&) = delete;
     OperatorApi& operator=(const OperatorApi&) = delete;
 
-    /// Takes a request; it is answered on `connection` at once or later. A path or method that is no call is answered 4xx.
+    /// Handles a request, answered on `connection` at once or later. An unknown path or method is answered 4xx.
     void handle(const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& connection);
-    /// The view or the committed table changed: waiting calls may go on.
+    /// The view or the committed table changed: waiting calls are evaluated again.
     void onReplicaChanged();
     /// Waiting calls are answered 503 from now on; those in a read barrier or committing are finished.
     void startDraining();
--- a/src/control/operator_call.hpp
+++ b/src/control/operator_call.hpp
@@ -1,5 +1,5 @@
-/// One operator's call as read from its request line, and what it comes to on a table. Free of I/O and state; may be called from any
-/// thread. When a call may be decided on is OperatorCalls' business (operator_calls.hpp).
+/// Parses an operator's call from its request line and evaluates it on a table. Without I/O or state; may be called from any thread.
+/// OperatorCalls (operator_calls.hpp) decides when a call may be evaluated.
 #pragma once
 
 #include <string>
@@ -36,7 +36,7 @@
 /// HTTP status of an error of parseOperatorCall().
 [[nodiscard]] int statusOfCallError(const Error& error);
 
-/// What a write comes to on `table`: accepted with its changes, or already applied.
+/// Evaluates a write on `table`: accepted with its changes, or already applied.
 /// Errors: invalid, conflict, notFound, as configuration/editing.hpp says; invalid for a read.
 [[nodiscard]] Result<configuration::Decision> decide(const OperatorCall& call, const Table& table);
 
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -67,7 +67,7 @@
     if (pending->state == State::waiting) forget(pending);
 }
 
-// The evaluation that follows every event is all there is to do.
+// Nothing to do: waiting calls are evaluated after every event.
 void OperatorCalls::on(const Step&, const Reevaluate&) {}
 
 void OperatorCalls::on(const Step& step, const ReadBarrierDone& event) {
@@ -115,7 +115,7 @@
 // ---- Waiting calls
 
 void OperatorCalls::evaluateWaiting(const Step& step) {
-    // Invariant: writes start in the order in which they came, one at a time.
+    // Invariant: writes start in order of arrival, one at a time.
     bool earlierWrite = std::any_of(calls_.begin(), calls_.end(), [](const PendingCall& pending) {
         return pending.call.writes() && pending.state != State::waiting;
     });
@@ -170,7 +170,7 @@
         startWrite(step, pending, std::move(*accepted));
         return;
     }
-    // Invariant: a write is rejected or called applied only by a table that holds all that was acknowledged before.
+    // Invariant: a write is rejected or reported as applied only by a table that holds every write acknowledged before.
     if (freshness == TableFreshness::unverified) return startReadBarrier(step, pending);
     if (!decision) {
         rejectWrite(step, pending, decision.error());
@@ -180,7 +180,7 @@
     finish(step, pending, appliedAnswer(pending->id, alreadyApplied.revision));
 }
 
-// Where the head isn't writable, the call stays in `waiting` and is decided anew.
+// If the head isn't writable, the call stays in `waiting` and is decided again later.
 void OperatorCalls::startWrite(const Step& step, Iterator pending, configuration::Accepted accepted) {
     if (!step.replica.writable) return;
     pending->state = State::committing;
@@ -194,7 +194,7 @@
     finish(step, pending, errorAnswer(pending->id, error));
 }
 
-// ---- Ends
+// ---- Completion
 
 void OperatorCalls::finish(const Step& step, Iterator pending, Answer answer) {
     if (!pending->clientDisconnected) step.actions.emplace_back(std::move(answer));
--- a/src/control/outgoing_messages.hpp
+++ b/src/control/outgoing_messages.hpp
@@ -1,5 +1,5 @@
-/// The replica's messages of one step, gathered by receiver: several messages to one member go in one call, and those to the member
-/// whose call is being answered go into the reply. Free of I/O; not synchronized; lives for one call or one event.
+/// The replica's messages of one step, batched by receiver: messages to one member are sent in one call, and those to the member
+/// whose call is being answered go into the reply. Without I/O; not synchronized; exists for one call or one event.
 #pragma once
 
 #include <string>
--- a/src/control/packed_table_updates.hpp
+++ b/src/control/packed_table_updates.hpp
@@ -1,4 +1,4 @@
-/// Updates of the replicated table in packed form, each made once: many gateways ask from the same position.
+/// Cache of packed updates of the replicated table, since many gateways request updates from the same position.
 ///
 /// Free of I/O. Owned by PollResponder.
 #pragma once
@@ -11,7 +11,7 @@
 
 namespace beechpoint::control {
 
-/// Whether gateways need the change: the duties' intents are the members' own.
+/// Whether gateways need the change; duty intents are used by control members only.
 [[nodiscard]] bool isForGateways(const Change& change);
 
 class PackedTableUpdates {
--- a/src/control/peer_updates.cpp
+++ b/src/control/peer_updates.cpp
@@ -30,7 +30,7 @@
 }
 
 std::vector<PeerUpdateCall> PeerUpdates::onTick(Millis now, const CommittedTableSource* table) {
-    // Half a tick early rather than half a tick late.
+    // Tolerates half a tick, so that an update is sent early rather than a whole tick late.
     const bool intervalOver = now - lastUpdateAt_ >= kPeerUpdateInterval - kServiceTick / 2;
     if (!updateRequested_ && !intervalOver) return {};
     return updateAll(now, table);
@@ -54,7 +54,7 @@
         return;
     }
     for (const std::uint64_t id : reply->unknownLeases) peer.knownLeases.erase(id);
-    // A lease that the peer does not know is sent again, in full: what was granted since the update before is not acknowledged yet.
+    // Unknown leases are sent again in full, so the grants since the previous update are not acknowledged yet.
     if (reply->unknownLeases.empty()) peer.acknowledgedUntil = peer.sentAt;
 }
 
--- a/src/control/peer_updates.hpp
+++ b/src/control/peer_updates.hpp
@@ -1,4 +1,4 @@
-/// What this control member sends to the other members of the view, and what each of them has acknowledged.
+/// Builds the updates that this control member sends to the other members of the view, and tracks what each has acknowledged.
 ///
 ///   leases      sent in full (ReportedLease) until the receiver knows them, then as renewals of those granted since the last update that it
 ///               acknowledged; a receiver that accepts no increments gets all of them in full each time
@@ -31,7 +31,7 @@
 inline constexpr Millis kPeerUpdateGatherWindow = 100;  ///< changes within it are sent together
 inline constexpr Millis kPeerUpdateTimeout = 1000;      ///< of the call that carries an update
 
-/// An update to be sent. Its end, answered or not, is to be reported to PeerUpdates::onReply().
+/// An update to send. Its completion, answered or not, must be reported to PeerUpdates::onReply().
 struct PeerUpdateCall {
     std::string member;   ///< name of the receiver
     std::string address;  ///< its internal address, IP:PORT
@@ -52,7 +52,7 @@
     /// next onTick() sends.
     [[nodiscard]] std::vector<PeerUpdateCall> updateSoon(Millis now, const CommittedTableSource* table);
 
-    /// The interval is over, or updates were requested. To be called every kServiceTick.
+    /// Returns updates if the interval is over or updates were requested. To be called every kServiceTick.
     [[nodiscard]] std::vector<PeerUpdateCall> onTick(Millis now, const CommittedTableSource* table);
 
     /// The next onTick() sends.
@@ -62,10 +62,10 @@
     void onPeerHostList(const CommittedTableSource* table, const std::string& member,
                         const host_discovery::HostListVersion& version);
 
-    /// The end of a PeerUpdateCall. Nothing: no reply within kPeerUpdateTimeout, or none that can be read; what it carried is sent again.
+    /// Completes a PeerUpdateCall. Empty: no reply within kPeerUpdateTimeout, or a malformed one; its content is sent again.
     void onReply(const std::string& member, const std::optional<PeerUpdateReply>& reply);
 
-    /// Drops what is known of members that left the view.
+    /// Drops the state of members that left the view.
     void forgetMembersExcept(const std::function<bool(const std::string& member)>& isMember);
 
 private:
--- a/src/control/pending_operations.hpp
+++ b/src/control/pending_operations.hpp
@@ -1,4 +1,4 @@
-/// Callbacks of writes or reads that the replica has not ended yet, by the token under which it reports their ends. Not synchronized.
+/// Callbacks of writes or reads that the replica has not completed yet, by operation token. Not synchronized.
 #pragma once
 
 #include <cstdint>
--- a/src/control/poll_responder.cpp
+++ b/src/control/poll_responder.cpp
@@ -51,7 +51,7 @@
     return reply;
 }
 
-// False where the table turns out not to be fresh.
+// False if the table is not fresh.
 bool PollResponder::addTable(Millis now, const CommittedTableSource& table, const PollRequest& request,
                              PollReply& reply) {
     if (table.committedPosition() <= request.position) return true;
@@ -75,7 +75,7 @@
     } else if (all > kReplyBudget && !reply.packedTable.empty()) {
         leaveOutHosts(reply);
     }
-    // Without room for its long poll the gateway would ask again at once.
+    // If its long poll can't be queued, the gateway would otherwise poll again at once.
     if (polls_.full() && reply.retryAfterMs == 0) reply.retryAfterMs = TransferSlots::kMaxRetryAfter;
 }
 
--- a/src/control/poll_responder.hpp
+++ b/src/control/poll_responder.hpp
@@ -39,20 +39,20 @@
                   const LongPolls& polls)
         : leaseMs_(leaseMs), leases_(leases), hosts_(hosts), polls_(polls) {}
 
-    /// The gateway polls: what it was sent before has arrived.
+    /// The gateway polled: its previous reply has arrived.
     void onPoll(Millis now, const std::string& gateway) { slots_.release(now, gateway); }
 
-    /// The gateway renewed its lease: the region of its zone is known from it.
+    /// The gateway renewed its lease: records the region of its zone.
     void onRenewal(const leases::Gateway& gateway);
 
-    /// What the gateway lacks. Status notFresh where the table turns out not to be fresh.
+    /// The state that the gateway lacks; status notFresh if the table is not fresh.
     [[nodiscard]] PollReply reply(Millis now, const CommittedTableSource& table, const PollRequest& request);
 
-    /// For a poll that a newer one of the same gateway has replaced: nothing that the newer one is answered with.
+    /// For a poll that a newer one of the same gateway has replaced: without the state that the newer one's answer contains.
     [[nodiscard]] PollReply supersededReply(const CommittedTableSource& table,
                                             const PollRequest& request) const;
 
-    /// Without any state but the members of the view, where there is a table.
+    /// Contains no state except the members of the view, if there is a table.
     [[nodiscard]] PollReply refusal(const CommittedTableSource* table, PollStatus status) const;
 
 private:
--- a/src/control/replica_driver.cpp
+++ b/src/control/replica_driver.cpp
@@ -53,7 +53,7 @@
             logger_.warn("the store at {} is lost and counts as empty: {}", field("directory", directory),
                          field("reason", contents.lossReason));
         }
-        // Only a store that never held anything may found a group: one that lost its state would forget what it acknowledged.
+        // Only a store that was never used may bootstrap a group: one that lost its state lacks writes that it acknowledged.
         settings.bootstrap = settings.bootstrap && contents.fresh && !contents.lost;
         auto state = durableState(std::move(contents));
         if (!state) return state.error();
@@ -139,7 +139,7 @@
     }
 
 private:
-    // `reply`: takes messages for its address instead of their being sent as calls.
+    // `reply`: collects messages to its address, which are then not sent as calls.
     void handle(const replica::Event& event, MessageBatch* reply = nullptr) {
         std::vector<replica::Action> actions;
         replica_->handle(clock_.now(), event, actions);
@@ -192,7 +192,7 @@
             callbacks_.add([done = std::move(done)] { done(false); });
     }
 
-    // A callback may drop the driver: this object lives until the queue is done.
+    // A callback may destroy the driver: keep this object alive until the queue is empty.
     void runCallbacks() {
         const auto self = shared_from_this();
         callbacks_.run();
--- a/src/control/replica_state.hpp
+++ b/src/control/replica_state.hpp
@@ -1,5 +1,5 @@
-/// What the operators' calls need to know of this member's replica at one moment, as a value: without a reference to the replica, so
-/// that OperatorCalls, which decides on it, can be run on scripted states. Free of I/O; to be made on the event loop's thread.
+/// Snapshot of this member's replica for operators' calls. It holds no reference to the replica, so that OperatorCalls can be tested
+/// on scripted states. Without I/O; to be created on the event loop's thread.
 #pragma once
 
 #include <cstdint>
--- a/src/control/responsive_members.hpp
+++ b/src/control/responsive_members.hpp
@@ -1,5 +1,5 @@
-/// Which other members sent a message recently, so that operators are not redirected to one that is down or partitioned off. It is no
-/// failure detector: views are decided by replica::FailureDetector alone. Free of I/O and clocks; not synchronized.
+/// Records which other members sent a message recently, so that operators are not redirected to one that is down or partitioned. It is
+/// not a failure detector: only replica::FailureDetector affects views. Without I/O or clock; not synchronized.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +10,14 @@
 
 namespace beechpoint::control {
 
-/// A member from which nothing came for longer is unresponsive; no operator is redirected to it.
+/// A member that sent no message for longer than this is unresponsive; no operator is redirected to it.
 inline constexpr Millis kUnresponsiveAfter = 700;
 
 /// Owns the times of the last messages, of a bounded number of addresses.
 class ResponsiveMembers {
 public:
-    /// A message of that member came at `now`. Where too many are known, unresponsive ones are dropped; a new one that still finds no
-    /// room is not recorded.
+    /// Records a message of that member at `now`. If the table is full, unresponsive members are dropped; if it is still full, a new
+    /// member is not recorded.
     void onMessage(const std::string& internalAddress, Millis now);
     [[nodiscard]] bool isResponsive(const std::string& internalAddress, Millis now) const;
 
--- a/src/control/run.cpp
+++ b/src/control/run.cpp
@@ -96,7 +96,7 @@
         });
     }
 
-    // A file that can't be read, perhaps half written, changes nothing; the next check reads it again.
+    // An unreadable file, possibly half written, changes nothing; the next check reads it again.
     void readSettings() {
         const auto time = lastChangeOfFile();
         auto settings = settings::readSettings(path_);
--- a/src/control/table_transfers.cpp
+++ b/src/control/table_transfers.cpp
@@ -45,7 +45,7 @@
     reply.transferSize = 0;
 }
 
-// The one that was begun last stays, whatever its size.
+// The most recently used transfer stays, whatever its size.
 void TableTransfers::evict() {
     while (transfers_.size() > 1 && (transfers_.size() > kMaxTransfers || bytes_ > kMaxTransferBytes)) {
         const auto oldest =
--- a/src/control/table_transfers.hpp
+++ b/src/control/table_transfers.hpp
@@ -1,8 +1,8 @@
-/// Packed tables that are being sent to gateways in chunks. A transfer is known by its digest, so that a gateway resumes it where it stopped, also
-/// while the table moves on, and at any member that packed the same bytes. What is not known here any more is begun anew.
+/// Packed tables that are being sent to gateways in chunks. A transfer is identified by its digest, so that a gateway can resume it while the
+/// table changes, and at any member that packed the same bytes. A transfer that was evicted starts again.
 ///
-/// Bounded: at most kMaxTransfers and kMaxTransferBytes, the one used longest ago goes first. A gateway that asks for chunks for ever does not
-/// occupy one: nothing is stored for a single gateway. Free of I/O. Owned by PollResponder.
+/// Bounded by kMaxTransfers and kMaxTransferBytes with least-recently-used eviction. No state is kept per gateway, so a gateway that requests
+/// chunks forever occupies nothing. Without I/O. Owned by PollResponder.
 #pragma once
 
 #include <cstddef>
@@ -20,11 +20,11 @@
     static constexpr std::size_t kMaxTransfers = 4;
     static constexpr std::size_t kMaxTransferBytes = std::size_t{24} * 1024 * 1024;
 
-    /// Fills in the next chunk of the transfer that the request names. False: it is not known here, or at its end.
+    /// Fills in the next chunk of the transfer that the request names. False: the transfer is unknown here or complete.
     [[nodiscard]] bool resume(Millis now, const PollRequest& request, PollReply& reply);
-    /// Fills in the first chunk of this packed table that the gateway lacks: where it has bytes of the same digest already, the next.
+    /// Fills in the first chunk of this packed table that the gateway lacks; with the same digest, the one after its last chunk.
     void begin(Millis now, std::string packed, const PollRequest& request, PollReply& reply);
-    /// Takes a chunk, or a packed table, out of a reply that is too large for now.
+    /// Removes a chunk or packed table from a reply that is too large to send now.
     static void leaveOut(PollReply& reply);
 
     [[nodiscard]] std::size_t size() const { return transfers_.size(); }
--- a/src/control_messages/codec.cpp
+++ b/src/control_messages/codec.cpp
@@ -36,7 +36,7 @@
     return std::nullopt;
 }
 
-// A chunk of a table stays packed: whoever collects the chunks unpacks them.
+// A chunk of a table stays packed; the receiver unpacks the table once it has all chunks.
 std::optional<Error> unpackTable(PollReply& reply) {
     if (reply.transferSize > 0) return std::nullopt;
     auto table = takePacked<TableUpdate>(reply.packedTable);
--- a/src/control_messages/table_packing.hpp
+++ b/src/control_messages/table_packing.hpp
@@ -1,6 +1,6 @@
 /// The packed fields of messages.hpp as bytes: one byte for the form (0 plain, 1 zstd), then the MessagePack bytes, compressed above a few hundred.
-/// A full table shrinks to about a tenth, since routes repeat the same words, and the links of control members are narrow when all gateways ask
-/// at once. Functions only; may be called from any thread.
+/// A full table compresses to about a tenth, since routes repeat the same words; the bandwidth of control members is scarce when all gateways
+/// poll at once. Functions only; may be called from any thread.
 #pragma once
 
 #include <cstdint>
--- a/src/directory/directory.hpp
+++ b/src/directory/directory.hpp
@@ -1,4 +1,4 @@
-/// Which gateways a client is sent to: the choice behind GET /resolve, its query and its body. Functions only, free of I/O; may be called from any
+/// Selects the gateways for a client: the selection of GET /resolve, its query and its body. Functions only, without I/O; may be called from any
 /// thread. directory_service.hpp answers the requests.
 #pragma once
 
@@ -12,10 +12,10 @@
 
 /// Addresses in one answer.
 inline constexpr std::size_t kMaxResolved = 64;
-/// Where the client's zone has so many gateways, those of other zones are not named.
+/// If the client's zone has at least this many gateways, those of other zones are not returned.
 inline constexpr std::size_t kEnoughNear = 2;
 
-/// Whether clients may be sent to the gateway.
+/// Whether the gateway may be returned to clients.
 [[nodiscard]] bool isUsable(const leases::Gateway& gateway);
 
 /// Client addresses of usable gateways, near ones first: of the client's zone where it has kEnoughNear, then of its region, then of all. While
--- a/src/directory/directory_service.hpp
+++ b/src/directory/directory_service.hpp
@@ -33,7 +33,7 @@
     DirectoryService(const Clock& clock, Gateways gateways, double ttlSeconds);
     ~DirectoryService();
 
-    /// A request: answered now, or kept until gateways are known.
+    /// Answers the request now, or keeps it until gateways are known.
     void handle(const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& connection);
     /// Answers the waiting requests that can be answered, and with 503 those that have waited kResolveWait. To be called when gateways change
     /// and every few hundred milliseconds.
