--- a/src/control/committed_table_source.hpp
+++ b/src/control/committed_table_source.hpp
@@ -16,7 +16,7 @@
 class CommittedTableSource {
 public:
     virtual ~CommittedTableSource() = default;
-    /// Whether the table may be served: this member is known to hold all that was acknowledged (replica::Replica::isFresh()).
+    /// Whether the table may be served: this member is known to hold every acknowledged write (replica::Replica::isFresh()).
     [[nodiscard]] virtual bool fresh(Millis now) const = 0;
     [[nodiscard]] virtual Position committedPosition() const = 0;
     /// Cluster id stored in the committed table (configuration/cluster_identity.hpp); 0: not assigned yet.
--- a/tests/control/codec_test.cpp
+++ b/tests/control/codec_test.cpp
@@ -94,7 +94,7 @@
     EXPECT_EQ(read.value().leaseMs, reply.leaseMs);
 }
 
-// Fields that were added last are written where one of them is used, and left out where none is: then the bytes are those of before.
+// Trailing fields are written only if one of them is set; otherwise the bytes are those of an earlier version.
 TEST(Codec, LeavesOutLastFieldsAtTheirDefaults) {
     constexpr char kArrayOf8 = static_cast<char>(0x98);
     PollRequest request;
--- a/tests/control/control_test.cpp
+++ b/tests/control/control_test.cpp
@@ -77,7 +77,7 @@
     const HttpAnswer first = cluster.call(0, "PUT", "/configuration", "0", configuration(5));
     EXPECT_EQ(first.status, 200) << first.body;
     for (std::size_t member = 0; member < Cluster::kMembers; member++) EXPECT_EQ(revisionAt(member), 5);
-    // The very call again, at another member.
+    // The same call again, at another member.
     EXPECT_EQ(cluster.call(1, "PUT", "/configuration", "\"0\"", configuration(5)).status, 200);
     // On top of a version that is not current.
     const HttpAnswer conflict = cluster.call(2, "PUT", "/configuration", "0", configuration(6));
@@ -116,7 +116,7 @@
     EXPECT_EQ(revisionAt(0), answers[0].status == 200 ? 2 : 3);
 }
 
-// Its end comes right behind the call, as after a partition that delayed both: by now the call was sent again elsewhere, or given up.
+// The connection closes right after the call, as after a partition that delayed both: the client has since retried elsewhere or given up.
 TEST_F(ControlTest, DropsWriteWhenClientHasDisconnected) {
     bootstrap();
     const std::string address = cluster.controlAddress(head());
@@ -315,7 +315,7 @@
     EXPECT_EQ(cluster.call(2, "PUT", "/configuration", "1", configuration(2)).status, 200);
 }
 
-// A new machine whose seeds nobody serves finds the others once its settings are read again.
+// A new machine none of whose seeds is served joins the others once its settings are reloaded.
 TEST_F(ControlTest, JoinsAfterReloadWithNewSeeds) {
     for (const std::size_t member : {0, 1}) {
         cluster.setSeeds(member, {cluster.controlAddress(0), cluster.controlAddress(1)});
--- a/tests/control/directory_sample_test.cpp
+++ b/tests/control/directory_sample_test.cpp
@@ -1,4 +1,4 @@
-// The directory that a gateway is sent.
+// Tests of the directory sample sent to a gateway.
 #include "control/directory_sample.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/control/duty_service_state_test.cpp
+++ b/tests/control/duty_service_state_test.cpp
@@ -15,7 +15,7 @@
 constexpr duties::WindowNumber kFirst = 340'000'000;
 constexpr Millis kUnixAtZero = kFirst * kWindow;
 
-// One member that is alone in the view, or one of two.
+// A member that is alone in the view or one of two.
 struct DutyServiceStateTest : ::testing::Test {
     DutyServiceState state{settings()};
     DutyReplicaState replica = replicaIn(5, {"core-1"});
@@ -153,7 +153,7 @@
     EXPECT_FALSE(off.onUsage(now, replica, {}).accepted);
 }
 
-// A report of an earlier term holds only what that term's holder lacked.
+// Reports are incremental within a term: one of an earlier term contains only counts that that term's holder lacked.
 TEST_F(DutyServiceStateTest, AnEarlierTermsReportDoesNotCoverAWindow) {
     const Change before{duties::intentKey(kUsage, kFirst - 1),
                         duties::formatIntent({kFirst - 1, 4, "core-2", duties::IntentState::done, ""})};
--- a/tests/control/gateway_service_state_test.cpp
+++ b/tests/control/gateway_service_state_test.cpp
@@ -1,4 +1,4 @@
-// What a control member answers polls with and sends the other members.
+// Tests of a control member's poll answers and peer updates.
 #include "control/gateway_service_state.hpp"
 
 #include <gtest/gtest.h>
@@ -52,7 +52,7 @@
     replica::View view_;
 };
 
-// What the gateway holds when it polls.
+// The state that the gateway holds when it polls.
 enum class Held { nothing, newestTable };
 
 PollRequest pollOf(const std::string& name, Held held = Held::newestTable) {
@@ -149,7 +149,7 @@
     EXPECT_FALSE(refusal.table);
 }
 
-// A gateway of another system, whose member had this address before, gets nothing and no lease.
+// A gateway of another cluster, one of whose members had this address before, gets no state and no lease.
 TEST(GatewayServiceState, RefusesGatewaysOfAnotherCluster) {
     Service service;
     PollRequest poll = pollOf("g1", Held::nothing);
@@ -183,7 +183,7 @@
     EXPECT_EQ(service.state.leases().liveGateways(1).size(), 1u);
 }
 
-// To a gateway that accepts chunks a large table goes in chunks, to any other in one reply.
+// A large table is sent in chunks to a gateway that accepts them, and in one reply to any other.
 TEST(GatewayServiceState, SendsALargeTableInChunksToGatewaysThatAcceptThem) {
     Service service;
     service.table.value = incompressible(3 * kChunkBytes);
--- a/tests/control/long_polls_test.cpp
+++ b/tests/control/long_polls_test.cpp
@@ -1,4 +1,4 @@
-// Which long polls are to be answered.
+// Tests of the selection of long polls to answer.
 #include "control/long_polls.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/control/operator_calls_test.cpp
+++ b/tests/control/operator_calls_test.cpp
@@ -1,4 +1,4 @@
-// Each state of a call and each transition out of it, on scripted states of the replica.
+// Tests each state of a call and each transition from it, on scripted states of the replica.
 #include "control/operator_calls.hpp"
 
 #include <gtest/gtest.h>
@@ -266,7 +266,7 @@
     EXPECT_EQ(calls.committedWrites(), 1u);
 }
 
-// What would be rejected or called applied by this member's table is decided again after a read barrier.
+// A write that this member's table would reject or report as applied is decided again after a read barrier.
 TEST_F(OperatorCallsTest, RejectsNothingWithoutReadBarrier) {
     setRole(true, false);
     commitConfiguration(5);
@@ -300,7 +300,7 @@
     EXPECT_EQ(answeredStatus(), 307);
 }
 
-// The barrier's own batch shows a table on which the call is good.
+// The table after the barrier's batch is one on which the call is accepted.
 TEST_F(OperatorCallsTest, DecidesWriteAgainAfterBarrier) {
     setRole(true, false);
     commitConfiguration(5);
--- a/tests/control/operator_history.cpp
+++ b/tests/control/operator_history.cpp
@@ -24,11 +24,11 @@
 constexpr Millis kEnd = 80'000;
 constexpr Millis kOperatorTimeout = 1000;
 constexpr Millis kDrainTime = 200;
-constexpr Millis kCallEndTimeout = 10'000;  // for a clear answer, once faults are over
+constexpr Millis kFinalAnswerTimeout = 10'000;  // for a definite answer once faults are over
 constexpr int kMaxRedirects = 2;
 constexpr std::size_t kMaxViolations = 20;
 
-// ---- The model: the rules of the API, written a second time and simply
+// ---- The model: an independent, simple implementation of the API's rules
 
 enum class Fault { none, truncated, noTimeout, unknownService };
 
@@ -71,7 +71,7 @@
     Millis at = 0;
     std::shared_ptr<const Table> table;
     State state;
-    std::string key;  // of the change that brought it
+    std::string key;  // of the change that created it
 };
 
 std::string routeText(const std::string& name, int timeout, Fault fault) {
@@ -106,7 +106,7 @@
     return text;
 }
 
-// ---- The world
+// ---- The simulation
 
 struct View {
     std::uint64_t epoch = 0;
@@ -119,7 +119,7 @@
 struct ReceivedCall {
     Order order;
     Millis receivedAt = 0;
-    std::size_t logAtBegin = 0;  // entries in the log when it came
+    std::size_t logSizeAtArrival = 0;  // entries in the log when the call arrived
     std::size_t operatorNumber = 0;
     std::uint64_t attempt = 0;
 };
@@ -127,7 +127,7 @@
 struct Member {
     OperatorCalls calls;
     View view;
-    std::size_t known = 0;  // entry of the log that its committed table is
+    std::size_t committedEntry = 0;  // entry of the log that its committed table is
     bool installed = false;
     bool inFlight = false;
     bool partitioned = false;
@@ -142,22 +142,22 @@
     std::size_t member = 0;
     std::uint64_t token = 0;
     std::vector<Change> changes;
-    std::optional<Order> order;  // nothing for an empty batch
+    std::optional<Order> order;  // empty for an empty batch
 };
 
 struct Operator {
     std::optional<Order> order;
-    std::uint64_t attempt = 0;  // answers to earlier ones are not looked at
+    std::uint64_t attempt = 0;  // answers to earlier attempts are ignored
     std::uint64_t version = 0;
     std::vector<Order> past;
-    Millis since = 0;      // when the order in hand was started
-    bool closing = false;  // sends what was applied again, and stops
+    Millis since = 0;      // when the current order was started
+    bool closing = false;  // sends the applied orders again, then stops
     std::size_t next = 0;
 };
 
-class World {
+class HistorySimulation {
 public:
-    explicit World(std::uint64_t seed) : random_(seed) {
+    explicit HistorySimulation(std::uint64_t seed) : random_(seed) {
         log_.push_back({0, std::make_shared<const Table>(), {}, ""});
         changeView({0, 1, 2});
         for (std::size_t each = 0; each < kOperators; ++each) beginNextOrder(each);
@@ -171,26 +171,26 @@
             event.mapped()();
         }
         for (std::size_t each = 0; each < kOperators; ++each)
-            if (operators_[each].order && kEnd - operators_[each].since > kCallEndTimeout)
-                violate(fmt::format("a call never ended: {}", operators_[each].order->key));
+            if (operators_[each].order && kEnd - operators_[each].since > kFinalAnswerTimeout)
+                reportViolation(fmt::format("a call never ended: {}", operators_[each].order->key));
         report_.applied = inLog_.size();
         return std::move(report_);
     }
 
 private:
-    // ---- Time and chance
+    // ---- Time and random draws
 
     void at(Millis after, std::function<void()> action) { events_.emplace(now_ + after, std::move(action)); }
     Millis between(Millis low, Millis high) { return low + (high - low) * random_(); }
     bool chance(double probability) { return random_() < probability; }
     bool faultsOver() const { return now_ >= kFaultsEnd; }
 
-    void violate(std::string what) {
+    void reportViolation(std::string what) {
         if (report_.violations.size() < kMaxViolations)
             report_.violations.push_back(fmt::format("{:.0f} ms: {}", now_, what));
     }
 
-    // Runs at the member unless it was restarted meanwhile; after its freeze where it is frozen.
+    // Runs the action at the member unless it restarted meanwhile; deferred while the member is frozen.
     void atMember(std::size_t member, Millis after, std::function<void()> action) {
         at(after, [this, member, start = members_[member].start, action = std::move(action)]() mutable {
             Member& here = members_[member];
@@ -204,8 +204,8 @@
 
     // ---- Members
 
-    // Whether the member can take part in the view in force.
-    bool takesPart(std::size_t member) const {
+    // Whether the member participates in the current view.
+    bool isActiveInView(std::size_t member) const {
         const Member& here = members_[member];
         return !here.down && !here.partitioned && !here.frozen && here.installed &&
                here.view.epoch == view_.epoch && view_.has(member);
@@ -226,8 +226,8 @@
             state.head = chainEnd(here.view.order.front());
             state.tail = chainEnd(here.view.order.back());
         }
-        state.position = {here.view.epoch, here.known};
-        state.table = log_[here.known].table;
+        state.position = {here.view.epoch, here.committedEntry};
+        state.table = log_[here.committedEntry].table;
         return state;
     }
 
@@ -254,11 +254,11 @@
             return write(member, {}, std::nullopt, [this, member, id = action.id](WriteResult result) {
                 dispatch(member, ReadBarrierDone{id, result == WriteResult::committed});
             });
-        const bool started = takesPart(member) && view_.order.back() == member;
+        const bool started = isActiveInView(member) && view_.order.back() == member;
         const std::uint64_t epoch = view_.epoch;
         atMember(member, started ? between(1, 30) : between(200, 1500),
                  [this, member, id = action.id, started, epoch] {
-                     const bool ok = started && takesPart(member) && view_.epoch == epoch;
+                     const bool ok = started && isActiveInView(member) && view_.epoch == epoch;
                      dispatch(member, ReadBarrierDone{id, ok});
                  });
     }
@@ -273,37 +273,38 @@
         });
     }
 
-    // A batch goes down the chain to the tail, which commits it, and the acknowledgement comes back to the head.
+    // A batch is forwarded along the chain to the tail, which commits it; the acknowledgement returns to the head.
     void write(std::size_t member, std::vector<Change> changes, std::optional<Order> order,
                std::function<void(WriteResult)> done) {
         members_[member].inFlight = true;
         const std::uint64_t token = ++lastToken_;
         const auto finish = [this, member, done = std::move(done)](WriteResult result) {
             members_[member].inFlight = false;
-            // Still in the view, it has heard of the commit before it is writable again.
-            learn(member, log_.size() - 1);
+            // A member that is still in the view receives the commit before it is writable again.
+            advanceCommitted(member, log_.size() - 1);
             done(result);
         };
-        const auto giveUp = [this, member, finish] {
+        const auto failWrite = [this, member, finish] {
             atMember(member, between(100, 3000), [finish] { finish(WriteResult::unknown); });
         };
-        if (!takesPart(member) || view_.order.front() != member) return giveUp();
+        if (!isActiveInView(member) || view_.order.front() != member) return failWrite();
         inFlight_ = InFlight{member, token, std::move(changes), std::move(order)};
-        at(between(2, 250), [this, member, token, finish, giveUp] {
-            if (!inFlight_ || inFlight_->token != token) return giveUp();
+        at(between(2, 250), [this, member, token, finish, failWrite] {
+            if (!inFlight_ || inFlight_->token != token) return failWrite();
             commitInFlight();
             const std::uint64_t epoch = view_.epoch;
             const std::size_t entry = log_.size() - 1;
-            at(between(1, 30), [this, member, epoch, entry, finish, giveUp] {
-                if (!takesPart(member) || view_.epoch != epoch) return giveUp();
-                for (const std::size_t each : view_.order) learn(each, entry);
+            at(between(1, 30), [this, member, epoch, entry, finish, failWrite] {
+                if (!isActiveInView(member) || view_.epoch != epoch) return failWrite();
+                for (const std::size_t each : view_.order) advanceCommitted(each, entry);
                 finish(WriteResult::committed);
             });
         });
     }
 
-    void learn(std::size_t member, std::size_t entry) {
-        if (takesPart(member)) members_[member].known = std::max(members_[member].known, entry);
+    void advanceCommitted(std::size_t member, std::size_t entry) {
+        if (isActiveInView(member))
+            members_[member].committedEntry = std::max(members_[member].committedEntry, entry);
     }
 
     void commitInFlight() {
@@ -322,14 +323,14 @@
         entry.table = std::make_shared<const Table>(std::move(table));
         checkTable(entry);
         log_.push_back(std::move(entry));
-        members_[view_.order.back()].known = log_.size() - 1;
+        members_[view_.order.back()].committedEntry = log_.size() - 1;
     }
 
     // ---- Views and faults
 
     void changeView(std::vector<std::size_t> order) {
         report_.viewChanges++;
-        // What is in flight becomes part of the new view's state, or is dropped.
+        // A batch in flight becomes part of the new view's state or is dropped.
         if (inFlight_ && chance(0.5))
             commitInFlight();
         else
@@ -345,7 +346,7 @@
                 Member& installing = members_[member];
                 if (installing.view.epoch != epoch || view_.epoch != epoch || installing.partitioned) return;
                 installing.installed = true;
-                installing.known = log_.size() - 1;
+                installing.committedEntry = log_.size() - 1;
                 dispatch(member, Reevaluate{});
             });
             dispatch(member, Reevaluate{});
@@ -363,7 +364,7 @@
                 break;
             case 1:
                 members_[member].frozen = true;
-                at(length, [this, member] { thaw(member); });
+                at(length, [this, member] { unfreeze(member); });
                 break;
             case 2:
                 restart(member, length);
@@ -380,7 +381,7 @@
         at(length + 1000 + between(0, 3000), [this] { beginFault(); });
     }
 
-    void thaw(std::size_t member) {
+    void unfreeze(std::size_t member) {
         members_[member].frozen = false;
         auto deferred = std::move(members_[member].deferred);
         members_[member].deferred.clear();
@@ -415,7 +416,7 @@
             Operator& one = operators_[number];
             if (faultsOver()) one.closing = true;
             one.since = now_;
-            one.order = one.closing ? nextToRepeat(one) : draw(one);
+            one.order = one.closing ? nextToRepeat(one) : drawOrder(one);
             if (one.order) attempt(number, random_.below(kMembers), 0);
         });
     }
@@ -425,7 +426,7 @@
         return one.past[one.next++];
     }
 
-    Order draw(Operator& one) {
+    Order drawOrder(Operator& one) {
         if (!one.past.empty() && chance(0.15)) return one.past[random_.below(one.past.size())];
         Order order;
         const double kind = random_();
@@ -443,7 +444,7 @@
         return order;
     }
 
-    // Small numbers and few contents, so that operators pick the same ones.
+    // Few distinct revisions and contents, so that operators collide.
     void drawChange(const Operator& one, Order& order) {
         const bool replacesAll = chance(0.6);
         order.ifMatch = one.version - std::min<std::uint64_t>(one.version, chance(0.15) ? 2 : 0);
@@ -492,7 +493,7 @@
 
     void carryOut(std::size_t member, const Answer& answer) {
         auto node = members_[member].received.extract(answer.id);
-        if (node.empty()) return violate("a call was answered twice");
+        if (node.empty()) return reportViolation("a call was answered twice");
         const ReceivedCall received = std::move(node.mapped());
         report_.answers++;
         check(received, answer);
@@ -512,26 +513,27 @@
         if (answer.status >= 500 || answer.status == 307) return retry(number);
         if (received.order.changes() && answer.status == 200) one.version = received.order.revision;
         if (received.order.call.kind == OperatorCallKind::read)
-            one.version = log_[received.logAtBegin - 1].state.revision;
+            one.version = log_[received.logSizeAtArrival - 1].state.revision;
         if (answer.status == 412) one.version = log_.back().state.revision;
         one.attempt++;
         one.order.reset();
         beginNextOrder(number);
     }
 
-    // ---- What must hold
+    // ---- Checks
 
     void checkBatch(const Order& order, const State& before) {
         if (!order.changes()) return;
-        if (inLog_.contains(order.key)) violate("entered the log twice: " + order.key);
-        if (order.fault != Fault::none) violate("an invalid change entered the log: " + order.key);
+        if (inLog_.contains(order.key)) reportViolation("entered the log twice: " + order.key);
+        if (order.fault != Fault::none) reportViolation("an invalid change entered the log: " + order.key);
         if (order.ifMatch != before.revision || order.revision <= before.revision)
-            violate(fmt::format("on version {} entered the log: {}", before.revision, order.key));
+            reportViolation(fmt::format("on version {} entered the log: {}", before.revision, order.key));
     }
 
     void checkTable(const Entry& entry) {
         const Table& table = *entry.table;
-        if (configuration::currentRevision(table) != entry.state.revision) violate("the version differs");
+        if (configuration::currentRevision(table) != entry.state.revision)
+            reportViolation("the version differs");
         std::size_t routes = 0, zones = 0;
         for (const auto& [key, value] : table) {
             routes += key.starts_with("route/") ? 1 : 0;
@@ -545,13 +547,13 @@
         }
         for (const std::string& zone : entry.state.evacuated)
             same = same && table.contains("evacuated/" + zone);
-        if (!same) violate("the table differs from the orders that made it");
+        if (!same) reportViolation("the table differs from the orders that made it");
     }
 
-    // Whether something holds of the log at a moment between the call's coming and now.
-    bool atSomeMoment(const ReceivedCall& received, const std::function<bool(const Entry&)>& holds) const {
-        return std::any_of(log_.begin() + static_cast<std::ptrdiff_t>(received.logAtBegin) - 1, log_.end(),
-                           holds);
+    // Whether the predicate holds for a log entry that was current at some time between the call's arrival and now.
+    bool heldDuringCall(const ReceivedCall& received, const std::function<bool(const Entry&)>& holds) const {
+        return std::any_of(log_.begin() + static_cast<std::ptrdiff_t>(received.logSizeAtArrival) - 1,
+                           log_.end(), holds);
     }
 
     void check(const ReceivedCall& received, const Answer& answer) {
@@ -560,34 +562,35 @@
         if (answer.status == 200) return checkSuccess(received, answer);
         report_.rejected++;
         const std::string what = fmt::format("{} to {}", answer.status, order.key);
-        if (!order.changes()) return violate("an evacuation or read was rejected: " + what);
-        if (inLog_.contains(order.key)) violate("rejected though applied: " + what);
-        const bool justified = atSomeMoment(received, [&](const Entry& entry) {
+        if (!order.changes()) return reportViolation("an evacuation or read was rejected: " + what);
+        if (inLog_.contains(order.key)) reportViolation("rejected though applied: " + what);
+        const bool isJustified = heldDuringCall(received, [&](const Entry& entry) {
             const std::uint64_t version = entry.state.revision;
             if (answer.status == 412) return order.ifMatch != version;
             const bool noService = order.call.kind == OperatorCallKind::patch && version == 0;
             return answer.status == 400 &&
                    (order.fault != Fault::none || noService || order.revision <= version);
         });
-        if (!justified) violate("rejected without cause: " + what);
+        if (!isJustified) reportViolation("rejected without cause: " + what);
     }
 
     void checkSuccess(const ReceivedCall& received, const Answer& answer) {
         const Order& order = received.order;
         if (order.changes()) {
-            if (!inLog_.contains(order.key)) return violate("acknowledged and not in the log: " + order.key);
-            const auto begin = log_.begin() + static_cast<std::ptrdiff_t>(received.logAtBegin);
+            if (!inLog_.contains(order.key))
+                return reportViolation("acknowledged and not in the log: " + order.key);
+            const auto begin = log_.begin() + static_cast<std::ptrdiff_t>(received.logSizeAtArrival);
             report_.appliedAgain +=
                 std::any_of(log_.begin(), begin, [&](const Entry& entry) { return entry.key == order.key; });
             return;
         }
         const bool read = order.call.kind == OperatorCallKind::read;
         report_.reads += read ? 1 : 0;
-        const bool wasTrue = atSomeMoment(received, [&](const Entry& entry) {
+        const bool wasCurrent = heldDuringCall(received, [&](const Entry& entry) {
             if (read) return answer.body == configuration::renderConfiguration(*entry.table);
             return entry.state.evacuated.contains(order.call.zone) == order.evacuates();
         });
-        if (!wasTrue) violate("answered by an outdated state: " + order.key);
+        if (!wasCurrent) reportViolation("answered by an outdated state: " + order.key);
     }
 
     SplitMix random_;
@@ -608,6 +611,6 @@
 
 }  // namespace
 
-HistoryReport playHistory(std::uint64_t seed) { return World(seed).play(); }
+HistoryReport playHistory(std::uint64_t seed) { return HistorySimulation(seed).play(); }
 
 }  // namespace beechpoint::control
--- a/tests/control/operator_history.hpp
+++ b/tests/control/operator_history.hpp
@@ -1,7 +1,7 @@
 /// Random histories of operators' calls in virtual time: the real OperatorCalls at three members over a model of the replicated log,
-/// and operators that send their calls again, late, twice and to other members. Members are partitioned, frozen, restarted and drained;
-/// answers are lost, and so is the knowledge whether a write took effect. Every answer that a member gives, also one that is lost, is
-/// checked against the log.
+/// and operators that retry, delay and duplicate their calls and send them to other members. Members are partitioned, frozen, restarted
+/// and drained; answers and the outcomes of writes are lost. Every answer of a member, including lost ones, is checked against the
+/// log.
 #pragma once
 
 #include <cstdint>
@@ -14,20 +14,20 @@
     std::vector<std::string> violations;
     std::size_t answers = 0;        // of any kind, by members
     std::size_t applied = 0;        // PUT and PATCH in the log
-    std::size_t appliedAgain = 0;   // 200 to a call that was in the log before it came
+    std::size_t appliedAgain = 0;   // 200 to a call that was in the log before it arrived
     std::size_t rejected = 0;       // 4xx
     std::size_t reads = 0;          // 200 to GET
-    std::size_t atStaleMember = 0;  // calls that came to a member that believed in an older view
-    std::size_t unknown = 0;        // writes whose outcome was not known
+    std::size_t atStaleMember = 0;  // calls that arrived at a member with an outdated view
+    std::size_t unknown = 0;        // writes with unknown outcome
     std::size_t viewChanges = 0;
 };
 
-/// Plays the history of one seed. The guarantees that are checked:
+/// Simulates the history of one seed and checks these guarantees:
 ///   - a call enters the log at most once, on the version that it names, and only a valid one;
 ///   - 200 to a change means that this very call is in the log;
-///   - 4xx means that it is not and never will be, and that the log justified it at some moment between the call's coming and the answer;
-///   - a read and an evacuation are answered by the log of such a moment;
-///   - once faults end every call ends, and all that was applied is acknowledged again wherever it is sent.
+///   - 4xx means that it is not and never will be, and that the log justified it at some time between the call's arrival and the answer;
+///   - a read or an evacuation is answered from the log at such a time;
+///   - after the faults every call completes, and an applied call is acknowledged again at any member.
 HistoryReport playHistory(std::uint64_t seed);
 
 }  // namespace beechpoint::control
--- a/tests/control/operator_history_test.cpp
+++ b/tests/control/operator_history_test.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::uint64_t kSeeds = 40;
 
-// Each situation has to occur often, else the histories show nothing.
+// Each situation must occur often enough for the histories to be meaningful.
 TEST(OperatorHistory, HoldsGuaranteesThroughFaults) {
     HistoryReport all;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
--- a/tests/control/operator_variant_test.cpp
+++ b/tests/control/operator_variant_test.cpp
@@ -1,4 +1,4 @@
-// Linked with a broken variant of the code: the histories must detect what it breaks (EXPECTED_VIOLATION), else they show nothing.
+// Linked with a broken variant of the code: the histories must report the violation that it causes (EXPECTED_VIOLATION).
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/control/transfer_slots_test.cpp
+++ b/tests/control/transfer_slots_test.cpp
@@ -1,4 +1,4 @@
-// Which gateways are sent large replies.
+// Tests of the admission of large replies.
 #include "control/transfer_slots.hpp"
 
 #include <gtest/gtest.h>
