--- a/src/control/control_settings.hpp
+++ b/src/control/control_settings.hpp
@@ -1,4 +1,4 @@
-/// What the parts of a control member take from the process's settings. Pure functions; may be called from any thread.
+/// Derives the settings of a control member's components from the process's settings. Pure functions; may be called from any thread.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,9 @@
 
 /// IP:PORT on which other members and gateways are served; the port is the first of the internal range.
 [[nodiscard]] std::string internalAddressOf(const settings::ProcessSettings& settings);
-/// Of the gateways' leases: two and a half heartbeats of the settings, between 2.5 s and 5 s.
+/// Settings of the gateways' leases: two and a half configured heartbeats, between 2.5 s and 5 s.
 [[nodiscard]] leases::LeaseTable::Settings leaseSettingsOf(const settings::ProcessSettings& settings);
-/// Seconds for which clients may use an answer of the directory: at most 2.
+/// Seconds for which clients may cache an answer of the directory: at most 2.
 [[nodiscard]] double directoryTtlSecondsOf(const settings::ProcessSettings& settings);
 /// `seed` must differ at each start of the process.
 [[nodiscard]] GatewayService::Settings gatewayServiceSettingsOf(
--- a/src/control/directory_sample.hpp
+++ b/src/control/directory_sample.hpp
@@ -1,13 +1,13 @@
-/// The directory that one gateway is sent, so that it can answer clients that ask for gateways (GET /resolve): a bounded sample, since each of N
-/// gateways is sent it again and again. Only gateways that clients may be sent to are in it. Some are drawn from each zone, more from near ones:
+/// The directory that is sent to one gateway, from which it answers GET /resolve: a bounded sample, since it is sent repeatedly to each of N
+/// gateways. It contains only gateways that may be returned to clients. Some are sampled from each zone, more from nearby ones:
 ///
 ///   zone                       | at most
 ///   the recipient's            | kFromOwnZone, as many as one answer of GET /resolve names
 ///   another one of its region  | kFromOwnRegion
 ///   any other                  | kFromElsewhere, at least kEnoughNear: a client from there is sent no farther than with the full directory
 ///
-/// No zone with a usable gateway is left out. Which gateways of a zone are drawn is decided by rendezvous of the recipient's zone and group, so
-/// that the clients of different gateways spread over all of them. Free of I/O. Owned by PollResponder.
+/// Every zone with a usable gateway is included. Within a zone, gateways are sampled by rendezvous hashing of the recipient's zone and group,
+/// so that the clients of different gateways spread over all of them. Without I/O. Owned by PollResponder.
 #pragma once
 
 #include <compare>
@@ -29,7 +29,7 @@
 inline constexpr std::size_t kMaxSampledGateways = 512;
 static_assert(kFromElsewhere >= directory::kEnoughNear);
 
-/// Draws one sample, sorted by name.
+/// Returns one sample, sorted by name.
 /// @param live gateways with a lease
 /// @param zone,region of the recipient
 /// @param group of the recipient, below kSampleGroups
@@ -37,7 +37,7 @@
                                                            const std::string& zone, const std::string& region,
                                                            std::size_t group);
 
-/// The samples for all recipients from one set of live gateways, each drawn and packed at its first use.
+/// The samples for all recipients from one set of live gateways, each computed and packed on first use.
 class DirectorySamples {
 public:
     struct Sample {
@@ -46,7 +46,7 @@
         std::string packed;  ///< codec.hpp, packDirectory()
     };
 
-    /// The gateways that have a lease now. Samples stay where these are the same but for their load.
+    /// Sets the gateways that have a lease. Samples are kept if nothing but the gateways' load changed.
     void update(std::vector<leases::Gateway> live);
     /// Valid until the next update().
     [[nodiscard]] const Sample& sampleFor(const leases::Gateway& recipient);
--- a/src/control/durable_records.hpp
+++ b/src/control/durable_records.hpp
@@ -1,5 +1,5 @@
-/// Between the replica's durable state (replica/durable_state.hpp) and the store's records (storage/store.hpp). Pure functions, free of
-/// I/O; may be called from any thread. The bytes of the records are replica_codec.hpp's.
+/// Converts between the replica's durable state (replica/durable_state.hpp) and the store's records (storage/store.hpp). Pure functions
+/// without I/O; may be called from any thread. Records are encoded by replica_codec.hpp.
 #pragma once
 
 #include "core/result.hpp"
@@ -8,10 +8,10 @@
 
 namespace beechpoint::control {
 
-/// What a store held, as the replica takes it at its start. Error (storage): a record can't be read.
+/// The replica's initial state from the store's contents. Error (storage): a record can't be decoded.
 [[nodiscard]] Result<replica::DurableState> durableState(storage::Contents contents);
 
-/// What the store has to write so that `update` is durable.
+/// The store update that makes `update` durable.
 [[nodiscard]] storage::Update storeUpdate(const replica::DurableUpdate& update);
 
 }  // namespace beechpoint::control
--- a/src/control/http_listeners.hpp
+++ b/src/control/http_listeners.hpp
@@ -1,6 +1,6 @@
-/// The HTTP servers of a control member: for operators, for the directory's clients and for readiness checks, each on an address and
-/// with a bound on connections of its own. All give their requests to one handler. What it is not: it knows no paths.
-/// To be called from the event loop's thread only; the handler is called on it.
+/// The HTTP servers of a control member: for operators, for clients of the directory and for readiness checks, each with its own
+/// address and connection limit. All pass their requests to one handler, which dispatches by path.
+/// Must be called from the event loop's thread only; the handler is called on it.
 #pragma once
 
 #include <array>
@@ -13,20 +13,20 @@
 
 namespace beechpoint::control {
 
-/// Owns the three servers with their connections. Life cycle: listen() until it succeeds, then startDraining(), then
-/// closeIdleConnections() until it returns true; closeAll() or its destruction ends it at any time.
+/// Owns the three servers and their connections. Life cycle: listen() until it succeeds, then startDraining(), then
+/// closeIdleConnections() until it returns true; closeAll() or destruction ends it at any time.
 class HttpListeners {
 public:
     /// All references must outlive it.
     HttpListeners(asio::io_context& io, const Clock& clock, Logger& logger,
                   const net::HttpServer::Handler& handler);
 
-    /// Listens on each address that is set; those that listen already, from a start that failed half-way, are left as they are.
-    /// Errors: invalid (an address is not IP:PORT), unavailable (it can't be listened on, to be tried again).
+    /// Listens on each configured address; servers that already listen, after a partly failed start, are left unchanged.
+    /// Errors: invalid (an address is not IP:PORT), unavailable (it can't be listened on; retry).
     [[nodiscard]] Result<void> listen(const settings::ProcessSettings& settings);
-    /// No new connections; those that are open are closed with their next answer.
+    /// Accepts no new connections; open ones are closed with their next answer.
     void startDraining();
-    /// Closes connections without a request; returns whether none is open any more.
+    /// Closes connections without a pending request; returns whether all connections are closed.
     [[nodiscard]] bool closeIdleConnections();
     /// Closes all connections at once.
     void closeAll();
--- a/src/control/replica_codec.hpp
+++ b/src/control/replica_codec.hpp
@@ -20,7 +20,7 @@
 /// Error (invalid): bytes that are no such messages, or more than kMaxReplicaMessages.
 [[nodiscard]] Result<std::vector<replica::Message>> decodeMessages(std::string_view bytes);
 
-/// The view as the store keeps it, with the founders.
+/// The stored record of a view, with the founders.
 struct StoredView {
     std::vector<std::string> founders;  ///< control addresses, sorted (replica::ControlRecord)
     replica::View view;
--- a/src/control/replica_driver.hpp
+++ b/src/control/replica_driver.hpp
@@ -1,14 +1,14 @@
 /// The driver of one member's replica (replica/replica.hpp, a state machine free of I/O): it gives the replica its events and carries
 /// out its actions. Each job has its own class:
-///   messages   gathered by OutgoingMessages, sent over rpc::Client, encoded by replica_codec.hpp
-///   disk       storage::StoreThread writes what durable_records.hpp makes of replica::Persist; its answers come back on the loop
-///   timer      one, set by replica::SetTimer; it brings replica::Tick
+///   messages   batched by OutgoingMessages, sent over rpc::Client, encoded by replica_codec.hpp
+///   disk       storage::StoreThread writes the updates that durable_records.hpp derives from replica::Persist; completions run on the loop
+///   timer      a single timer, set by replica::SetTimer; it triggers replica::Tick
 ///   callers    PendingOperations holds the callbacks of writes and read barriers; CallbackQueue runs them after the event
-///   redirects  ResponsiveMembers knows from which members a message came recently
-/// What it is not: it decides nothing about views, writes or reads.
+///   redirects  ResponsiveMembers records which members sent a message recently
+/// Decisions about views, writes and reads are made by the replica.
 ///
-/// All functions are to be called from the event loop's thread; all callbacks come on it. Only the store's writes run on a thread of
-/// their own, which StoreThread owns.
+/// All functions must be called from the event loop's thread; all callbacks run on it. Only the store's writes run on a separate
+/// thread, owned by StoreThread.
 #pragma once
 
 #include <cstdint>
@@ -37,12 +37,12 @@
 namespace beechpoint::control {
 
 /// Owns the replica, its store and its timer. Life cycle: closed -> open() -> open -> close() -> closed; may be opened again. Answers
-/// and timers of an earlier opening are dropped. Its destruction closes it without any callback.
+/// and timers of an earlier opening are dropped. Destruction closes it without any callback.
 class ReplicaDriver {
 public:
     /// Both are called after an event has been handled; either may be empty.
     struct Listener {
-        std::function<void()> onTableChanged;  ///< the committed table moved by a batch, or was replaced
+        std::function<void()> onTableChanged;  ///< a batch was committed, or the committed table was replaced
         std::function<void()> onViewChanged;   ///< a newer view is known
     };
 
@@ -57,7 +57,7 @@
     /// each opening. Error (storage): the disk refuses, to be tried again; or a record of the store can't be read.
     [[nodiscard]] Result<void> open(const std::string& directory, replica::Settings settings,
                                     std::uint64_t seed);
-    /// Ends the replica and closes the store; pending writes and read barriers end as failed.
+    /// Stops the replica and closes the store; pending writes and read barriers fail.
     void close();
 
     /// `addresses`: control addresses, read again from the settings. Nothing while closed.
@@ -71,7 +71,7 @@
     /// Null while closed.
     [[nodiscard]] const replica::Replica* replica() const;
 
-    /// A request of another member, without the envelope's kind. It is always answered; with no message where it can't be read.
+    /// Handles a request of another member, without the envelope's kind. Always answered; with no messages if it is malformed.
     void onRequest(std::string_view body, rpc::Reply reply);
 
     /// Gives a batch to the chain. The changes are to be computed from committedTable() in the same call. `done(true)`: they are known
--- a/src/control/status.hpp
+++ b/src/control/status.hpp
@@ -1,6 +1,6 @@
-/// What a control member reports about itself to staff and to their monitoring: GET /status as JSON, GET /metrics as text.
-/// It is this member's own knowledge, without asking the others: two members may differ for a moment. Free of I/O and state; to be
-/// called from the event loop's thread, which owns the replica.
+/// Status of a control member for operators and monitoring: GET /status as JSON, GET /metrics as text.
+/// It contains this member's local state only, so two members may differ temporarily. Without I/O or state; must be called
+/// from the event loop's thread, which owns the replica.
 #pragma once
 
 #include <cstddef>
@@ -50,10 +50,10 @@
     std::vector<DutyStatus> duties;
 };
 
-/// Fills in what the replica knows at `now`: view, position, revision, evacuated zones, and whether it is fresh and writable.
+/// Fills in the replica's state at `now`: view, position, revision, evacuated zones, and whether it is fresh and writable.
 void describeReplica(const replica::Replica& replica, Millis now, MemberStatus& status);
 
-/// Zones that the table says are evacuated, in their order.
+/// The evacuated zones of the table, in order.
 [[nodiscard]] std::vector<std::string> evacuatedZonesOf(const Table& table);
 
 /// JSON, the body of GET /status.
--- a/src/control_messages/field_codec.hpp
+++ b/src/control_messages/field_codec.hpp
@@ -1,4 +1,4 @@
-/// The one pattern of this folder's codecs: a message is a MessagePack array of its fields, an enum is its number.
+/// Common scheme of this folder's codecs: a message is a MessagePack array of its fields, an enum is its number.
 ///
 /// A message type has a specialisation of Fields, which ties its fields in the order of the wire; new ones go to the end, since a receiver keeps
 /// the defaults of fields that are missing and ignores those that it does not know. An enum has a specialisation of EnumBounds; a number
@@ -27,7 +27,7 @@
     static constexpr std::size_t kIndex = std::tuple_size_v<decltype(Fields<T>::of(std::declval<T&>()))>;
 };
 
-/// How many of the message's fields are written: all but those that FirstOmittable allows to leave out.
+/// Number of the message's fields that are written: all but those that FirstOmittable permits to omit.
 template <class T>
 std::size_t writtenFields(const T& message) {
     static const T kDefaults{};
@@ -56,7 +56,7 @@
     EnumBounds<T>::kLast;
 };
 
-/// The error of bytes that are no such message.
+/// The error for malformed bytes.
 /// @param location which part can't be read
 inline Error malformed(std::string location, std::string why) {
     return {ErrorKind::invalid, std::move(location), std::move(why),
--- a/src/control_messages/messages.hpp
+++ b/src/control_messages/messages.hpp
@@ -75,22 +75,22 @@
     settlement = 6,  ///< duties::Settlement -> SettlementReply
 };
 
-/// A gateway asks for updates and thereby renews its lease. It is answered at once where there is one, else after `waitMs`.
+/// A gateway requests updates and renews its lease. Answered at once if there is an update, else after `waitMs`.
 struct PollRequest {
-    leases::Gateway gateway;                   ///< what it reports of itself; `load` may be empty
-    Position position;                         ///< of the table that it has; {0, 0}: none
-    host_discovery::HostListVersion hostList;  ///< of the list that it has; {0, 0, 0}: none
+    leases::Gateway gateway;                   ///< the gateway's own state; `load` may be empty
+    Position position;                         ///< of the gateway's table; {0, 0}: none
+    host_discovery::HostListVersion hostList;  ///< of the gateway's list; {0, 0, 0}: none
     Millis waitMs = 0;                         ///< at most; the member bounds it by kMaxPollWait
     bool requestsLoad = false;                 ///< send the other gateways' load by host
-    std::uint64_t directoryDigest = 0;         ///< of the directory that it has; 0: none
+    std::uint64_t directoryDigest = 0;         ///< of the gateway's directory; 0: none
     bool acceptsHostChanges = false;           ///< understands PollReply::hostChanges; earlier versions don't
     bool acceptsPackedState =
         false;  ///< understands PollReply's packed fields and polls again after retryAfterMs
-    std::uint64_t clusterId = 0;       ///< of the table that it has (replicated_table.hpp); 0: not known
+    std::uint64_t clusterId = 0;       ///< of the gateway's table (replicated_table.hpp); 0: unknown
     bool acceptsChunks = false;        ///< understands PollReply's transfer fields
-    std::uint64_t transferDigest = 0;  ///< of the transfer that is under way; 0: none
-    std::uint64_t transferOffset = 0;  ///< bytes of it that have come
-    Millis unixTime = 0;               ///< the gateway's time of day, since 1970; 0: an earlier version
+    std::uint64_t transferDigest = 0;  ///< of the transfer in progress; 0: none
+    std::uint64_t transferOffset = 0;  ///< bytes of it received so far
+    Millis unixTime = 0;               ///< the gateway's wall-clock time, since 1970; 0: an earlier version
 };
 
 /// Largest chunk of a packed table in one reply, in bytes: a tenth of a second on a link of 10 Mbit/s.
@@ -101,12 +101,12 @@
 
 enum class PollStatus : std::uint8_t {
     ok = 0,
-    notFresh = 1,  ///< the member's table may be stale: ask another member; only the members may be filled in
+    notFresh = 1,         ///< the member's table may be stale: poll another member; only `members` may be set
     leaseTableFull = 2,   ///< the member's lease table has no room for this gateway; likewise
-    clusterMismatch = 3,  ///< the poll names another cluster than the member's; no other field is filled in
+    clusterMismatch = 3,  ///< the poll names another cluster; no other field is set
 };
 
-/// The platform's host list, with the age of its reading when it was sent; the receiver subtracts that from its own clock.
+/// The platform's host list with its age when it was sent; the receiver subtracts the age from its own clock.
 struct HostListSnapshot {
     host_discovery::HostListVersion version;
     Millis readAge = 0;  ///< milliseconds; the hosts' times count from the reading
@@ -118,7 +118,7 @@
 [[nodiscard]] std::shared_ptr<const host_discovery::HostList> toHostList(const HostListSnapshot& snapshot,
                                                                          Millis now);
 
-/// What changed from the list that the receiver holds to the newest, with the age of the newest one's reading.
+/// The changes from the receiver's list to the newest one, with the age of the newest one.
 struct HostListDelta {
     host_discovery::HostListChanges changes;
     Millis readAge = 0;  ///< milliseconds
@@ -157,17 +157,17 @@
     std::uint64_t usageTerm = 0;       ///< epoch of the view that made it the holder
 };
 
-/// What one control member sends each other member of the view every kPeerUpdateInterval, and sooner where something changed that can't wait.
+/// Update from one control member to another member of the view, sent every kPeerUpdateInterval and sooner after an urgent change.
 struct PeerUpdate {
     std::string member;                         ///< name of the sender
     std::uint64_t session = 0;                  ///< of the sender's process
     std::uint64_t epoch = 0;                    ///< of the sender's view
-    std::vector<leases::ReportedLease> leases;  ///< granted by the sender, not known by the receiver
+    std::vector<leases::ReportedLease> leases;  ///< granted by the sender, unknown to the receiver
     host_discovery::HostListVersion hostListVersion;
     std::optional<Millis> hostListAge;         ///< since it was last read or confirmed
     std::optional<HostListSnapshot> hostList;  ///< where the receiver has not acknowledged it
-    bool readsHostList = false;                ///< the sender reads the platform's list, with success
-    std::vector<leases::Renewal> renewals;     ///< of leases that the receiver knows
+    bool readsHostList = false;                ///< the sender reads the platform's list successfully
+    std::vector<leases::Renewal> renewals;     ///< of leases known to the receiver
     std::string packedHostList;                ///< where the receiver acceptsIncrements
     std::string packedHostChanges;             ///< likewise
     Millis hostListReadAge = 0;                ///< HostListSnapshot::readAge of the packed list or changes
@@ -176,27 +176,27 @@
 };
 
 struct PeerUpdateReply {
-    host_discovery::HostListVersion hostListVersion;  ///< that the receiver has now
+    host_discovery::HostListVersion hostListVersion;  ///< the receiver's current version
     bool acceptsIncrements = false;            ///< understands PeerUpdate::renewals and the packed fields
-    std::vector<std::uint64_t> unknownLeases;  ///< ids renewed but not known here: to be sent in full
+    std::vector<std::uint64_t> unknownLeases;  ///< renewed ids unknown here: must be sent in full
 };
 
-/// A gateway's counts for the holder of the usage duty.
+/// A gateway's usage counts for the holder of the usage duty.
 struct UsageMessage {
     duties::UsageReport report;
     std::uint64_t term = 0;       ///< PollReply::usageTerm that named the receiver
-    Millis unixTime = 0;          ///< the gateway's time of day, since 1970
+    Millis unixTime = 0;          ///< the gateway's wall-clock time, since 1970
     std::uint64_t clusterId = 0;  ///< of the gateway's table; 0: not known
 };
 
 struct UsageReply {
     bool accepted = false;  ///< the receiver holds the duty in that term and keeps the counts
     duties::WindowNumber recordedBefore =
-        0;  ///< windows below have an intent: their counts are not wanted any more
+        0;  ///< earlier windows have an intent; their counts are no longer needed
 };
 
 struct ProposalReply {
-    bool answered = false;  ///< the rest counts; else it is not known whether anything was recorded
+    bool answered = false;  ///< the other fields are valid; else it is unknown whether anything was recorded
     duties::ProposalOutcome outcome = duties::ProposalOutcome::stale;
     duties::Intent intent;  ///< where accepted or recorded
 };
--- a/src/directory/directory_service.hpp
+++ b/src/directory/directory_service.hpp
@@ -1,5 +1,5 @@
-/// Answers clients that ask for gateways (GET /resolve) on control members and gateways. A request waits kResolveWait where no usable gateway is
-/// known: a member that has just started receives the leases within half a second. Which gateways are named is decided by directory.hpp.
+/// Answers clients' GET /resolve on control members and gateways. A request waits up to kResolveWait while no usable gateway is known: a
+/// member that has just started receives the leases within half a second. directory.hpp selects the gateways.
 ///
 /// Owns the waiting requests; the HTTP server owns the connections. To be called from the server's thread only.
 #pragma once
