--- a/src/leases/lease_table.cpp
+++ b/src/leases/lease_table.cpp
@@ -44,7 +44,7 @@
     recordCount(now);
 }
 
-// nullptr where the table is full.
+// Returns nullptr if the table is full.
 LeaseTable::Lease* LeaseTable::findOrAdd(const std::string& name) {
     const auto found = leases_.find(name);
     if (found != leases_.end()) return &found->second;
@@ -69,7 +69,7 @@
     return true;
 }
 
-// False where a later grant is known, of this or of another session: reports may arrive out of order.
+// Returns false if a later grant is stored, of this or another session: reports may arrive out of order.
 bool LeaseTable::updateGrant(Lease& lease, Millis now, Millis grantedAt, Granter granter) const {
     const bool isNew = lease.id == 0;
     if (!isNew && isUnexpired(lease, now) && grantedAt < lease.grantedAt) return false;
@@ -126,7 +126,7 @@
     }
 }
 
-// Keeps the counts falling (a monotonic queue): a count that is not above the present one can no longer be the maximum.
+// Keeps the counts decreasing (monotonic queue): a count not above the current one can no longer be the maximum.
 void LeaseTable::recordCount(Millis now) {
     const std::uint32_t live = countLive(now);
     while (!counts_.empty() && counts_.back().live <= live) counts_.pop_back();
--- a/src/leases/lease_table.hpp
+++ b/src/leases/lease_table.hpp
@@ -1,18 +1,18 @@
-/// The gateways' leases (Gray and Cheriton, 1989) as one control member knows them. A gateway's poll renews its lease at the
-/// member that it asks, and the members report to each other what they granted, so that each has all leases.
+/// Gateway leases (Gray and Cheriton, 1989) as replicated on one control member. A gateway's poll renews its lease at
+/// the member it polls, and the members report their grants to each other, so that each member has all leases.
 ///
-/// Not here: messages, timers and logs (control/gateway_service_state), and the leases of singleton roles (lease_sessions/).
+/// Out of scope: messages, timers and logs (control/gateway_service_state), and the leases of singleton roles (lease_sessions/).
 ///
-/// Time: free of I/O; every call brings the time `now` (monotonic, milliseconds, the same clock in all calls).
-///   A lease runs for `leaseMs` from its grant by the granter's clock. A member that receives a report counts from the age in
-///   the report, so it sees the lease end later than the granter does, by the delay of the message, and never sooner.
-///   Invariant: the count of live gateways errs on the high side only. Whoever divides a budget by it stays within the budget.
+/// Time: performs no I/O; every call takes the time `now` (monotonic, milliseconds, the same clock in all calls).
+///   A lease lasts `leaseMs` from its grant on the granter's clock. A member that receives a report starts from the
+///   reported age, so for it the lease expires later than for the granter, by the message delay, and never earlier.
+///   Invariant: the count of live gateways may be too high but never too low, so a budget divided by it is not exceeded.
 ///
-/// Completeness: in the first `leaseMs` after the start, and after a pause of the process (its leases ran out meanwhile,
-///   whether or not the gateways renewed them elsewhere), a live gateway may be missing here. liveCount() and peakLiveCount() are
+/// Completeness: during the first `leaseMs` after the start, and after a suspension of the process (its leases expired
+///   meanwhile even if the gateways renewed them at other members), a live gateway may be missing here. liveCount() and peakLiveCount() are
 ///   empty until then.
 ///
-/// Ownership and threads: owns its leases; one thread uses it at a time, there is no lock.
+/// Owns its leases. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -34,16 +34,16 @@
     bool operator==(const InstanceLoad&) const = default;
 };
 
-/// What a gateway reports of itself when it renews its lease.
+/// State that a gateway reports when it renews its lease.
 struct Gateway {
     std::string name;
-    std::uint64_t session = 0;  ///< drawn at each start of its process
+    std::uint64_t session = 0;  ///< random, drawn at each process start
     std::string zone;
     std::string region;
     std::string frontAddress;  ///< IP:PORT for clients
     bool ready = false;
     bool draining = false;
-    std::vector<InstanceLoad> load;  ///< its own requests in flight, by host; may be empty
+    std::vector<InstanceLoad> load;  ///< the gateway's own requests in flight per host; may be empty
     bool operator==(const Gateway&) const = default;
 };
 
@@ -53,68 +53,69 @@
     Millis age = 0;  ///< since its grant
 };
 
-/// A renewal of a lease that was reported in full before: the id stands for all that the gateway reports of itself, so that
-/// the regular exchange between members stays small.
+/// Renewal of a lease that was reported in full earlier. The id identifies everything the gateway reported, which keeps
+/// the periodic exchange between members small.
 struct Renewal {
-    std::uint64_t id = 0;     ///< registrationId() the gateway
+    std::uint64_t id = 0;     ///< registrationId() of the gateway
     std::uint32_t ageMs = 0;  ///< since the renewal
     bool operator==(const Renewal&) const = default;
 };
 
-/// Hash of all that a gateway reports of itself but its load.
+/// Hash of everything that a gateway reports except its load.
 [[nodiscard]] std::uint64_t registrationId(const Gateway& gateway);
 
+/// Leases of all gateways, with the current and the peak number of live gateways.
 class LeaseTable {
 public:
     struct Settings {
         Millis leaseMs = 3000;
-        Millis peakWindowMs = 10000;  ///< over which peakLiveCount() takes its maximum
-        Millis maxAdvanceGapMs =
-            1000;  ///< a longer time between two calls means that the process did not run
-        std::size_t maxGateways = 1024;  ///< at this size a further name is rejected and counted
+        Millis peakWindowMs = 10000;     ///< over which peakLiveCount() takes its maximum
+        Millis maxAdvanceGapMs = 1000;   ///< a longer gap between two calls means the process was suspended
+        std::size_t maxGateways = 1024;  ///< further names are rejected and counted
     };
 
     LeaseTable(Settings settings, Millis now);
 
-    /// A gateway polled this member: grants or renews its lease. False where the table is full.
+    /// Grants or renews the lease of a gateway that polled this member. Returns false if the table is full.
     bool renew(Millis now, Gateway gateway);
 
-    /// What another member granted. A grant older than the one known, of any session, changes nothing.
+    /// Merges leases granted by another member. A grant older than the stored one, of any session, is ignored.
     void merge(Millis now, const std::vector<ReportedLease>& leases);
 
-    /// What another member renewed. Returns the ids that name no lease known here: they have to be reported in full.
+    /// Merges renewals by another member. Returns the ids of unknown leases, which must be reported in full.
     [[nodiscard]] std::vector<std::uint64_t> mergeRenewals(Millis now, const std::vector<Renewal>& renewals);
 
-    /// To be called every few hundred ms (less than `maxAdvanceGapMs`): expires leases, records the count, notices a late wake.
+    /// To be called every few hundred ms (less than `maxAdvanceGapMs`): expires leases, records the count, detects a
+    /// suspension of the process.
     void advanceTo(Millis now);
 
-    /// The live leases granted here, by name. All of them are reported each time, so that a lost report does no harm.
+    /// Live leases granted by this member, sorted by name. Every report contains all of them, so a lost report is harmless.
     [[nodiscard]] std::vector<ReportedLease> grantedLeases(Millis now) const;
 
-    /// A lease granted here; the pointer is valid until the next call that is not const.
+    /// A lease granted by this member. The pointer is valid until the next non-const call.
     struct GrantedLease {
         const Gateway* gateway;
         std::uint64_t id;
         Millis age;
     };
-    /// Those of grantedLeases() whose grant or renewal is of `since` or later, by name.
+    /// The subset of grantedLeases() granted or renewed at `since` or later, sorted by name.
     [[nodiscard]] std::vector<GrantedLease> leasesGrantedSince(Millis since, Millis now) const;
 
-    /// The gateways whose lease runs, by name.
+    /// Gateways with an unexpired lease, sorted by name.
     [[nodiscard]] std::vector<Gateway> liveGateways(Millis now) const;
-    /// The same with the ages of their leases.
+    /// liveGateways() with the ages of their leases.
     [[nodiscard]] std::vector<ReportedLease> liveLeases(Millis now) const;
     [[nodiscard]] bool isLive(const std::string& name, Millis now) const {
         return find(name, now) != nullptr;
     }
-    /// What a gateway reported last, while its lease runs; else nullptr. Valid until the next call that is not const.
+    /// Last report of a gateway, or nullptr if it has no unexpired lease. Valid until the next non-const call.
     [[nodiscard]] const Gateway* find(const std::string& name, Millis now) const;
 
-    /// How many gateways have a lease; nothing while leases may be missing here.
+    /// Number of live gateways; nullopt while leases may be missing here.
     [[nodiscard]] std::optional<std::uint32_t> liveCount(Millis now) const;
-    /// The largest count within `peakWindowMs`; nothing while leases may be missing here.
+    /// Highest number of live gateways within `peakWindowMs`; nullopt while leases may be missing here.
     [[nodiscard]] std::optional<std::uint32_t> peakLiveCount(Millis now) const;
-    /// Requests in flight by host, summed over all live gateways but `except`; by host name.
+    /// Requests in flight per host, summed over all live gateways except `except`; sorted by host name.
     [[nodiscard]] std::vector<InstanceLoad> loadOfOthers(Millis now, const std::string& except) const;
 
     [[nodiscard]] std::size_t size() const { return leases_.size(); }
@@ -131,7 +132,7 @@
         std::uint64_t id = 0;  // 0 until the first grant is accepted
     };
     struct Count {
-        Millis until = 0;  // the last time at which it was so
+        Millis until = 0;  // last time at which the count applied
         std::uint32_t live = 0;
     };
 
@@ -149,9 +150,9 @@
     Settings settings_;
     std::map<std::string, Lease> leases_;                   // by gateway's name
     std::unordered_map<std::uint64_t, std::string> names_;  // by id, of all leases
-    // Live counts of the window, falling: each is the largest from its time on, so the front is the window's maximum.
+    // Decreasing live counts of the window: each is the maximum from its time on, and the front is the window's maximum.
     std::deque<Count> counts_;
-    Millis incompleteSince_;  // the start, or the last late wake
+    Millis incompleteSince_;  // the start, or the end of the last suspension
     Millis lastAdvance_;
     std::uint64_t rejectedGrants_ = 0;
 };
--- a/src/leases/role_assignment.hpp
+++ b/src/leases/role_assignment.hpp
@@ -1,11 +1,11 @@
 /// Assignment of singleton roles to live members by rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998):
-/// each member has a weight for each role, and the member of the highest weight carries the role out. Every process that knows
-/// the same members comes to the same assignment without a message, and a member that leaves moves only its own roles.
+/// each member has a weight for each role, and the member with the highest weight performs the role. Processes with the
+/// same member list compute the same assignment without messages, and a departing member moves only its own roles.
 ///
-/// Not here: who is live (the view of the control members), and how a role is handed over. The fencing token under which the
-/// member acts is the epoch of the view that named it.
+/// Out of scope: liveness (the view of the control members) and the handover of a role. The fencing token of the
+/// performing member is the epoch of the view that assigned it.
 ///
-/// Pure functions; to be called from any thread.
+/// Pure functions; callable from any thread.
 #pragma once
 
 #include <cstdint>
@@ -15,15 +15,15 @@
 
 namespace beechpoint::leases {
 
-/// Weight of a member for a role; the same on every machine and build, since all processes have to agree on the order.
+/// Weight of a member for a role. Identical on every machine and build, since all processes must agree on the order.
 [[nodiscard]] std::uint64_t rendezvousWeight(std::string_view role, std::string_view member);
 
-/// The members in the order in which they carry the role out: the first does, the next when that one fails. By falling
-/// weight, equal weights by name.
+/// Members in order of precedence for the role: the first performs it, the next one takes over if the first fails.
+/// Sorted by decreasing weight, then by name.
 [[nodiscard]] std::vector<std::string> rendezvousOrder(std::string_view role,
                                                        std::vector<std::string> members);
 
-/// Rank of `member` in that order, from 0; members.size() where it is not among them.
+/// Zero-based rank of `member` in rendezvousOrder(); members.size() if it is not listed.
 [[nodiscard]] std::size_t rendezvousRank(std::string_view role, const std::vector<std::string>& members,
                                          std::string_view member);
 
--- a/src/replica/assessment.hpp
+++ b/src/replica/assessment.hpp
@@ -1,4 +1,4 @@
-/// What is wrong with the view in force, by the reports of the heartbeats: the grounds of a view change.
+/// Problems of the current view according to the heartbeat reports: the reasons for a view change.
 #pragma once
 
 #include <set>
@@ -11,20 +11,20 @@
 
 struct Assessment {
     std::set<std::string> excluded;  // internal addresses of members to leave out
-    std::set<std::string> stalled;   // those of them that have not stored the head's item for too long
-    std::vector<Member> joiners;     // processes to take in, beyond members that only restarted
-    bool restarted = false;          // a member of the view runs under another session
+    std::set<std::string> stalled;   // subset of `excluded` that is slow to store the head's current item
+    std::vector<Member> joiners;     // processes to add, except members that only restarted
+    bool restarted = false;          // a member of the view runs with a new session
     bool unfinished =
-        false;            // a member promised for a view that did not come, or the view was never installed
-    bool voters = false;  // a vote is to change hands
-    bool observedDirectly = false;  // this process saw some cause itself
-    bool possible = true;           // what would be left is sufficient
+        false;  // a member promised for a view that was not decided, or the view was never installed
+    bool voters = false;            // the set of voters must change
+    bool observedDirectly = false;  // this process observed at least one cause itself
+    bool possible = true;           // the remaining members are sufficient
 
     bool isChangeNeeded() const { return unfinished || hasCauseBesidesUnfinished(); }
     bool isActionable() const { return isChangeNeeded() && possible; }
     bool isOnlyUnfinished() const { return !hasCauseBesidesUnfinished(); }
 
-    /// The members of the next view by this assessment, in no order that counts.
+    /// Members of the next view according to this assessment, in unspecified order.
     std::vector<Member> nextMembers(const View& view) const {
         std::vector<Member> members = joiners;
         for (const Member& member : view.members)
--- a/src/replica/chain.cpp
+++ b/src/replica/chain.cpp
@@ -40,7 +40,7 @@
 
 // ---- Starting state
 
-// A learner gets what is committed: in an installed view that is the table without the pending batch.
+// A learner receives the committed state: in an installed view, the table without the pending batch.
 void Chain::onSyncRequest(const Message& message, const SyncRequest& request) {
     const View& view = membership_.view;
     if (message.epoch != view.epoch || !isSynced()) return;
@@ -58,7 +58,7 @@
 
 // ---- Opening
 
-// Passes the opening on as soon as this member holds the starting state and has received the opening.
+// Forwards the opening as soon as this member holds the starting state and has received the opening.
 void Chain::passOpening(Millis now) {
     if (!membership_.isActive() || !isSynced() || installed_) return;
     if (!membership_.isHead() && !openingReceived_) return;
@@ -97,7 +97,8 @@
     itemStartedAt_ = now;
 }
 
-// A write of the epoch before that the view starts from is committed; acknowledged only where the view has enough copies.
+// A write of the previous epoch that is part of the starting state is committed. It is acknowledged only if the view has
+// enough copies.
 void Chain::answerWriteAtInstallation() {
     if (!write_ || write_->position != table_.committedPosition()) return;
     const bool tolerated = membership_.settings.tolerance.covers(membership_.view);
@@ -145,7 +146,7 @@
     outbox_.persist(std::move(update), [this, position](Millis at, bool stored) {
         --pendingPersists_;
         if (!stored || !table_.pending() || table_.pending()->position != position) return;
-        table_.confirmApplied();  // it was part of this update: no batch is applied while one is pending
+        table_.confirmApplied();  // contained in this update: no batch is applied while one is pending
         table_.markPendingStored();
         passPending(at);
     });
@@ -155,7 +156,7 @@
     return table_.hasStoredPending() && table_.pending()->position.epoch == membership_.view.epoch;
 }
 
-// The batch is stored here: on to the successor, or committed at the tail.
+// Forwards the stored batch to the successor, or commits it at the tail.
 void Chain::passPending(Millis now) {
     if (!membership_.isActive() || !installed_ || !hasStoredBatchOfEpoch()) return;
     const Batch& batch = *table_.pending();
@@ -188,7 +189,7 @@
 }
 
 void Chain::onBatch(Millis now, const Propose& propose) {
-    // The head proposes a batch only in an installed view, and only after the batch before is committed.
+    // The head proposes a batch only in an installed view, and only after the previous batch is committed.
     if (!installed_) installView(now);
     if (table_.hasStoredPending() && propose.previous == table_.pending()->position) commitPending(now);
     if (propose.batch.position <= table_.appliedPosition()) {
@@ -245,7 +246,7 @@
     write_.reset();
 }
 
-// ---- Progress, of the chain and of others
+// ---- Progress of the chain and of other processes
 
 std::string Chain::stalledMember(Millis now, const FailureDetector& detector) const {
     if (!membership_.isActive() || !membership_.isHead() || storedItems_ == 0) return {};
@@ -259,7 +260,7 @@
     return {};
 }
 
-// The member has reported that it stored as many items of this epoch as the head did.
+// Whether the member has reported storing as many items of this epoch as the head.
 bool Chain::hasStored(const Member& member, const FailureDetector& detector) const {
     const Peer* peer = detector.find(member.internalAddress);
     if (!peer || peer->epoch != membership_.view.epoch) return false;
--- a/src/replica/chain.hpp
+++ b/src/replica/chain.hpp
@@ -1,10 +1,10 @@
-/// The part of one replica in the chain (chain replication, van Renesse and Schneider 2004): the opening of the epoch, then one
-/// batch at a time from the head to the tail, and its commit back from the tail to the head.
+/// Chain replication (van Renesse and Schneider 2004) on one replica: the opening of the epoch, then one batch at a time
+/// from the head to the tail, with the commit sent back from the tail to the head.
 ///
 /// Owns the replica's table (ReplicaTable) and the transfer of the starting state (StartingState). It is part of the state machine
-/// of Replica: called on the thread that calls Replica::handle(), free of I/O; actions go to the Outbox.
+/// of Replica: called on the thread that calls Replica::handle(), performs no I/O; emits its actions to the Outbox.
 ///
-/// Items of an epoch are numbered: the opening is item 1, the batches follow. "Stored" means confirmed by this disk.
+/// Items of an epoch are numbered: the opening is item 1, the batches follow. "Stored" means confirmed by the local disk.
 ///
 ///   state of a member | Propose(opening)         | Propose(batch)              | Commit from the successor, or a Status
 ///   ------------------|--------------------------|-----------------------------|----------------------------------------
@@ -15,10 +15,10 @@
 ///   sealed            | ignored                  | ignored                     | ignored
 ///
 /// Invariants:
-///   - Memory follows the disk: a batch is passed on, and a starting state claimed, only after it was stored (update propagation
-///     invariant of chain replication: a successor holds a prefix of what its predecessor holds).
-///   - A batch is committed when the tail has stored it, so every member of the epoch has stored it then.
-///   - The starting state counts as committed once the view is installed: every member holds it.
+///   - A batch is forwarded, and a starting state reported as held, only after it was stored (update propagation
+///     invariant of chain replication: a successor holds a prefix of its predecessor's state).
+///   - A batch is committed once the tail has stored it; by then every member of the epoch has stored it.
+///   - The starting state is committed once the view is installed, since every member holds it.
 ///   - The head proposes a batch only in an installed view, and only after the batch before is committed.
 #pragma once
 
@@ -44,39 +44,41 @@
     Chain(const Chain&) = delete;
     Chain& operator=(const Chain&) = delete;
 
-    /// A new view is in force. Called before this process can be sealed in it.
+    /// Called when a new view takes effect, before this process can be sealed in it.
     void enterView(Millis now);
-    /// Sends again what was not answered, and ends a write whose time is over.
+    /// Resends unanswered messages and fails a write whose deadline has passed.
     void tick(Millis now);
 
-    /// Takes a write if isWritable(); answered by WriteDone in any case.
+    /// Accepts a write if isWritable(); always answered by WriteDone.
     void write(Millis now, const ClientWrite& write);
     void onPropose(Millis now, const Message& message, const Propose& propose);
     void onCommit(Millis now, const Message& message, const Commit& commit);
     void onSyncRequest(const Message& message, const SyncRequest& request);
     void onSyncReply(Millis now, const Message& message, const SyncReply& reply);
-    /// Another process's status shows commits whose message was lost.
+    /// Applies commits whose message was lost but which another process's status reports.
     void onStatus(Millis now, const Message& message, const Status& status);
-    /// What a process outside the view asks a member for; nothing while the disk is at work on an earlier answer.
+    /// Request that a learner sends to a member; nullopt while an earlier reply is being written to disk.
     std::optional<SyncRequest> learnerRequest() const { return startingState_.learnerRequest(); }
 
-    /// All members of the view are known to hold its starting state.
+    /// Whether all members of the view are known to hold its starting state.
     bool isInstalled() const { return installed_; }
-    /// Head of an installed view within tolerance, with no batch under way and a working disk.
+    /// Whether this process is the head of an installed view that meets the tolerance, with no batch in flight and a
+    /// working disk.
     bool isWritable() const;
-    /// Installed, and no batch has been pending for longer than kFreshDuration: a longer one may be committed elsewhere already.
+    /// Whether the view is installed and no batch has been pending for longer than kFreshDuration. A batch that is pending
+    /// for longer may already be committed at other members.
     bool isUpToDate(Millis now) const;
-    /// Something is under way that a timer must look after.
+    /// Whether an operation is in progress that needs a timer.
     bool isBusy() const;
-    /// Items of the chain (opening, batches) stored in this epoch.
+    /// Number of chain items (opening, batches) stored in this epoch.
     std::uint64_t storedItems() const { return storedItems_; }
     const ReplicaTable& table() const { return table_; }
-    /// A process that holds this position lacks at most kMaxCatchUpBytes of what is committed.
+    /// Whether a process at this position lacks at most kMaxCatchUpBytes of the committed changes.
     bool isNearlyCaughtUp(Position position) const;
-    /// Internal address of the member that has not stored the head's item for too long, by what the members report of
-    /// themselves; empty: none.
+    /// Internal address of the first member that, according to its status reports, has exceeded the time limit for storing
+    /// the head's current item; empty if there is none.
     std::string stalledMember(Millis now, const FailureDetector& detector) const;
-    /// From an older position to the committed one; nothing unless installed.
+    /// Update from an older position to the committed one; nullopt unless the view is installed.
     std::optional<TableUpdate> updateSince(Position position) const;
 
 private:
@@ -117,11 +119,11 @@
     bool installed_ = false;
     bool openingReceived_ = false;
     std::uint64_t storedItems_ = 0;
-    unsigned pendingPersists_ = 0;  // updates with a pending batch that the disk has not answered
+    unsigned pendingPersists_ = 0;  // unanswered disk updates that contain a pending batch
     Millis pendingSince_ = 0;
     Millis pendingRetryAt_ = 0;
-    Millis itemStartedAt_ = 0;  // head: when the present item was first sent
-    Millis resendAt_ = 0;       // head: when it is sent again
+    Millis itemStartedAt_ = 0;  // head: when the current item was first sent
+    Millis resendAt_ = 0;       // head: when it is resent
     std::optional<Write> write_;
 };
 
--- a/src/replica/control_record_store.hpp
+++ b/src/replica/control_record_store.hpp
@@ -1,7 +1,7 @@
-/// Writes the control record (identity, founders, view, vote) to disk, and knows what of it the disk has confirmed.
+/// Writes the control record (identity, founders, view, vote) to disk and tracks which version the disk has confirmed.
 ///
-/// The record is always written in full. Invariant: a vote is answered only once the disk has confirmed it (Paxos Made Simple,
-/// 2.5), so `persistVote` runs the reply after that, and not at all if the write fails: the request comes again.
+/// The record is always written in full. Invariant: a vote is answered only after the disk has confirmed it (Paxos Made
+/// Simple, 2.5), so `persistVote` runs the reply afterwards, and not at all if the write fails: the proposer resends.
 #pragma once
 
 #include <functional>
@@ -18,17 +18,17 @@
 public:
     using Reply = std::function<void()>;
 
-    /// `durable`: the record that was loaded at the start.
+    /// @param durable the record loaded at startup
     ControlRecordStore(const Membership& membership, Outbox& outbox, const Acceptor& acceptor,
                        ControlRecord durable)
         : membership_(membership), outbox_(outbox), acceptor_(acceptor), durable_(std::move(durable)) {}
 
-    /// What the disk should hold now.
+    /// The current record, as it should be on disk.
     ControlRecord record() const;
     void persist();
-    /// Persists the vote; replies once it is durable.
+    /// Persists the vote and calls `reply` once it is durable.
     void persistVote(Reply reply);
-    /// Writes the record if the disk is not known to hold its vote and view, and no write of it is under way.
+    /// Writes the record if its vote and view are not confirmed on disk and no write of it is in flight.
     void persistIfStale(Millis now);
     bool isDurable(const Vote& vote) const { return durable_.vote == vote; }
     bool hasVoteInFlight() const { return votesInFlight_ > 0; }
--- a/src/replica/disk_monitor.hpp
+++ b/src/replica/disk_monitor.hpp
@@ -1,5 +1,5 @@
-/// Whether the disk works: from the driver's reports, the last answer to a write, and a write that was not answered for too long.
-/// After a failed write it says when the next one may be tried.
+/// Detects a failing disk from the driver's reports, the result of the last write, and writes that time out. After a failed
+/// write it determines when the next one may be attempted.
 #pragma once
 
 #include "core/clock.hpp"
@@ -18,11 +18,11 @@
     }
 
     bool isFailing(Millis now) const { return reportedFailing_ || writesFail_ || outbox_.isStuck(now); }
-    /// The last answer of the storage was a failure.
+    /// Whether the last completed write failed.
     bool writesFail() const { return writesFail_; }
     /// False for kDiskProbeInterval after a failed write.
     bool mayWrite(Millis now) const { return now >= probeAt_; }
-    /// Nothing is under way that would show whether writes work again.
+    /// Whether writes fail and no write is in flight that would show a recovery.
     bool isProbeDue(Millis now) const { return writesFail_ && outbox_.outstanding() == 0 && mayWrite(now); }
     void onProbe(Millis now) { probeAt_ = now + kDiskProbeInterval; }
 
--- a/src/replica/durable_state.hpp
+++ b/src/replica/durable_state.hpp
@@ -1,4 +1,4 @@
-/// What a replica keeps on disk, and the atomic changes that it asks its storage for.
+/// The persistent state of a replica and the atomic updates that it requests from its storage.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +11,28 @@
 
 namespace beechpoint::replica {
 
-/// Small record that is always written in full.
+/// Small record that is always written as a whole.
 struct ControlRecord {
-    std::uint64_t incarnation = 0;      // 0: empty disk
-    std::vector<std::string> founders;  // control addresses, sorted; not empty: may vote on the first view
-    View view;                          // newest view known to be decided
+    std::uint64_t incarnation = 0;  // 0: empty disk
+    std::vector<std::string>
+        founders;  // control addresses, sorted; if not empty, this process may vote on the first view
+    View view;     // newest view known to be decided
     Vote vote;
     bool operator==(const ControlRecord&) const = default;
 };
 
-/// Loaded at start. A store that does not check counts as an empty disk, and then the process must not bootstrap.
+/// Loaded at startup. A store that fails its integrity check is treated as an empty disk, and the process must then not
+/// bootstrap.
 struct DurableState {
     ControlRecord control;
-    std::uint64_t syncedEpoch = 0;  // newest epoch whose starting state this disk was brought to
+    std::uint64_t syncedEpoch = 0;  // newest epoch whose starting state this disk holds
     Table table;
     Position position;             // of `table`
     std::optional<Batch> pending;  // follows `position`; not known to be committed
 };
 
-/// One atomic change, carried out in the order of the fields. Updates take effect in the order in which they were issued.
-/// One that was reported as failed may have taken effect, but must not do so later.
+/// One atomic update, applied in the order of the fields. Updates take effect in the order in which they were issued.
+/// An update reported as failed may have taken effect, but must not take effect later.
 struct DurableUpdate {
     std::optional<TableUpdate> table;  // changes (idempotent: they may be applied already) or the full table
     bool clearPending = false;
@@ -38,7 +40,7 @@
     std::optional<std::uint64_t> syncedEpoch;
     std::optional<ControlRecord> control;
     bool force =
-        true;  // report only once it is safe from a loss of power; else it may be lost if none follows
+        true;  // report only once it survives a power loss; otherwise it may be lost unless a forced update follows
 };
 
 void apply(const TableUpdate& update, Table& table);
--- a/src/replica/events.hpp
+++ b/src/replica/events.hpp
@@ -1,4 +1,4 @@
-/// What goes into a replica and what comes out of it.
+/// Input events and output actions of a replica.
 #pragma once
 
 #include <cstdint>
@@ -24,24 +24,26 @@
     std::string reason;
 };
 struct Tick {};
-/// Changes computed from the head's committed table in the same call of the event loop.
+/// A write. Its changes must be computed from the head's committed table in the same call of the event loop.
 struct ClientWrite {
     std::uint64_t token = 0;
     std::vector<Change> changes;
 };
-/// Answered by ReadDone: if ok, committedTable() then holds everything acknowledged before the call.
+/// Requests a linearizable read; answered by ReadDone. If ok, committedTable() then contains everything acknowledged before
+/// this event.
 struct ReadBarrier {
     std::uint64_t token = 0;
 };
-/// What the driver knows of the disk beyond the answers to Persist.
+/// Disk health that the driver determined independently of the answers to Persist.
 struct DiskHealth {
     bool failing = false;
 };
-/// The settings were read again.
+/// The settings were reloaded.
 struct SeedsChanged {
     std::vector<std::string> seeds;  // control addresses
 };
-/// This process is to end. It stays a full member until a view without it holds its starting state; see Replica::hasLeft().
+/// Requests that this process leave the group before it shuts down. It stays a full member until a view without it is
+/// installed; see Replica::hasLeft().
 struct Leave {};
 using Event = std::variant<MessageReceived, Persisted, PersistFailed, Tick, ClientWrite, ReadBarrier,
                            DiskHealth, SeedsChanged, Leave>;
@@ -50,14 +52,14 @@
     std::string address;  // internal address
     Message message;
 };
-/// To be carried out in order; answered by Persisted or PersistFailed, in order.
+/// To be executed in order; answered by Persisted or PersistFailed, in order.
 struct Persist {
     std::uint64_t token = 0;
     DurableUpdate update;
 };
 enum class WriteOutcome {
     committed,
-    unavailable,  // refused, or not known: the batch may still be committed
+    unavailable,  // rejected or unknown: the batch may still be committed
 };
 struct WriteDone {
     std::uint64_t token = 0;
@@ -67,15 +69,15 @@
     std::uint64_t token = 0;
     bool ok = false;
 };
-/// The committed table moved by this batch.
+/// This batch was committed.
 struct Committed {
     Batch batch;
 };
-/// The committed table moved by more than one batch; see committedTable().
+/// The committed table advanced by more than one batch; see committedTable().
 struct TableReplaced {
     Position position;
 };
-/// Call handle(Tick) at this time, or soon after; replaces the earlier one.
+/// Requests handle(Tick) at or soon after this time; replaces the previous timer.
 struct SetTimer {
     Millis at = 0;
 };
--- a/src/replica/failure_detector.cpp
+++ b/src/replica/failure_detector.cpp
@@ -35,7 +35,7 @@
         peer.contactRound = 0;
         peer.contactSentAt = Peer::kNever;
     }
-    // A time-out counts only from when heartbeats are sent to a process steadily.
+    // A time-out starts only once heartbeats are sent to a process regularly.
     std::set<std::string> watched;
     if (monitorsView()) {
         for (const Member& member : membership_.view.membersAndVoters()) {
@@ -169,7 +169,7 @@
     return &peer;
 }
 
-// Makes capacity for one more: forgets the process outside the view whose last Join is the oldest.
+// Makes room for one more peer by removing the process outside the view whose last Join is the oldest.
 bool FailureDetector::evictOldestJoiner() {
     auto oldest = peers_.end();
     for (auto entry = peers_.begin(); entry != peers_.end(); ++entry) {
--- a/src/replica/failure_detector.hpp
+++ b/src/replica/failure_detector.hpp
@@ -1,12 +1,12 @@
-/// Heartbeats: which processes answer, with what status, and since when.
+/// Heartbeat failure detector: tracks which processes reply, their status, and since when they have replied.
 ///
-/// Everything known of another process comes from its answers to this process's own heartbeats, ordered by the time of sending on
-/// this process's clock. So an answer proves both directions of a link, and an answer that waited while this process was suspended
-/// proves nothing recent. It owns the table of peers and the timer of the heartbeat rounds; the reports in it are inputs of
-/// ViewPlanner, which decides.
+/// Everything recorded about another process comes from its replies to this process's heartbeats, ordered by their send time on
+/// the local clock. A reply therefore proves that both directions of a link work, and a reply that was queued while this process
+/// was suspended does not count as recent. Owns the table of peers and the timer of the heartbeat rounds; ViewPlanner uses the
+/// reports to decide on view changes.
 ///
-/// Contact with a majority of the voters is what reads rest on (Raft thesis, 6.4): a voter that answered unsealed in this epoch had
-/// not promised for the next view when the heartbeat was sent, so no later view can have acknowledged anything before.
+/// Reads rely on contact with a majority of the voters (Raft thesis, 6.4): a voter that replied unsealed in this epoch had not
+/// promised for the next view when the heartbeat was sent, so no later view can have acknowledged anything before that time.
 #pragma once
 
 #include <algorithm>
@@ -24,23 +24,23 @@
 
 namespace beechpoint::replica {
 
-/// What is known of another process. Times are this process's, in ms.
+/// Recorded state of another process. Times are in ms on the local clock.
 struct Peer {
     static constexpr Millis kNever = -1e18;
 
     Member member;  // as of the last answer, or of its Join
     std::uint64_t epoch = 0;
     Status status;
-    Millis monitoredSince = kNever;           // its time-out counts from here on at the earliest
-    Millis answeredHeartbeatSentAt = kNever;  // when the heartbeat that it answered last was sent
-    Millis respondingSince = kNever;          // it has answered without a gap above kReachableDuration since
-    Millis respondingWithGapsSince = kNever;  // the same, but for gaps of up to kMaxLearningTime
-    std::uint64_t contactRound = 0;  // last round that it answered as an unsealed voter of this epoch
-    Millis contactSentAt = kNever;   // when that heartbeat was sent
-    Millis joinedAt = kNever;        // of its last Join
-    Millis viewSentAt = kNever;      // when it was last sent the view, being behind
+    Millis monitoredSince = kNever;           // earliest start of its time-out
+    Millis answeredHeartbeatSentAt = kNever;  // when the last heartbeat that it answered was sent
+    Millis respondingSince = kNever;          // start of the replies without a gap above kReachableDuration
+    Millis respondingWithGapsSince = kNever;  // the same, allowing gaps of up to kMaxLearningTime
+    std::uint64_t contactRound = 0;           // last round answered as an unsealed voter of this epoch
+    Millis contactSentAt = kNever;            // when that heartbeat was sent
+    Millis joinedAt = kNever;                 // when its last Join arrived
+    Millis viewSentAt = kNever;               // when the view was last sent to it because it was behind
 
-    /// Its last answer says that it reaches this internal address.
+    /// Whether its last reply reports this internal address as reachable.
     bool reaches(const std::string& address) const {
         return std::ranges::find(status.reachablePeers, address) != status.reachablePeers.end();
     }
@@ -48,49 +48,49 @@
 
 class FailureDetector {
 public:
-    /// `seed`: of the jitter of the rounds.
+    /// @param seed seeds the jitter of the heartbeat rounds
     FailureDetector(const Membership& membership, Outbox& outbox, std::uint64_t seed, Millis now);
 
     void tick(Millis now);
-    /// Sends a heartbeat to everyone watched, and to those that asked to join lately.
+    /// Sends a heartbeat to all monitored processes and to those that recently asked to join.
     void startRound(Millis now);
-    /// The process did not run for a while: time-outs of others count anew.
+    /// Restarts the time-outs of all peers after this process was suspended.
     void onProcessResumed(Millis now);
-    /// Called when the view in force or what this process is in it has changed.
+    /// Called when the current view or this process's role in it has changed.
     void enterView(Millis now);
 
     void onHeartbeat(const Member& from, const Heartbeat& heartbeat, Status own);
-    /// The peer that it updated, or nullptr if the answer is old or not for this session.
+    /// Returns the updated peer, or nullptr if the reply is outdated or was meant for another session.
     const Peer* onReply(Millis now, const Message& message, const HeartbeatReply& reply);
     void onJoin(Millis now, const Member& from);
-    /// Whether to send this process the view now; bounds how often that happens.
+    /// Whether to send the view to this process now; limits the rate.
     bool maySendView(Millis now, const Member& to);
 
     const std::map<std::string, Peer>& peers() const { return peers_; }  // by internal address
     const Peer* find(const std::string& address) const;
-    /// It has answered a heartbeat sent within kReachableDuration.
+    /// Whether it has answered a heartbeat sent within the last kReachableDuration.
     bool isReachable(const std::string& address, Millis now) const;
-    /// It has not answered for kSuspectTimeout.
+    /// Whether it has not answered for kSuspectTimeout.
     bool isSuspected(const std::string& address, Millis now) const;
     std::vector<std::string> reachablePeers(Millis now) const;
-    /// Members and voters of the view that are suspected.
+    /// Suspected members and voters of the view.
     std::vector<std::string> unresponsivePeers(Millis now) const;
-    /// Some reachable process reports that it reaches this address.
+    /// Whether any reachable process reports this address as reachable.
     bool isReachedByAnyPeer(const std::string& address, Millis now) const;
 
     std::uint64_t lastSequence() const { return sequence_; }
     Millis lastRoundAt() const { return lastRoundAt_; }
     Millis nextRoundAt() const { return nextRoundAt_; }
-    /// A majority of the view's voters, this disk perhaps included, is reachable.
+    /// Whether a majority of the view's voters is reachable; the local disk counts if it is a voter.
     bool isMajorityReachable(Millis now) const;
-    /// A majority of the view's voters, this disk perhaps included, was unsealed in this epoch as of an answer to a heartbeat of
-    /// this round or a later one. Never while this process is sealed.
+    /// Whether a majority of the view's voters was unsealed in this epoch according to a reply to a heartbeat of this round or
+    /// a later one; the local disk counts if it is a voter. Always false while this process is sealed.
     bool hasMajorityContactSinceRound(std::uint64_t sequence) const;
     /// The same for heartbeats sent at `time` or later.
     bool hasMajorityContactSinceTime(Millis time) const;
 
 private:
-    // A leaving process that no view lists any more still asks whether the view without it is installed.
+    // A leaving process that no view lists any more must still find out whether the view without it is installed.
     bool monitorsView() const {
         return membership_.isInChain() || membership_.isVoter() || membership_.leaving;
     }
@@ -104,7 +104,7 @@
     SplitMix random_;
     std::map<std::string, Peer> peers_;
     std::set<std::string>
-        monitored_;  // the other members and voters of the view, while this process watches them
+        monitored_;  // the other members and voters of the view, while this process monitors them
     std::uint64_t sequence_ = 0;
     Millis lastRoundAt_ = Peer::kNever;
     Millis nextRoundAt_;
--- a/src/replica/joiner_selection.hpp
+++ b/src/replica/joiner_selection.hpp
@@ -1,7 +1,7 @@
-/// Which processes outside the view the next view takes in.
+/// Selects the processes outside the view that the next view adds.
 ///
-/// A process is taken in once it is nearly caught up, so that the chain does not wait for its copy of the table; or after a time,
-/// so that availability does not depend on that copy. Where the view would be insufficient without it, it is taken in at once.
+/// A process is added once it is nearly caught up, so that the chain does not wait for its copy of the table, or after a time
+/// limit, so that availability does not depend on that copy. If the view would be insufficient without it, it is added at once.
 #pragma once
 
 #include <string>
@@ -18,7 +18,7 @@
 class JoinerSelection {
 public:
     enum class Candidates {
-        ready,  // those that are nearly caught up, or have copied for long enough
+        ready,  // nearly caught up, or past the learning deadline
         any,
     };
 
@@ -26,7 +26,7 @@
                     const RemovalHistory& removals)
         : membership_(membership), detector_(detector), chain_(chain), removals_(removals) {}
 
-    /// Adds joiners to the assessment while the view has capacity; counted ones first.
+    /// Adds joiners to the assessment while the view has capacity, those that count as losses first.
     void select(Millis now, Assessment& assessment, Candidates candidates) const;
 
 private:
--- a/src/replica/learner.hpp
+++ b/src/replica/learner.hpp
@@ -1,10 +1,10 @@
-/// Learner: a process outside the view keeps a copy of the committed table that is nearly caught up, so that the view that takes it
-/// in waits for a few batches and not for a full table (Raft thesis, 4.2.1). It asks one member at a time, those of its own zone
-/// first, and another after a time-out.
+/// Learner: keeps the committed table nearly caught up on a process outside the view, so that the view that adds it waits for a
+/// few batches instead of a full table (Raft thesis, 4.2.1). Sends requests to one member at a time, members of its own zone
+/// first, and switches to another member after a time-out.
 ///
-/// Safety does not depend on the copy. A learner has no vote and is no member of the chain: it is not in the view that the members
-/// count their majorities in, and its disk is synced into no epoch by it. Once a view lists it, it is brought to that view's starting
-/// state as any other member, by comparison of positions; tables at the same position are equal.
+/// Safety does not depend on the copy. A learner has no vote and is not a member of the chain, so it does not count towards
+/// majorities, and its copy does not mark its disk as synced into any epoch. Once a view lists it, it is brought to that view's
+/// starting state like any other member, by comparing positions; tables at the same position are equal.
 #pragma once
 
 #include <cstddef>
@@ -22,7 +22,7 @@
         : membership_(membership), outbox_(outbox), chain_(chain) {}
 
     void enterView(Millis now) { requestAt_ = now; }
-    /// Sends a request if one is due. Answers go to the chain, which stores them.
+    /// Sends a request if one is due. Replies are handled and stored by the chain.
     void tick(Millis now);
 
 private:
--- a/src/replica/membership.hpp
+++ b/src/replica/membership.hpp
@@ -1,5 +1,5 @@
-/// What all parts of a replica know of its identity and its part in the view in force. Shared by reference: written by ReplicaCore
-/// and (`sealed`) ViewChange, read by all others; on the thread of Replica::handle() only.
+/// Identity of a replica and its role in the current view, shared by reference among the components. Written by ReplicaCore and
+/// (`sealed`) ViewChange, read by all others, only on the thread of Replica::handle().
 #pragma once
 
 #include <algorithm>
@@ -19,15 +19,15 @@
     std::vector<std::string> founders;  // control addresses; empty: no vote on the first view
     View view;
     std::optional<std::size_t> index;  // of this process in the view
-    bool sealed = false;               // has promised for the next epoch: takes no further part in this one
+    bool sealed = false;               // has promised for the next epoch: no longer participates in this one
     bool diskFailing = false;
-    bool leaving = false;  // asked to end; see Leave
+    bool leaving = false;  // has been requested to leave; see Leave
 
-    /// This disk is one of the chain's, whichever the session.
+    /// Whether the chain includes this disk, regardless of the session.
     bool isInChain() const { return view.findDisk(self) != nullptr; }
-    /// This disk decides on the next view.
+    /// Whether this disk has a vote on the next view.
     bool isVoter() const { return view.findVoter(self) != nullptr; }
-    /// This process is a member of the view and may take part in its epoch.
+    /// Whether this process is a member of the view and may participate in its epoch.
     bool isActive() const { return index && !sealed; }
     bool isHead() const { return index && *index == 0; }
     bool isTail() const { return index && *index + 1 == view.members.size(); }
--- a/src/replica/outbox.hpp
+++ b/src/replica/outbox.hpp
@@ -1,6 +1,6 @@
-/// Collects the actions of one event, and keeps what is to be done when the disk answers a Persist.
+/// Collects the actions of one event and stores the completions of outstanding Persist actions.
 ///
-/// All parts of a replica write their actions here, in order. `begin` names the list for the event that is being handled.
+/// All components of a replica append their actions here, in order. `begin` sets the output list for the current event.
 #pragma once
 
 #include <cstddef>
@@ -29,7 +29,7 @@
         actions_ = &actions;
     }
 
-    /// A message to this process's own address comes back through takeLocalMessage().
+    /// A message to this process's own address is returned by takeLocalMessage().
     void send(const std::string& address, Body body) {
         Message message{membership_.self, membership_.view.epoch, std::move(body)};
         if (address == membership_.self.internalAddress)
@@ -38,7 +38,7 @@
             emit(Send{address, std::move(message)});
     }
 
-    /// The completion runs when the driver has answered, in the order of the calls.
+    /// The completion runs once the driver has answered, in call order.
     void persist(DurableUpdate update, Completion completion) {
         const std::uint64_t token = ++lastToken_;
         outstanding_.push_back({token, now_, std::move(completion)});
@@ -69,10 +69,10 @@
         return message;
     }
 
-    /// Updates that the disk has not answered.
+    /// Number of updates that the disk has not answered.
     std::size_t outstanding() const { return outstanding_.size(); }
     bool isCongested() const { return outstanding_.size() >= kMaxPendingPersists; }
-    /// The oldest update has waited for longer than kDiskWriteTimeout.
+    /// Whether the oldest update has been outstanding for longer than kDiskWriteTimeout.
     bool isStuck(Millis now) const {
         return !outstanding_.empty() && now - outstanding_.front().issuedAt > kDiskWriteTimeout;
     }
--- a/src/replica/read_barriers.hpp
+++ b/src/replica/read_barriers.hpp
@@ -1,7 +1,7 @@
-/// Reads at the tail that wait until a majority of the voters was in contact after they began (read index, Raft thesis 6.4).
+/// Reads at the tail that wait for contact with a majority of the voters after they began (read index, Raft thesis 6.4).
 ///
-/// The tail holds all that was acknowledged in its epoch. A majority that is unsealed in this epoch after the read began proves that no
-/// later view had acknowledged anything by then, so the committed table of the tail is recent enough.
+/// The tail holds everything acknowledged in its epoch. A majority that was still unsealed in this epoch after the read began
+/// proves that no later view had acknowledged anything by then, so the tail's committed table is recent enough.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
     ReadBarriers(const Membership& membership, Outbox& outbox, FailureDetector& detector, const Chain& chain)
         : membership_(membership), outbox_(outbox), detector_(detector), chain_(chain) {}
 
-    /// Answered by ReadDone: within kReadTimeout, at once where this process is not the tail.
+    /// Answered by ReadDone within kReadTimeout, or immediately if this process is not the tail.
     void add(Millis now, std::uint64_t token);
     void tick(Millis now);
     void failAll();
@@ -31,7 +31,7 @@
 private:
     struct Read {
         std::uint64_t token;
-        std::uint64_t round;  // the first heartbeat round begun after the call
+        std::uint64_t round;  // first heartbeat round started after the call
         Millis deadline;
     };
 
@@ -41,7 +41,7 @@
     Outbox& outbox_;
     FailureDetector& detector_;
     const Chain& chain_;
-    std::deque<Read> reads_;  // by age: rounds never fall
+    std::deque<Read> reads_;  // oldest first, so the rounds are non-decreasing
 };
 
 }  // namespace beechpoint::replica
--- a/src/replica/received_state.cpp
+++ b/src/replica/received_state.cpp
@@ -17,12 +17,12 @@
 }
 
 std::optional<TableUpdate> ReceivedState::onChunk(const SyncReply& reply, Source source) {
-    // A first chunk that came late, or from a member that is behind, does not end what is under way.
+    // A delayed first chunk, or one from a member that is behind, does not abort the transfer in progress.
     const bool isFirst = reply.afterKey.empty();
     const bool fits = isFirst ? afterKey_.empty() || reply.base > base_
                               : reply.base == base_ && reply.afterKey == afterKey_;
     if (!fits || reply.update.changes.empty()) return std::nullopt;
-    // Rows that are newer than what this member knows could not be distinguished from those that it has.
+    // Received rows that are newer than the sender's state could not be distinguished from rows that it has.
     if (!isFirst && reply.update.position < newest_) return std::nullopt;
     if (isFirst) {
         clear();
--- a/src/replica/received_state.hpp
+++ b/src/replica/received_state.hpp
@@ -1,11 +1,11 @@
-/// A full table that comes in chunks, in the order of its keys (SyncReply). The chunks may be sent at different positions of the table, while
-/// writes go on: each row is as it was when its chunk was sent, and the last chunk adds all that changed since the first one, so that the result
-/// is the table at the last chunk's position (a fuzzy snapshot with the log that follows it, as in ARIES).
+/// Assembles a full table that is received in chunks ordered by key (SyncReply). The chunks may be sent at different positions
+/// of the table while writes continue: each row is as of the time its chunk was sent, and the last chunk adds all changes since
+/// the first one, so the result is the table at the last chunk's position (a fuzzy snapshot with its log, as in ARIES).
 ///
-/// This is so only where no chunk is older than one before it, and where all are of one history. Committed states are; a starting state that is not installed yet may be given up with
-/// its view. So chunks of a view's starting state count within that view only.
+/// This requires that no chunk is older than its predecessor and that all belong to one history. Committed states do; a starting
+/// state that is not installed yet may be discarded with its view. So chunks of a starting state are valid only in its view.
 ///
-/// Owned by StartingState; free of I/O, not thread-safe. Memory: the rows that have come.
+/// Owned by StartingState; performs no I/O; not thread-safe. Holds the received rows in memory.
 #pragma once
 
 #include <optional>
@@ -18,22 +18,23 @@
 
 class ReceivedState {
 public:
-    /// Where the chunks come from.
+    /// State that the chunks are taken from.
     enum class Source { committedState, startingState };
 
-    /// Another view is in force.
+    /// Called when another view takes effect.
     void enterView();
     void clear();
-    /// Writes into a request what has come.
+    /// Sets the progress of the transfer in a request.
     void describe(SyncRequest& request) const;
-    /// Takes one chunk: the next one, or the first of a transfer that begins at a newer position. `reply.more`: what is still lacking is to be asked for.
-    /// @return the complete update, where this was the last chunk; nothing too where the chunk does not fit, and nothing has changed then
+    /// Adds one chunk: the next one, or the first of a transfer that starts at a newer position. If `reply.more` is set, the
+    /// remaining rows must be requested.
+    /// @return the complete update after the last chunk, else nullopt; a chunk that does not fit changes nothing
     std::optional<TableUpdate> onChunk(const SyncReply& reply, Source source);
 
 private:
     Position base_;
     Position newest_;       // of all chunks
-    std::string afterKey_;  // of the last chunk; empty: nothing has come
+    std::string afterKey_;  // of the last chunk; empty: nothing received
     Table rows_;
     bool committedOnly_ = true;
 };
--- a/src/replica/removal_history.hpp
+++ b/src/replica/removal_history.hpp
@@ -1,7 +1,7 @@
-/// Processes that recent views left out, and for how long each of them has to wait before it is taken in again.
+/// Processes that recent views removed, and how long each must wait before it is added again.
 ///
-/// A process that comes and goes, as with a slow disk or link, costs a view change and a transfer of state each time: its waiting
-/// time doubles with each removal, up to a bound well below the time that a loss counts for after the return.
+/// A flapping process, for example with a slow disk or link, causes a view change and a state transfer each time. Its probation
+/// therefore doubles with each removal, up to a bound well below the time for which a loss counts after the return.
 #pragma once
 
 #include <vector>
@@ -14,12 +14,12 @@
 
 class RemovalHistory {
 public:
-    /// Records the processes of the view before that the new view doesn't list.
+    /// Records the processes of the previous view that the new view does not list.
     void enterView(Millis now, const View& before, const View& view);
-    /// For how long this process must have answered heartbeats (ms); 0 if it was not removed lately.
+    /// How long this process must have answered heartbeats, in ms; 0 if it was not removed recently.
     Millis probationOf(const Member& process, Millis now) const;
-    /// Until when the process may go on copying the table outside the view; then it is taken in as it is. One that was left out,
-    /// perhaps since its copy took too long inside, gets twice the time with each removal.
+    /// Time until which the process may copy the table outside the view; after that it is added without a complete copy. A
+    /// removed process, whose copy may have taken too long inside the view, gets twice the time with each removal.
     Millis learningDeadline(const Peer& peer) const;
 
 private:
--- a/src/replica/replica_core.cpp
+++ b/src/replica/replica_core.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr int kMaxLocalMessages = 64;  // of one event; far more than any step needs
+constexpr int kMaxLocalMessages = 64;  // per event; far more than any step needs
 
 std::uint64_t drawId(SplitMix& random) {
     std::uint64_t id = 0;
@@ -64,7 +64,7 @@
     setTimer(now);
 }
 
-// A view is installed where one of its members says so: it knows then that all of them hold the starting state.
+// A view is installed if one of its members reports so: that member has confirmation that all hold the starting state.
 bool ReplicaCore::hasLeft(Millis now) const {
     const View& view = membership_.view;
     if (!membership_.leaving) return false;
@@ -102,7 +102,7 @@
 
 void ReplicaCore::onEvent(Millis, const SeedsChanged& changed) { membership_.settings.seeds = changed.seeds; }
 
-// The others learn of it by the answers to their heartbeats.
+// The other processes are notified through the replies to their heartbeats.
 void ReplicaCore::onEvent(Millis now, const Leave&) {
     if (!membership_.leaving) outbox_.log("leaving");
     membership_.leaving = true;
@@ -248,7 +248,7 @@
     viewChange_.persistControl();
 }
 
-// A new disk: nobody hears of this process before its identity is durable.
+// On a new disk, nothing is sent before the identity is durable.
 void ReplicaCore::persistIdentity(Millis now) {
     if (identity_ == Identity::persisting || !disk_.mayWrite(now)) return;
     identity_ = Identity::persisting;
--- a/src/replica/replica_core.hpp
+++ b/src/replica/replica_core.hpp
@@ -1,7 +1,8 @@
-/// The parts of a replica and the order in which they see events: dispatches events and messages, installs decided views, and
-/// computes the next timer. Owns all parts; Replica is its public face. Not thread-safe.
+/// Implementation of Replica: dispatches events and messages to the components in a fixed order, puts decided views into effect,
+/// and computes the next timer. Owns all components. Not thread-safe.
 ///
-/// One call of handle(): the event, then one step of each part (`runParts`), then messages of this process to itself, then the timer.
+/// A call of handle() processes the event, runs one step of each component (`runParts`), then messages of this process to
+/// itself, then sets the timer.
 #pragma once
 
 #include <cstdint>
@@ -38,7 +39,7 @@
 
 private:
     enum class Identity {
-        unknown,  // a new disk, on which nothing is stored yet
+        unknown,  // new disk without stored state
         persisting,
         durable,
     };
--- a/src/replica/replica_table.cpp
+++ b/src/replica/replica_table.cpp
@@ -131,7 +131,7 @@
     return reply;
 }
 
-// A transfer goes on only where all that changed since its first chunk is known here; else it begins anew.
+// A transfer continues only if the history contains all changes since its first chunk; otherwise it restarts.
 SyncReply ReplicaTable::nextChunk(const SyncRequest& request, std::size_t chunkBytes) const {
     const bool isContinuing = !request.afterKey.empty() && history_.reachesBackTo(request.base);
     SyncReply reply;
--- a/src/replica/replica_table.hpp
+++ b/src/replica/replica_table.hpp
@@ -1,11 +1,11 @@
-/// The table of one replica as its disk holds it, with the batch that is pending and with what of it is committed.
+/// The table of one replica as stored on its disk, with the pending batch and the committed part.
 ///
-/// Owns the in-memory image of DurableState (but for the control record). It sends and persists nothing: methods that make a
-/// change durable return the DurableUpdate that their caller persists, and a second method takes the answer of the disk.
+/// Owns the in-memory image of DurableState (except the control record). Performs no I/O: methods that make a change durable
+/// return the DurableUpdate that the caller must persist, and a second method records the disk's answer.
 ///
 /// Invariants:
-///   - A position is given to one batch only, so tables at the same position are equal.
-///   - `pending` follows the table's position; `hasStoredPending()` says that the disk confirmed it.
+///   - A position is assigned to one batch only, so tables at the same position are equal.
+///   - `pending` follows the table's position; `hasStoredPending()` is true once the disk has confirmed it.
 ///   - The committed table only moves forward; it never holds the pending batch.
 #pragma once
 
@@ -30,54 +30,54 @@
     const TableHistory& history() const { return history_; }
     const std::optional<Batch>& pending() const { return pending_; }
     bool hasStoredPending() const { return pending_ && pendingStored_; }
-    /// Newest epoch whose starting state this disk was brought to.
+    /// Newest epoch whose starting state this disk holds.
     std::uint64_t syncedEpoch() const { return syncedEpoch_; }
     bool isSynced(const View& view) const { return view.epoch > 0 && syncedEpoch_ == view.epoch; }
     /// Position of the table without the pending batch.
     Position appliedPosition() const { return history_.position(); }
-    /// Position of all that is stored here, the pending batch included.
+    /// Position of the stored state including the pending batch.
     Position storedPosition() const;
-    /// Position of the table where the disk is known to hold it; else the empty position.
+    /// Position of the table if the disk is known to hold it, else the empty position.
     Position confirmedPosition() const { return diskTableUncertain_ ? Position{} : history_.position(); }
-    /// A starting state was not stored, though part of it may stand on disk: only a full table helps.
+    /// Storing a received state failed and part of it may be on disk, so only a full table can be applied.
     bool isDiskTableUncertain() const { return diskTableUncertain_; }
 
     // ---- Pending batch
 
     void setPending(Batch batch);
-    /// Stores the pending batch, and with it the last applied one if the disk has not confirmed that yet.
+    /// Update with the pending batch, and with the last applied one if the disk has not confirmed that yet.
     DurableUpdate pendingUpdate() const;
-    /// The last applied batch was part of an update that is stored now.
+    /// Records that the disk confirmed an update containing the last applied batch.
     void confirmApplied() { unconfirmedUpdate_.reset(); }
     void markPendingStored() { pendingStored_ = true; }
-    /// Applies the pending batch. The update needs no sync of its own, since the batch is durable as pending; the next stored
+    /// Applies the pending batch. The update need not be forced, since the batch is already durable as pending; the next stored
     /// batch repeats it until the disk has confirmed it.
     DurableUpdate applyPending();
-    /// The disk has confirmed the update that applied the batch at this position.
+    /// Records that the disk confirmed the update that applied the batch at this position.
     void confirmApplied(Position position);
-    /// What is applied is committed.
+    /// Marks the applied state as committed.
     void commitApplied();
 
     // ---- Starting state of a view
 
-    /// Update that records this disk as synced into the view's epoch; nothing where this table isn't the starting state. Drops a
-    /// pending batch that the view does not start from.
+    /// Update that records this disk as synced into the view's epoch; nullopt if this table is not the starting state. Drops a
+    /// pending batch that is not part of the starting state.
     std::optional<DurableUpdate> syncedUpdate(const View& view);
     void markSynced(std::uint64_t epoch, Position start);
-    /// Update by a received state; with an epoch, the disk is synced into that epoch by it.
+    /// Update that stores a received state; if `epoch` is set, it also syncs the disk into that epoch.
     DurableUpdate replacementUpdate(const TableUpdate& update, std::optional<std::uint64_t> epoch) const;
-    /// The disk has answered: the state was stored, or may have been stored in part.
+    /// Record the disk's answer: the state was stored, or may have been stored in part.
     void replace(const TableUpdate& update, std::optional<std::uint64_t> epoch);
     void replacementFailed() { diskTableUncertain_ = true; }
-    /// Whether the reply builds on the table that this disk holds.
+    /// Whether the reply can be applied to the table on this disk.
     bool canApply(const SyncReply& reply) const;
     /// The reply's position is beyond this table's, or it replaces an uncertain table on disk.
     bool isNewer(const SyncReply& reply) const;
-    /// What brings the asker to the view's starting state, or the next chunk of it; nothing where this replica doesn't hold that state.
-    /// @param chunkBytes of keys and values: a full table with more goes in chunks to an asker that accepts them
+    /// Reply that brings the requester to the view's starting state, or its next chunk; nullopt if this replica does not hold it.
+    /// @param chunkBytes size of keys and values above which a full table is sent in chunks, if the requester accepts chunks
     std::optional<SyncReply> startingState(const View& view, const SyncRequest& request,
                                            std::size_t chunkBytes) const;
-    /// What brings the asker to the applied state, or the next chunk of it.
+    /// Reply that brings the requester to the applied state, or its next chunk.
     SyncReply appliedState(const SyncRequest& request, std::size_t chunkBytes) const;
 
     // ---- Committed
@@ -93,7 +93,7 @@
     TableHistory history_;
     std::optional<Batch> pending_;
     bool pendingStored_ = false;
-    std::optional<TableUpdate> unconfirmedUpdate_;  // the last applied batch, until the disk has confirmed it
+    std::optional<TableUpdate> unconfirmedUpdate_;  // last applied batch, until the disk has confirmed it
     bool diskTableUncertain_ = false;
     std::uint64_t syncedEpoch_ = 0;
     std::shared_ptr<const Table> committedSnapshot_ = std::make_shared<const Table>();
--- a/src/replica/settings.hpp
+++ b/src/replica/settings.hpp
@@ -1,4 +1,4 @@
-/// Settings of a replica, and the constants it works with. Times are in ms.
+/// Settings and constants of a replica. Times are in ms.
 #pragma once
 
 #include <cstddef>
@@ -11,45 +11,44 @@
 namespace beechpoint::replica {
 
 inline constexpr Millis kHeartbeatInterval = 250;
-inline constexpr Millis kSuspectTimeout = 1'000;   // a member that has not answered is left out
-inline constexpr Millis kReachableDuration = 600;  // an answer proves that a peer is reachable for so long
-inline constexpr Millis kFreshDuration = 600;  // an answer of a majority lets polls be answered for so long
-inline constexpr Millis kSuspensionGap = 500;  // no event for so long: the process was frozen
-inline constexpr Millis kAssessmentInterval = 20;      // whether the view must change
-inline constexpr Millis kProposalRankDelay = 300;      // between the members that may propose a view
-inline constexpr Millis kMinViewChangeInterval = 300;  // at most one view change in so long
-inline constexpr Millis kPromiseGracePeriod = 400;     // for the members beyond the majority
-inline constexpr Millis kFoundingGracePeriod = 1'000;  // for the seeds beyond the majority
+inline constexpr Millis kSuspectTimeout = 1'000;   // a member that has not replied is removed from the view
+inline constexpr Millis kReachableDuration = 600;  // validity of a reply as proof of reachability
+inline constexpr Millis kFreshDuration =
+    600;  // polls may be answered this long after contact with a majority
+inline constexpr Millis kSuspensionGap = 500;          // without events for longer: the process was suspended
+inline constexpr Millis kAssessmentInterval = 20;      // between assessments of the view
+inline constexpr Millis kProposalRankDelay = 300;      // per rank of the members that may propose a view
+inline constexpr Millis kMinViewChangeInterval = 300;  // minimum time between view changes
+inline constexpr Millis kPromiseGracePeriod = 400;     // wait for members beyond the majority
+inline constexpr Millis kFoundingGracePeriod = 1'000;  // wait for seeds beyond the majority
 inline constexpr Millis kFoundingRankDelay = 700;
-inline constexpr Millis kProposalTimeout = 1'000;  // of each of the two rounds
-inline constexpr Millis kMinRetryDelay = 200;      // messages are sent again after 200 to 400
+inline constexpr Millis kProposalTimeout = 1'000;  // of each of the two phases
+inline constexpr Millis kMinRetryDelay = 200;      // messages are resent after 200 to 400
 inline constexpr Millis kMaxRetryDelay = 400;
 inline constexpr Millis kChainRetryInterval = 250;
-/// Doublings of kChainRetryInterval, with each round of requests for the starting state.
+/// Maximum number of doublings of kChainRetryInterval, one per round of requests for the starting state.
 inline constexpr std::size_t kSyncRetryDoublings = 2;
-inline constexpr Millis kStallTimeout =
-    1'000;  // a member that has not stored a batch for so long is left out
+inline constexpr Millis kStallTimeout = 1'000;  // a member that has not stored a batch within it is removed
 inline constexpr Millis kOpeningStallTimeout =
-    1'600;                                 // the same for the opening, which may wait for a full table
-inline constexpr Millis kProbation = 500;  // a removed process must have answered for so long
+    1'600;  // the same for the opening, which may wait for a full table transfer
+inline constexpr Millis kProbation = 500;  // a removed process must have replied for this long
 inline constexpr Millis kMaxProbation =
-    2'000;  // it doubles with each removal of the process within the window
+    2'000;  // probation doubles with each removal of the process within kFlapWindow
 inline constexpr Millis kFlapWindow = 20'000;
-inline constexpr Millis kDiskWriteTimeout = 700;  // a persist that takes longer counts as failing
+inline constexpr Millis kDiskWriteTimeout = 700;  // a slower write is considered failing
 inline constexpr Millis kDiskProbeInterval = 500;
-inline constexpr Millis kLearnerRetryInterval = 500;  // a learner asks another source
-inline constexpr Millis kMaxLearningTime = 2'000;     // then it is taken in as it is
+inline constexpr Millis kLearnerRetryInterval = 500;  // then a learner tries another source
+inline constexpr Millis kMaxLearningTime = 2'000;     // then a learner is added without a complete copy
 inline constexpr Millis kMaxRepeatedLearningTime =
-    16'000;  // the same for one that was left out again and again
+    16'000;  // the same for a process that was removed repeatedly
 inline constexpr std::size_t kMaxCatchUpBytes =
-    64 << 10;  // of changes that a learner lacks at most when it is taken in
-inline constexpr std::size_t kSyncChunkBytes = 512
-                                               << 10;  // of keys and values in one message of a full table
+    64 << 10;  // of changes that a learner may still lack when it is added
+inline constexpr std::size_t kSyncChunkBytes = 512 << 10;  // of keys and values in one chunk of a full table
 inline constexpr Millis kJoinInterval = 250;
 inline constexpr Millis kJoinerExpiry = 2'000;
 inline constexpr Millis kWriteTimeout = 4'000;
 inline constexpr Millis kReadTimeout = 1'500;
-inline constexpr Millis kReadRoundInterval = 10;  // heartbeat rounds for reads
+inline constexpr Millis kReadRoundInterval = 10;  // minimum time between heartbeat rounds for reads
 inline constexpr Millis kBusyTickInterval = 50;
 
 inline constexpr std::size_t kMaxHistoryBatches = 256;
@@ -63,7 +62,7 @@
     std::vector<std::string> seeds;  // control addresses; their internal port is that of `self`
     bool bootstrap = false;
     Tolerance tolerance;
-    std::size_t syncChunkBytes = kSyncChunkBytes;  // tests have smaller ones
+    std::size_t syncChunkBytes = kSyncChunkBytes;  // smaller in tests
 };
 
 }  // namespace beechpoint::replica
--- a/src/replica/starting_state.cpp
+++ b/src/replica/starting_state.cpp
@@ -38,7 +38,7 @@
     });
 }
 
-// Asks the head first, then the others in turn.
+// Sends requests to the head first, then to the others in turn.
 void StartingState::requestSync(Millis now) {
     if (!membership_.isActive()) return;
     const auto& members = membership_.view.members;
@@ -47,7 +47,7 @@
     if (choice == *membership_.index) choice = (choice + 1) % members.size();
     if (choice == *membership_.index) return;
     outbox_.send(members[choice].internalAddress, syncRequest());
-    // Once all were asked, the transfer itself takes its time: requests that come more often would slow it down further.
+    // Once all members were tried, the transfer itself is slow, and more frequent requests would slow it down further.
     const std::size_t rounds = (requests_ - 1) / members.size();
     const std::size_t doublings = std::min(rounds, kSyncRetryDoublings);
     retryAt_ = now + kChainRetryInterval * static_cast<Millis>(std::size_t{1} << doublings);
@@ -59,7 +59,7 @@
     return request;
 }
 
-// The reply, or what it completes. Nothing: it was a chunk, and further ones are needed.
+// Returns the reply, or the state that it completes. nullopt: it was a chunk, and more chunks are needed.
 std::optional<SyncReply> StartingState::completed(Millis now, const Message& message,
                                                   const SyncReply& reply) {
     if (reply.base == Position{}) return reply;
@@ -69,7 +69,7 @@
     std::optional<TableUpdate> update = received_.onChunk(reply, source);
     if (update) return SyncReply{reply.since, std::move(*update)};
     const SyncRequest next = syncRequest();
-    // Only progress is answered: a repeated chunk would begin a second stream of requests beside the first.
+    // Request the next chunk only after progress: a repeated chunk would start a second stream of requests.
     if (next.base == before.base && next.afterKey == before.afterKey) return std::nullopt;
     retryAt_ = std::max(retryAt_, now + kChainRetryInterval);
     outbox_.send(message.from.internalAddress, next);
@@ -95,14 +95,13 @@
     return syncRequest();
 }
 
-// The synced epoch stays as it is, so the copy counts for nothing until a view that lists this process has brought it to its
-// starting state. What was committed stays committed, whichever view is in force now, and only grows: an older answer is
-// dropped.
+// The synced epoch is unchanged, so the copy has no effect until a view that lists this process has brought it to its starting
+// state. Committed state remains committed in every later view and only grows, so older replies are dropped.
 void StartingState::storeLearnedState(const SyncReply& reply) {
     if (table_.isNewer(reply) && table_.canApply(reply)) storeReceivedState(reply.update, std::nullopt);
 }
 
-// With an epoch, the update is that epoch's starting state, and this disk is synced into the epoch by it.
+// If `epoch` is set, the update is that epoch's starting state and syncs this disk into the epoch.
 void StartingState::storeReceivedState(const TableUpdate& update, std::optional<std::uint64_t> epoch) {
     persisting_ = true;
     outbox_.persist(table_.replacementUpdate(update, epoch), [this, epoch, update](Millis now, bool stored) {
--- a/src/replica/starting_state.hpp
+++ b/src/replica/starting_state.hpp
@@ -1,17 +1,17 @@
-/// Brings this replica's table to the starting state of the view in force, and answers others that ask for it.
+/// Transfers the starting state of the current view to this replica's table.
 ///
-/// Owns the request that is under way and its timer. The table is the chain's; the members are those of the view. A process
-/// outside the view stores answers too (a learner's copy): they count for no epoch.
+/// Owns the outstanding request and its timer; the table belongs to the chain. A process outside the view stores replies too (a
+/// learner's copy), but they do not sync it into any epoch.
 ///
 /// States of a member in one epoch (Vertical Paxos 2009, 3: state transfer before the new configuration becomes active):
 ///
-///   state     | event                           | what follows
+///   state     | event                           | result
 ///   ----------|---------------------------------|--------------------------------------------------------
 ///   lacking   | table is at the starting state  | stores "synced into the epoch" -> storing
-///   lacking   | timer                           | asks the head, then the others in turn
+///   lacking   | timer                           | sends a request to the head, then to the others in turn
 ///   lacking   | SyncReply that fits             | stores the table and "synced" in one update -> storing
-///   lacking   | SyncReply, further ones follow  | stored in memory; asks its sender for the next chunk
-///   storing   | stored                          | -> synced; the chain may pass the opening on
+///   lacking   | SyncReply, further ones follow  | kept in memory; requests the next chunk from its sender
+///   storing   | stored                          | -> synced; the chain may forward the opening
 ///   storing   | failed                          | -> lacking; the table on disk is uncertain after a reply
 ///   any       | sealed                          | nothing new is stored: the promise has reported what the disk holds
 #pragma once
@@ -31,20 +31,20 @@
 
 class StartingState {
 public:
-    /// Called when an update of this class was stored.
+    /// Called after an update by this class was stored.
     using Stored = std::function<void(Millis now)>;
 
     StartingState(const Membership& membership, Outbox& outbox, ReplicaTable& table, Stored stored)
         : membership_(membership), outbox_(outbox), table_(table), stored_(std::move(stored)) {}
 
-    /// A new view is in force.
+    /// Called when a new view takes effect.
     void enterView(Millis now);
     /// Takes the next step towards the starting state, if one is due.
     void advance(Millis now);
     void onSyncReply(Millis now, const Message& message, const SyncReply& reply);
-    /// What a process outside the view asks a member for; nothing while the disk is at work on an earlier answer.
+    /// Request that a learner sends to a member; nullopt while an earlier reply is being written to disk.
     std::optional<SyncRequest> learnerRequest() const;
-    /// An update of this class is on its way to the disk.
+    /// Whether an update by this class is being written to disk.
     bool isPersisting() const { return persisting_; }
 
 private:
@@ -62,7 +62,7 @@
     bool persisting_ = false;
     Millis retryAt_ = 0;
     std::uint64_t requests_ = 0;  // in this epoch
-    ReceivedState received_;      // of a full table in chunks
+    ReceivedState received_;      // chunks of a full table
 };
 
 }  // namespace beechpoint::replica
--- a/src/replica/table_history.hpp
+++ b/src/replica/table_history.hpp
@@ -1,4 +1,4 @@
-/// The table with the recent batches that led to it, bounded in number (kMaxHistoryBatches) and bytes (kMaxHistoryBytes).
+/// The table with its most recent batches, bounded in number (kMaxHistoryBatches) and bytes (kMaxHistoryBytes).
 ///
 /// Snapshots are immutable and may be read from any thread: a change copies the table first if a snapshot of it is in use.
 #pragma once
@@ -19,28 +19,28 @@
     TableHistory(Table table, Position position);
 
     void applyBatch(const Batch& batch);
-    /// A delta is one batch more; a full table replaces the table and its history.
+    /// A delta is recorded as one batch; a full update replaces the table and its history.
     void applyUpdate(const TableUpdate& update);
 
     const Table& table() const { return *table_; }
     std::shared_ptr<const Table> snapshot() const { return table_; }
     Position position() const { return position_; }
 
-    /// From `since` to the present position: the keys that changed, or the full table if `since` is not in the history.
+    /// Update from `since` to the current position: the changed keys, or the full table if `since` is not in the history.
     TableUpdate updateSince(Position since) const;
     TableUpdate fullUpdate() const;
-    // The rows behind `afterKey` (empty: from the first on), in order, up to about `maxBytes` and at least one.
-    // `reachesEnd`: they include the last one.
+    // Rows after `afterKey` (empty: from the first row), in key order, at least one and up to about `maxBytes`.
+    // `reachesEnd`: they include the last row of the table.
     struct Rows {
         std::vector<Change> changes;
         bool reachesEnd = false;
     };
     Rows rowsAfter(const std::string& afterKey, std::size_t maxBytes) const;
-    // Whether updateSince() gives the changes since that position, and not the full table.
+    // Whether updateSince() returns the changes since that position rather than the full table.
     bool reachesBackTo(Position since) const { return bytesSince(since).has_value(); }
     // Size in bytes of all keys and values.
     std::size_t tableBytes() const;
-    /// Size in bytes of the batches since that position; nothing if it is not in the history.
+    /// Size in bytes of the batches since that position; nullopt if it is not in the history.
     std::optional<std::size_t> bytesSince(Position since) const;
     std::size_t batches() const { return batches_.size(); }
 
--- a/src/replica/view_agreement.cpp
+++ b/src/replica/view_agreement.cpp
@@ -5,7 +5,7 @@
 
 namespace beechpoint::replica {
 
-// Makes the vote one for `target`. Votes for earlier epochs have no use any more: their views are decided.
+// Switches the vote to `target`. Votes for earlier epochs are obsolete: their views are decided.
 bool Acceptor::adoptEpoch(std::uint64_t target) {
     if (target < vote_.epoch) return false;
     if (target > vote_.epoch) vote_ = Vote{target, {}, {}, std::nullopt};
--- a/src/replica/view_agreement.hpp
+++ b/src/replica/view_agreement.hpp
@@ -1,5 +1,5 @@
-/// Single-decree Paxos on the next view (Paxos Made Simple, 2.2): the durable half (Acceptor) and the counting half (Proposer).
-/// Neither sends or persists anything; ViewChange does.
+/// Single-decree Paxos on the next view (Paxos Made Simple, 2.2): the roles Acceptor and Proposer.
+/// Neither performs I/O; ViewChange sends and persists.
 #pragma once
 
 #include <cstddef>
@@ -16,26 +16,26 @@
 
 namespace beechpoint::replica {
 
-/// Changes its vote at once; the caller answers only when the changed vote is durable.
+/// Paxos acceptor. Changes its vote immediately; the caller must reply only once the changed vote is durable.
 ///
-/// Invariant (P1a): it accepts a proposal of number n only if it has not promised a higher number. Vote::epoch names the view
-/// that is agreed on; a vote for a later epoch replaces it.
+/// Invariant (P1a): it accepts a proposal of number n only if it has not promised a higher number. Vote::epoch identifies the
+/// view to agree on; a vote for a later epoch replaces it.
 class Acceptor {
 public:
     explicit Acceptor(Vote vote) : vote_(std::move(vote)) {}
 
-    /// True if the vote now promises this proposal number (also when it did so before).
+    /// Returns true if the vote now promises this proposal number, also if it already did.
     [[nodiscard]] bool promise(std::uint64_t target, const ProposalNumber& proposal);
-    /// True if the vote now holds this value under this proposal number.
+    /// Returns true if the vote now holds this value with this proposal number.
     [[nodiscard]] bool accept(std::uint64_t target, const ProposalNumber& proposal, const View& value);
-    /// A view of this epoch is decided: votes up to it have no further use.
+    /// Discards votes up to this epoch, whose view is decided.
     void decided(std::uint64_t epoch);
 
     const Vote& vote() const { return vote_; }
     ProposalNumber promisedFor(std::uint64_t target) const {
         return vote_.epoch == target ? vote_.promised : ProposalNumber{};
     }
-    /// Has promised for the view that follows this epoch.
+    /// Whether it has promised for the view that follows this epoch.
     bool isSealed(std::uint64_t epoch) const { return vote_.epoch == epoch + 1 && vote_.promised.round > 0; }
 
 private:
@@ -47,23 +47,23 @@
 struct ReceivedPromise {
     Member from;
     Promise promise;
-    bool votes = true;  // counts towards the majority; else it only seals a member of the chain
+    bool votes = true;  // counts towards the majority; otherwise it only seals a chain member
 };
 
-/// idle -> preparing (begin) -> accepting (beginAccepting) -> idle (stop, once decided or given up)
+/// Paxos proposer: idle -> preparing (begin) -> accepting (beginAccepting) -> idle (stop, once decided or abandoned)
 class Proposer {
 public:
     enum class Phase { idle, preparing, accepting };
 
-    /// `majority`: number of votes.
+    /// @param majority number of votes required
     void begin(Millis now, std::uint64_t target, ProposalNumber proposal, std::size_t majority);
     void stop() { phase_ = Phase::idle; }
-    /// Acceptors are named by a key that stands for one disk; only those that vote count towards the majority. False: not of the
-    /// present proposal number and phase.
+    /// Acceptors are identified by a key per disk; only those that vote count towards the majority. Returns false if the message
+    /// does not belong to the current proposal number and phase.
     bool onPromise(const std::string& acceptor, const Member& from, const Promise& promise,
                    bool votes = true);
     bool onAccepted(const std::string& acceptor, const Accepted& accepted, bool votes = true);
-    /// The value that must be proposed (P2c), if one may have been chosen already.
+    /// The value that must be proposed (P2c), if one may already have been chosen.
     std::optional<View> highestAcceptedValue() const;
     void beginAccepting(Millis now, View value);
 
@@ -71,9 +71,9 @@
     std::uint64_t target() const { return target_; }
     const ProposalNumber& proposal() const { return proposal_; }
     const View& value() const { return value_; }
-    /// When the present phase began.
+    /// Start of the current phase.
     Millis since() const { return since_; }
-    /// Of the present phase.
+    /// Whether a majority has answered in the current phase.
     bool hasMajority() const;
     bool answered(const std::string& acceptor) const;
     const std::map<std::string, ReceivedPromise>& promises() const { return promises_; }
--- a/src/replica/view_change.cpp
+++ b/src/replica/view_change.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Millis kFoundingFirstDelay = 100;
-constexpr Millis kUnfinishedDelay = 400;  // for the proposer whose promises were given
+constexpr Millis kUnfinishedDelay = 400;  // gives the proposer that already received promises time to finish
 
 }  // namespace
 
@@ -37,7 +37,7 @@
 
 // ---- Acceptor
 
-// Brings this process to the base of the request. False if it may not vote on the view that follows it.
+// Installs the base view of the request if it is newer. Returns false if this process may not vote on its successor.
 bool ViewChange::canVote(Millis now, const Message& message, const View& base,
                          const std::vector<std::string>& founders) {
     if (base.epoch > membership_.view.epoch) install_(now, base);
@@ -49,8 +49,8 @@
     return !acceptors_.keyOf(membership_.self).empty() && !acceptors_.keyOf(message.from).empty();
 }
 
-// A member that is not sealed yet checks a cause that the proposer only has from reports. A voter outside the chain does not
-// judge its members.
+// A member that is not sealed yet verifies a cause that the proposer has only from reports. A voter outside the chain does not
+// assess the chain's members.
 bool ViewChange::isCauseUnconfirmed(Millis now, const Prepare& prepare) const {
     if (acceptors_.isFounding() || !membership_.isInChain()) return false;
     if (acceptor_.isSealed(prepare.base.epoch) || prepare.observedDirectly) return false;
@@ -193,7 +193,7 @@
                      Accept{proposer_.proposal(), membership_.view, membership_.founders, proposer_.value()});
 }
 
-// Sends the present request to all acceptors. Those that have answered already may answer again: no harm.
+// Sends the current request to all acceptors. A repeated answer is harmless.
 void ViewChange::resend(Millis now) {
     resendAt_ = now + retryDelay();
     for (const std::string& address : acceptors_.addresses()) sendRequest(address);
@@ -212,7 +212,7 @@
     highestRound_ = std::max(highestRound_, reject.promised.round);
     if (proposer_.phase() == Proposer::Phase::idle || reject.proposal != proposer_.proposal()) return;
     if (reject.target != proposer_.target()) return;
-    if (reject.promised <= proposer_.proposal()) return;  // it saw no cause; others may
+    if (reject.promised <= proposer_.proposal()) return;  // it observes no cause; others may
     proposer_.stop();
     backOff(now);
 }
@@ -223,7 +223,7 @@
     if (proposer_.onAccepted(acceptor, accepted, acceptors_.hasVote(message.from))) advance(now);
 }
 
-// Members that answer heartbeats get some time to promise, so that they are not left out.
+// Members that answer heartbeats get some time to promise, so that the next view does not exclude them.
 bool ViewChange::hasWaitedLongEnough(Millis now) const {
     const Millis waited = now - proposer_.since();
     if (acceptors_.isFounding())
@@ -256,7 +256,7 @@
         value = acceptors_.isFounding() ? planner_.composeFounding(proposer_.promises())
                                         : planner_.compose(now, proposer_.promises());
     }
-    if (!value) return;  // more promises may come until the time-out
+    if (!value) return;  // more promises may arrive before the time-out
     proposer_.beginAccepting(now, *value);
     resend(now);
 }
--- a/src/replica/view_change.hpp
+++ b/src/replica/view_change.hpp
@@ -1,10 +1,10 @@
-/// Runs the agreement on the next view: founding, noticing that a change is due, proposing, voting, learning the decision.
+/// Runs the agreement on the next view: founding, detecting that a change is due, proposing, voting, learning the decision.
 ///
-/// One instance of single-decree Paxos an epoch (Paxos Made Simple); the acceptors are those of the view in force (Vertical Paxos
-/// 2009). Owns both halves of the agreement (Acceptor, Proposer), the control record on disk and the planner. Called on the thread
-/// of Replica::handle() only.
+/// One instance of single-decree Paxos per epoch (Paxos Made Simple); the acceptors are those of the current view (Vertical Paxos
+/// 2009). Owns the Acceptor, the Proposer, the control record on disk and the planner. Called only on the thread of
+/// Replica::handle().
 ///
-///   proposer  | event                                   | what follows
+///   proposer  | event                                   | result
 ///   ----------|-----------------------------------------|----------------------------------------------------------
 ///   idle      | change due, this process's turn         | Prepare to all acceptors -> preparing
 ///   preparing | Promise, majority, value known          | Accept to all acceptors -> accepting
@@ -39,7 +39,7 @@
 
 class ViewChange {
 public:
-    /// Puts a decided view in force; it is newer than the present one.
+    /// Puts a decided view, newer than the current one, into effect.
     using Install = std::function<void(Millis now, const View& view)>;
 
     ViewChange(Membership& membership, Outbox& outbox, const FailureDetector& detector, const Chain& chain,
@@ -48,7 +48,7 @@
     ViewChange& operator=(const ViewChange&) = delete;
 
     void tick(Millis now);
-    /// The process did not run for a while: what it saw before counts no more.
+    /// Discards earlier observations after the process was suspended.
     void onProcessResumed(Millis now);
     void enterView(Millis now, const View& before);
 
@@ -60,9 +60,9 @@
     void onDecided(Millis now, const View& view);
 
     bool isSealed() const { return acceptor_.isSealed(membership_.view.epoch); }
-    /// Something is under way that a timer must look after.
+    /// Whether an operation is in progress that needs a timer.
     bool isBusy() const;
-    /// What the disk should hold now; written in full by whoever persists it.
+    /// The current control record; the caller persists it as a whole.
     ControlRecord control() const { return records_.record(); }
     void persistControl() { records_.persist(); }
 
@@ -98,8 +98,8 @@
     Proposer proposer_;
     ViewPlanner planner_;
     ControlRecordStore records_;
-    bool observedDirectly_ = false;   // this process saw the cause of the present proposal itself
-    std::uint64_t highestRound_ = 0;  // of the proposal numbers seen
+    bool observedDirectly_ = false;   // this process observed the cause of the current proposal itself
+    std::uint64_t highestRound_ = 0;  // highest round of all received proposal numbers
     Millis assessAt_ = 0;
     Millis changeDueSince_ = 0;  // 0: none is due
     Millis resendAt_ = 0;
--- a/src/replica/view_composer.cpp
+++ b/src/replica/view_composer.cpp
@@ -9,17 +9,17 @@
 
 using Promises = ViewComposer::Promises;
 
-// What the source of the next view is chosen by.
+// Criterion for choosing the source of the next view.
 struct Stored {
-    std::uint64_t epoch;  // the newest one whose starting state it holds
+    std::uint64_t epoch;  // newest epoch whose starting state it holds
     Position position;
     auto operator<=>(const Stored&) const = default;
 };
 
-// What this acceptor could start the next view from; nothing if it may lack something that was committed. One that is synced
-// into the epoch of `base` has all. One that is not proves by its promise that nothing was committed in that epoch, nor will
-// be. Then all that was committed is in the epoch's starting state, which it may hold without having recorded so, and in the
-// state of whoever is synced into the epoch before.
+// State from which this acceptor could start the next view; nullopt if it may lack committed changes. An acceptor synced into
+// the epoch of `base` has everything. The promise of one that is not synced proves that nothing was or will be committed in that
+// epoch. Then everything committed is in the epoch's starting state, which the acceptor may hold without having recorded it, and
+// in the state of any acceptor synced into the previous epoch.
 std::optional<Stored> storedBy(const ReceivedPromise& received, const View& base) {
     const Promise& promise = received.promise;
     const bool holdsStart = promise.position == base.start || promise.appliedPosition == base.start;
@@ -29,10 +29,10 @@
     return std::nullopt;
 }
 
-// What the promises of the chain's members prove. No view follows without one of them: the majority of the voters makes the
-// next view the only one, but it is a sealed member of the chain that ends all acknowledgement in `base`, since each
-// acknowledgement needs every member. One that is synced holds all that was acknowledged; one that is not proves that nothing
-// was, nor will be.
+// Result of the promises by members of the chain. At least one of them is required for the next view: the majority of the
+// voters makes the next view unique, but only a sealed member of the chain stops acknowledgements in `base`, since each
+// acknowledgement needs every member. A synced member holds everything acknowledged; one that is not synced proves that nothing
+// was or will be acknowledged.
 enum class ChainSeal { none, allHeld, nothingCommitted };
 
 ChainSeal chainSealOf(const Promises& promises, const View& base) {
@@ -56,13 +56,13 @@
     Stored stored;
 };
 
-// Among equals the first one offered stays, so that the head keeps its role.
+// Among equals the first one is kept, so that the head keeps its role.
 void updateBestSource(std::optional<Source>& best, const ReceivedPromise& received, const View& base) {
     const std::optional<Stored> stored = storedBy(received, base);
     if (stored && (!best || best->stored < *stored)) best = Source{&received, *stored};
 }
 
-// The members of the chain that go on, and the state that they start from.
+// The chain members that remain, and the state that they start from.
 struct ChainPromises {
     std::vector<const ReceivedPromise*> members;
     std::optional<Source> source;
@@ -70,7 +70,7 @@
 
 ChainPromises chainPromisesOf(const View& base, const Assessment& assessment, const Promises& promises) {
     ChainPromises chain;
-    std::optional<Source> excludedSource;  // would do as source, though it should be left out
+    std::optional<Source> excludedSource;  // usable as source, although it should be excluded
     for (const Member& member : base.members) {
         const ReceivedPromise* received = promiseOf(member, promises);
         if (!received) continue;
@@ -83,7 +83,7 @@
     return chain;
 }
 
-// A voter outside the chain may be the source only where nothing was committed in the epoch.
+// A voter outside the chain may be the source only if nothing was committed in the epoch.
 std::optional<Source> sourceAmongAll(const View& base, const Promises& promises) {
     std::optional<Source> source;
     for (const auto& [voter, received] : promises) updateBestSource(source, received, base);
--- a/src/replica/view_composer.hpp
+++ b/src/replica/view_composer.hpp
@@ -1,8 +1,8 @@
-/// The view to propose, from the promises of the voters and the members of the view in force.
+/// Composes the view to propose from the promises of the voters and members of the current view.
 ///
-/// Safety depends on one choice made here, the source of the starting state: it must hold all that was or may yet be acknowledged
-/// in the view in force (Vertical Paxos 2009, 3: the new configuration starts from a state that a sealed replica of the old
-/// one holds). The order and number of the members are a matter of availability.
+/// Safety depends on the source of the starting state chosen here: it must hold everything that was or may yet be acknowledged
+/// in the current view (Vertical Paxos 2009, 3: the new configuration starts from a state that a sealed replica of the old
+/// one holds). The order and number of the members affect only availability.
 #pragma once
 
 #include <map>
@@ -25,9 +25,9 @@
     ViewComposer(const Membership& membership, const FailureDetector& detector)
         : membership_(membership), requirements_(membership), voters_(membership, detector) {}
 
-    /// The view that follows the one in force; nothing if these promises allow none.
+    /// The view that follows the current one; nullopt if these promises do not allow one.
     std::optional<View> compose(Millis now, const Assessment& assessment, const Promises& promises) const;
-    /// The first view, of the founders that have promised.
+    /// The first view, consisting of the founders that have promised.
     View composeFounding(const Promises& promises) const;
 
 private:
--- a/src/replica/view_planner.cpp
+++ b/src/replica/view_planner.cpp
@@ -75,7 +75,7 @@
 
 // ---- Links
 
-// Leaves out the unresponsive, then the fewest that end all broken links, the later in order first.
+// Excludes the unresponsive members, then greedily those with the most broken links, later chain positions first.
 void ViewPlanner::assessLinks(Millis now, Assessment& assessment) const {
     assessUnresponsive(now, assessment);
     std::vector<BrokenLink> broken = brokenLinks(now, assessment);
@@ -113,7 +113,7 @@
     return broken;
 }
 
-// The later in order among equals; empty if no member of the view has a broken link.
+// Among equals the last in the chain; empty if no member of the view has a broken link.
 std::string ViewPlanner::memberWithMostBroken(const std::vector<BrokenLink>& broken) const {
     std::map<std::string, std::size_t> count;
     for (const BrokenLink& link : broken) {
@@ -152,10 +152,10 @@
     assessment.stalled.insert(address);
 }
 
-// ---- Members that can be spared. All from an installed view only: its members hold the state then, so the next view does not
-// depend on a copy of a member that goes, and one view change does not chase another.
+// ---- Members that can be removed. Only from an installed view: its members hold the state, so the next view does not depend on
+// a departing member's copy, and view changes do not follow each other without need.
 
-// Uncounted members whose going could take the majority with them, since counted ones were lost.
+// Excludes uncounted members whose loss could remove the majority after the loss of counted ones.
 void ViewPlanner::assessUncounted(Assessment& assessment) const {
     if (!chain_.isInstalled()) return;
     const std::vector<Member> before = assessment.nextMembers(membership_.view);
@@ -169,8 +169,8 @@
     }
 }
 
-// Leaves out as many of the leaving as can be spared, the later in order first, with a joiner instead of each where one is
-// ready.
+// Excludes as many leaving members as the tolerance allows, later chain positions first, replacing each with a ready joiner if
+// there is one.
 void ViewPlanner::assessLeavers(Millis now, Assessment& assessment) const {
     if (!chain_.isInstalled()) return;
     for (const Member& member : membership_.view.members | std::views::reverse) {
--- a/src/replica/view_planner.hpp
+++ b/src/replica/view_planner.hpp
@@ -1,19 +1,19 @@
-/// Decides whether the view in force must change, and how: what is wrong with it by the heartbeats' reports (Assessment), which
-/// process proposes first, and the view to propose.
+/// Decides whether and how the current view must change: its problems according to heartbeat reports (Assessment), which process
+/// proposes first, and the view to propose.
 ///
-/// It sends nothing and decides nothing that safety depends on, except the source of the next view (ViewComposer).
+/// Performs no I/O. Safety does not depend on it, except for the source of the next view (ViewComposer).
 ///
 ///   cause                                          | assessed by        | next view
 ///   -----------------------------------------------|--------------------|---------------------------------------------------
-///   member's disk is gone or fails                 | assessMembers      | without it
+///   member's disk lost or failing                  | assessMembers      | without it
 ///   member restarted                               | assessMembers      | with its new session
 ///   a promise without a view, view never installed | assessMembers      | the same members
-///   member unresponsive, link broken               | assessLinks        | without the fewest that end all broken links
-///   member does not store the head's item          | assessStalls       | without it
+///   member unresponsive, link broken               | assessLinks        | without the fewest members that end all broken links
+///   member does not store the head's current item  | assessStalls       | without it
 ///   majority depends on uncounted members          | assessUncounted    | without these
-///   member is to end                               | assessLeavers      | without it, where it can be spared
+///   member is leaving                              | assessLeavers      | without it, if enough members remain
 ///   process outside the view                       | JoinerSelection    | with it
-///   voter's disk lost, voter leaving or unreachable| assessVoters       | its vote handed over, see replica/voters.hpp
+///   voter's disk lost, voter leaving or unreachable| assessVoters       | its vote transferred, see replica/voters.hpp
 #pragma once
 
 #include <cstddef>
@@ -52,19 +52,19 @@
 
     void enterView(Millis now, const View& before);
 
-    /// A proposal begins on these grounds. The chain of a sealed head no longer shows where it stalled, so that is remembered until
-    /// the next view; else the stalled member would be part of one view after another.
+    /// Called when a proposal starts because of this assessment. Once the head is sealed, its chain no longer shows where it stalled,
+    /// so the stalled members are kept until the next view; otherwise a stalled member would remain in one view after another.
     void onProposalBegun(const Assessment& assessment) { stalledAtProposal_ = assessment.stalled; }
     /// Empty for a process outside the chain.
     Assessment assess(Millis now) const;
-    /// Rank among the members that may propose; beyond the last one if this process should not.
+    /// Rank among the members that may propose; the number of members if this process should not propose.
     std::size_t rank(Millis now, const Assessment& assessment) const;
-    /// The view to propose from these promises; nothing if they allow none.
+    /// The view to propose from these promises; nullopt if they do not allow one.
     std::optional<View> compose(Millis now, const std::map<std::string, ReceivedPromise>& promises) const;
     View composeFounding(const std::map<std::string, ReceivedPromise>& promises) const;
 
 private:
-    // Two members of which one reports the other as unresponsive, by internal address.
+    // Internal addresses of two members of which `from` reports `to` as unresponsive.
     struct BrokenLink {
         std::string from;
         std::string to;
@@ -96,7 +96,7 @@
     JoinerSelection joiners_;
     VoterAssessment voters_;
     ViewComposer composer_;
-    std::set<std::string> stalledAtProposal_;  // internal addresses, when the present proposal began
+    std::set<std::string> stalledAtProposal_;  // internal addresses, as of the start of the current proposal
     Millis enteredAt_ = 0;
 };
 
--- a/src/replica/view_requirements.hpp
+++ b/src/replica/view_requirements.hpp
@@ -1,5 +1,5 @@
-/// What the members of the next view must satisfy: enough machines and zones for the tolerance, and a majority that does not
-/// depend on members which are not counted. Pure functions of the view in force.
+/// Requirements on the members of the next view: enough machines and zones for the tolerance, and a majority that does not depend
+/// on uncounted members (those with countsAsLoss unset). Pure functions of the current view.
 #pragma once
 
 #include <vector>
@@ -12,12 +12,12 @@
 public:
     explicit ViewRequirements(const Membership& membership) : membership_(membership) {}
 
-    /// A view that is smaller than the one before must still cover the tolerance.
+    /// Whether these members may form a view: one with fewer members than the current view must still meet the tolerance.
     bool isSufficient(const std::vector<Member>& members) const;
-    /// Whether members that still serve may be left out for these: a tolerance that the view covers now stays covered.
+    /// Whether the view may shrink to these members although the others still work: a tolerance that is met now must remain met.
     bool keepsTolerance(const std::vector<Member>& members) const;
-    /// Drops members that are not counted until all others of them may go with a majority left; the later in order first. The
-    /// head may go as well: its successor holds the same state, in an installed view and at the founding.
+    /// Drops uncounted members, later chain positions first, until a majority survives the loss of the remaining ones. The head may
+    /// be dropped too: its successor holds the same state, both in an installed view and at the founding.
     void dropSurplusUncounted(std::vector<Member>& members) const;
     const Tolerance& tolerance() const { return membership_.settings.tolerance; }
 
--- a/src/replica/voter_assessment.cpp
+++ b/src/replica/voter_assessment.cpp
@@ -33,7 +33,7 @@
     return {peer->member, VoterState::present};
 }
 
-// The voter's machine runs with another disk now.
+// Whether the voter's machine now runs with another disk.
 bool VoterAssessment::isDiskReplaced(Millis now, const Member& voter) const {
     if (hasNewDiskOf(voter, membership_.self)) return true;
     return std::ranges::any_of(detector_.peers(), [&](const auto& entry) {
--- a/src/replica/voter_assessment.hpp
+++ b/src/replica/voter_assessment.hpp
@@ -1,4 +1,4 @@
-/// In which state the voters of the view in force are, as far as this process can tell by heartbeats.
+/// Determines the state of the current view's voters from heartbeat reports.
 #pragma once
 
 #include <vector>
@@ -16,7 +16,7 @@
     VoterAssessment(const Membership& membership, const FailureDetector& detector)
         : membership_(membership), detector_(detector) {}
 
-    /// The electorate with the state of each; members as their processes last reported themselves.
+    /// The voters with their states; each member as last reported by its process.
     std::vector<Voter> present(Millis now, const Assessment& assessment) const;
 
 private:
--- a/src/replica/voters.cpp
+++ b/src/replica/voters.cpp
@@ -11,7 +11,7 @@
     return std::ranges::any_of(voters, [&](const Voter& voter) { return sameDisk(voter.member, member); });
 }
 
-// The members of the chain that may get a vote and have none.
+// Members of the chain without a vote that may get one.
 std::vector<Member> candidatesAmong(const std::vector<Member>& chain, const std::vector<Voter>& present,
                                     const Tolerance& tolerance) {
     View counted;
@@ -37,7 +37,7 @@
     return toleratesLosses(membersOf(voters), tolerance);
 }
 
-// The candidate that takes this vote over: the same machine first, then one with which the set tolerates what it must.
+// The candidate that takes over this vote: the same machine if possible, else one with which the set tolerates the losses.
 std::vector<Member>::iterator replacementFor(const std::vector<Voter>& voters, std::size_t index,
                                              std::vector<Member>& candidates, const Tolerance& tolerance) {
     const auto namesake = std::ranges::find(candidates, voters[index].member.name, &Member::name);
@@ -48,7 +48,7 @@
     return suitable != candidates.end() ? suitable : candidates.begin();
 }
 
-// The votes of all voters in this state, as long as there are candidates.
+// Transfers the votes of all voters in this state while there are candidates.
 void handOverVotes(std::vector<Voter>& voters, VoterState state, std::vector<Member>& candidates,
                    const Tolerance& tolerance) {
     for (std::size_t index = 0; index < voters.size() && !candidates.empty(); ++index) {
@@ -59,7 +59,7 @@
     }
 }
 
-// Removes a voter where the set tolerates the losses without it; false if there is none to remove.
+// Removes one voter without which the set tolerates the losses; returns false if there is none.
 bool removeOneVoter(std::vector<Voter>& voters, const Tolerance& tolerance) {
     const bool sufficient = toleratesLosses(membersOf(voters), tolerance);
     for (auto voter = voters.begin(); voter != voters.end(); ++voter) {
--- a/tests/leases/lease_table_test.cpp
+++ b/tests/leases/lease_table_test.cpp
@@ -26,7 +26,7 @@
     return gateway;
 }
 
-// Advances in short steps, as the driver does, so that no late wake is seen.
+// Advances in short steps, as the driver does, so that no suspension is detected.
 void advanceInSteps(LeaseTable& table, Millis from, Millis to) {
     for (Millis now = from; now <= to; now += 250) table.advanceTo(now);
 }
@@ -61,7 +61,7 @@
     advanceInSteps(table, kStart, kStart + 4000);
     table.renew(kStart + 4000, gateway("g1"));
     ASSERT_EQ(table.liveCount(kStart + 4000), 1u);
-    // The process does not run for eight seconds: its own leases ran out, but the gateways are alive.
+    // The process is suspended for eight seconds: its leases have expired, but the gateways are alive.
     const Millis woken = kStart + 12000;
     table.advanceTo(woken);
     EXPECT_FALSE(table.liveCount(woken).has_value());
@@ -75,7 +75,7 @@
     LeaseTable table(settings(), kStart);
     for (const char* name : {"g1", "g2", "g3"}) table.renew(kStart, gateway(name));
     for (Millis now = kStart; now <= kStart + 12000; now += 250) table.renew(now, gateway("g1"));
-    // g2 and g3 lived until 3,000 after the start: they count until 13,000 after it.
+    // g2 and g3 were live until 3,000 after the start, so they count until 13,000 after it.
     EXPECT_EQ(table.liveCount(kStart + 12000), 1u);
     EXPECT_EQ(table.peakLiveCount(kStart + 12000), 3u);
     for (Millis now = kStart + 12250; now <= kStart + 13250; now += 250) table.renew(now, gateway("g1"));
@@ -139,8 +139,8 @@
     EXPECT_TRUE(table.renew(kStart + 3050, gateway("g5")));
 }
 
-// The deployment is to grow to 350 gateways; a gateway that is rejected gets no configuration. Twice as many leave room for those
-// that restart under other names while the old leases still run.
+// The deployment is planned to grow to 350 gateways, and a rejected gateway gets no configuration. The limit is at least twice
+// that, for gateways that restart under other names before their old leases expire.
 TEST(LeaseTable, DefaultLimitIsTwiceThePlannedGateways) {
     constexpr int kPlanned = 350;
     LeaseTable table(LeaseTable::Settings{}, kStart);
--- a/tests/replica/chain_batches_test.cpp
+++ b/tests/replica/chain_batches_test.cpp
@@ -1,4 +1,4 @@
-// Batches down the chain and commits back up: what is stored before what is sent.
+// Batches down the chain and commits back up, and the order of storing and sending.
 #include "replica_fixture.hpp"
 
 namespace beechpoint::replica {
--- a/tests/replica/explore_checks.cpp
+++ b/tests/replica/explore_checks.cpp
@@ -29,7 +29,7 @@
     if (added) checkStart(view, acknowledged_);
 }
 
-// What was acknowledged in an earlier epoch is part of the state that a view starts from.
+// Everything acknowledged in an earlier epoch must be part of a view's starting state.
 void World::checkStart(const View& view, Position acknowledged) {
     if (acknowledged.epoch < view.epoch && view.start < acknowledged)
         fail(fmt::format("the view of epoch {} starts from {} though {} was acknowledged", view.epoch,
--- a/tests/replica/explore_client.cpp
+++ b/tests/replica/explore_client.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-// Offers a write to every process that would take one, and a read to every one that believes to be the tail.
+// Sends a write to every process that accepts one, and a read to every process that considers itself the tail.
 void World::client() {
     if (!clientRuns_) return;
     for (std::size_t index = 0; index < kNodes; ++index) {
--- a/tests/replica/explore_points.cpp
+++ b/tests/replica/explore_points.cpp
@@ -1,4 +1,4 @@
-// Names of deviations and steps, and which step a message or an update of a disk is part of.
+// Names of deviations and steps, and the step that a message or disk update belongs to.
 #include <array>
 #include <variant>
 
--- a/tests/replica/explore_test.cpp
+++ b/tests/replica/explore_test.cpp
@@ -1,5 +1,6 @@
-// Deviations from deterministic runs of the real state machines, one by one and in pairs. REPLICA_EXPLORE=long: all single ones at all
-// points, heartbeats included, and pairs (minutes); REPLICA_EXPLORE_PAIRS=N: each N-th deviation gets a second one.
+// Deviations from deterministic runs of the real state machines, singly and in pairs. REPLICA_EXPLORE=long runs every single
+// deviation at every point including heartbeats, and pairs (takes minutes); REPLICA_EXPLORE_PAIRS=N adds a second deviation to
+// every N-th one.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
--- a/tests/replica/explore_variant_test.cpp
+++ b/tests/replica/explore_variant_test.cpp
@@ -1,4 +1,4 @@
-// Linked with a broken variant of one source file: the exploration must find its fault.
+// Linked with a broken variant of one source file, whose fault the exploration must find.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr std::size_t kRuns = 4'000;
-constexpr std::size_t kBatchRuns = 60;  // of the pass over batches, which are many
+constexpr std::size_t kBatchRuns = 60;  // limit for the pass over batches, which are numerous
 
-// First the base runs of all scenarios, then single deviations of some batches, of the agreement, and of the rest; the last
-// scenario first.
+// Runs the base runs of all scenarios, then single deviations of some batches, of the agreement and of the remaining steps,
+// starting with the last scenario.
 TEST(BrokenVariant, IsFound) {
     const std::vector<Step> agreement{Step::vote, Step::voteRecord, Step::decision};
     const std::vector<Strides> passes{Strides{.single = 0}, Strides{.single = 17, .steps = {Step::batch}},
--- a/tests/replica/explore_world.cpp
+++ b/tests/replica/explore_world.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-constexpr Millis kDelay = 1;
-constexpr Millis kForced = 6;  // longer than a batch takes down the chain and back
-constexpr Millis kUnforced = 0.2;
-constexpr Millis kLate = 900;
-constexpr Millis kOutage = 2'400;  // cut off or frozen: longer than the others need for a view
-constexpr Millis kLostFor = 600;
-constexpr Millis kStall = 1'500;
-constexpr Millis kReturn = 300;  // of a machine that lost its power
-constexpr Millis kFounding = 5'000;
-constexpr Millis kBefore = 400;    // writes before the scenario begins
-constexpr Millis kWindow = 3'000;  // deviations from then on
-constexpr Millis kReturnWithin = 6'000;
-constexpr Millis kPlay = 5'000;  // from then on to the end
+constexpr Millis kMessageDelay = 1;
+constexpr Millis kForcedWriteDelay = 6;  // longer than the round trip of a batch through the chain
+constexpr Millis kUnforcedWriteDelay = 0.2;
+constexpr Millis kLateMessageDelay = 900;
+constexpr Millis kOutageDuration = 2'400;  // partition or freeze; longer than a view change takes
+constexpr Millis kMessageLossDuration = 600;
+constexpr Millis kDiskStallDuration = 1'500;
+constexpr Millis kRestartDelay = 300;  // restart delay after a power loss
+constexpr Millis kFoundingTimeout = 5'000;
+constexpr Millis kWarmUpDuration = 400;     // writes before the scenario starts
+constexpr Millis kDeviationWindow = 3'000;  // deviations are allowed for this long after the start
+constexpr Millis kRecoveryTimeout = 6'000;
+constexpr Millis kScenarioDuration = 5'000;  // duration of the scenario
 
 std::uint64_t mix(std::uint64_t left, std::uint64_t right) {
     std::uint64_t value = left * 0x9E3779B97F4A7C15ULL + right + 0x7F4A7C15ULL;
@@ -55,12 +55,12 @@
 
 Outcome World::run() {
     client();
-    if (!runUntil(now_ + kFounding, [this] { return outcome_.acknowledged > 0; })) fail("no founding");
-    runUntil(now_ + kBefore, [] { return false; });
+    if (!runUntil(now_ + kFoundingTimeout, [this] { return outcome_.acknowledged > 0; })) fail("no founding");
+    runUntil(now_ + kWarmUpDuration, [] { return false; });
     begunAt_ = now_;
     if (!failed() && scenario_.begin) scenario_.begin(*this);
-    runUntil(now_ + kPlay, [] { return false; });
-    runUntil(now_ + kReturnWithin, [this] { return isComplete(); });
+    runUntil(now_ + kScenarioDuration, [] { return false; });
+    runUntil(now_ + kRecoveryTimeout, [this] { return isComplete(); });
     const std::size_t before = outcome_.acknowledged;
     const bool writes = runUntil(now_ + 200, [&] { return outcome_.acknowledged > before; });
     clientRuns_ = false;
@@ -98,7 +98,7 @@
 }
 
 std::size_t World::pass(Step step, bool message) {
-    outcome_.points.push_back({step, message, now_ >= begunAt_ && now_ < begunAt_ + kWindow});
+    outcome_.points.push_back({step, message, now_ >= begunAt_ && now_ < begunAt_ + kDeviationWindow});
     return outcome_.points.size() - 1;
 }
 
@@ -139,9 +139,9 @@
 }
 
 void World::losePowerAndReturn(std::size_t index) {
-    if (nodes_[index].session == 0) return;  // a spare that nobody has started
+    if (nodes_[index].session == 0) return;  // a spare that was not started
     losePower(index);
-    after(kReturn, [this, index] { start(index); });
+    after(kRestartDelay, [this, index] { start(index); });
 }
 
 void World::wipe(std::size_t index) {
@@ -179,7 +179,7 @@
     losePower(index);
 }
 
-// All members of the view that a member leaves behind hold its starting state, but those that lost their disks since.
+// When a member has left, all members of the remaining view must hold its starting state, except those whose disk was wiped.
 void World::checkCopies(const View& view) {
     for (const Member& member : view.members)
         for (const Node& node : nodes_) {
@@ -221,8 +221,9 @@
     node.diskBusy = true;
     const QueuedPersist& persist = node.persists.front();
     const Deviation* deviation = planned(persist.point);
-    if (deviation && *deviation == Deviation::slow) node.diskStalledUntil = now_ + kStall;
-    const Millis done = std::max(now_, node.diskStalledUntil) + (persist.update.force ? kForced : kUnforced);
+    if (deviation && *deviation == Deviation::slow) node.diskStalledUntil = now_ + kDiskStallDuration;
+    const Millis done = std::max(now_, node.diskStalledUntil) +
+                        (persist.update.force ? kForcedWriteDelay : kUnforcedWriteDelay);
     at(done, [this, index, order = ++node.diskOrder] {
         if (nodes_[index].diskOrder == order && nodes_[index].diskBusy) finishPersist(index);
     });
@@ -240,7 +241,7 @@
     deliver(index, Persisted{persist.token});
 }
 
-// Whether the update deviates, and does so now.
+// Whether the update's deviation takes effect now.
 bool World::injectDiskFault(std::size_t index, const QueuedPersist& persist) {
     const Deviation* deviation = planned(persist.point);
     if (!deviation || *deviation == Deviation::slow || ofMessage(*deviation)) return false;
@@ -256,7 +257,7 @@
         deliver(index, PersistFailed{persist.token, "disk full"});
     } else if (*deviation == Deviation::wiped) {
         wipe(index);
-        after(kReturn, [this, index] { start(index); });
+        after(kRestartDelay, [this, index] { start(index); });
     } else if (*deviation == Deviation::allPowerBefore || *deviation == Deviation::allPowerAfter) {
         for (std::size_t each = 0; each < kNodes; ++each) losePowerAndReturn(each);
     } else {
@@ -276,18 +277,19 @@
     const Deviation* deviation = planned(pass(step, true));
     if (step == Step::stateTransfer && now_ < stateTransferLostUntil_) return;
     Millis& lostUntil = lostUntil_[{from, to, step}];
-    if (deviation && *deviation == Deviation::lostForSomeTime) lostUntil = now_ + kLostFor;
+    if (deviation && *deviation == Deviation::lostForSomeTime) lostUntil = now_ + kMessageLossDuration;
     if (now_ < lostUntil || (deviation && *deviation == Deviation::lost)) return;
     const bool late = deviation && *deviation == Deviation::late;
-    transmit(from, to, send.message, late ? kLate : kDelay);
+    transmit(from, to, send.message, late ? kLateMessageDelay : kMessageDelay);
     if (!deviation) return;
-    if (*deviation == Deviation::repeated) transmit(from, to, send.message, kLate);
-    // The message itself still leaves.
+    if (*deviation == Deviation::repeated) transmit(from, to, send.message, kLateMessageDelay);
+    // The message itself is still sent.
     const std::uint64_t session = nodes_[from].session;
-    if (*deviation == Deviation::senderIsolated) after(2 * kDelay, [this, from] { isolate(from, kOutage); });
+    if (*deviation == Deviation::senderIsolated)
+        after(2 * kMessageDelay, [this, from] { isolate(from, kOutageDuration); });
     if (*deviation == Deviation::senderFrozen)
         after(0, [this, from, session] {
-            if (nodes_[from].session == session) freeze(from, kOutage);
+            if (nodes_[from].session == session) freeze(from, kOutageDuration);
         });
 }
 
@@ -341,7 +343,7 @@
 
 // ---- States reached
 
-// Adds the hash of the present state: disks, views, votes, what is committed, who leads, messages and updates on their way.
+// Records the hash of the current state: disks, views, votes, committed positions, heads, and messages and updates in flight.
 void World::remember(std::size_t index) {
     Node& node = nodes_[index];
     std::uint64_t hash = mix(node.session, node.persists.size());
--- a/tests/replica/explore_world.hpp
+++ b/tests/replica/explore_world.hpp
@@ -1,5 +1,5 @@
-// A small deterministic world of three replicas for exploration: fixed delays, no random draws. Each message that is sent and each
-// update that is given to a disk is a numbered point of the run; a plan says at which points what deviates.
+// A small deterministic simulation of three replicas for exploration, with fixed delays and no randomness. Each sent message and
+// each disk update is a numbered point of the run; a plan maps points to deviations.
 #pragma once
 
 #include <cstddef>
@@ -20,32 +20,33 @@
 namespace beechpoint::replica::exploration {
 
 inline constexpr std::size_t kFounders = 3;
-inline constexpr Millis kFreshLag = 1'300;  // a fresh member shows all that was acknowledged so long ago
-inline constexpr std::size_t kNodes = 4;    // the last one is a spare, which a scenario may start
+inline constexpr Millis kFreshLag =
+    1'300;                                // a fresh member must show everything acknowledged before this span
+inline constexpr std::size_t kNodes = 4;  // the last one is a spare that a scenario may start
 
 enum class Deviation {
-    // of a message
+    // Deviations of a message.
     lost,
-    lostForSomeTime,  // with all of its step between the two
-    repeated,         // comes a second time, much later
+    lostForSomeTime,  // with all messages of the step between the two nodes
+    repeated,         // delivered again much later
     late,
-    senderIsolated,  // both ways, for a while
+    senderIsolated,  // in both directions, temporarily
     senderFrozen,
-    // of an update of a disk
-    powerBefore,  // the machine loses its power; the update is not there
-    powerAfter,   // the update is there; it was not reported
+    // Deviations of a disk update.
+    powerBefore,  // power loss before the update was stored
+    powerAfter,   // power loss after the update was stored, before it was reported
     allPowerBefore,
     allPowerAfter,
-    wiped,  // the machine comes back with an empty disk
+    wiped,  // the machine returns with an empty disk
     failed,
-    failedThere,  // reported as failed, though it took effect
+    failedThere,  // reported as failed although it took effect
     slow,
 };
 inline constexpr std::size_t kDeviations = 14;
 const char* nameOf(Deviation deviation);
 bool ofMessage(Deviation deviation);
 
-// What a point is part of.
+// The protocol step that a point belongs to.
 enum class Step {
     heartbeat,
     joining,
@@ -66,23 +67,23 @@
 struct Point {
     Step step;
     bool message;
-    bool open;  // to deviations: the scenario has begun and is not long over
+    bool open;  // deviations allowed: within the deviation window of the scenario
 };
 
 using Plan = std::map<std::size_t, Deviation>;  // by the number of the point
 
 class World;
-// What happens in the base run.
+// Events of the base run.
 struct Scenario {
     std::string name;
-    std::function<void(World&)> begin;  // called once writes are acknowledged
-    std::size_t disksLost = 0;          // for good; one is tolerated
+    std::function<void(World&)> begin;  // called once writes have been acknowledged
+    std::size_t disksLost = 0;          // permanently; one is tolerated
 };
 const std::vector<Scenario>& scenarios();
 
 struct Outcome {
     std::string failure;  // empty: none
-    bool whole = false;   // all are in one view again in the end, and it takes writes
+    bool whole = false;   // at the end all nodes share one view that accepts writes
     std::size_t acknowledged = 0;
     std::size_t reads = 0;
     std::vector<Point> points;
@@ -90,7 +91,7 @@
 
 class World {
 public:
-    // `states`: hashes of the states reached are added to it.
+    // Adds the hashes of the reached states to `states`.
     World(const Scenario& scenario, Plan plan, std::unordered_set<std::uint64_t>& states);
     ~World();
 
@@ -104,16 +105,19 @@
     void partition(std::size_t from, std::size_t to, Millis span);
     void isolate(std::size_t node, Millis span);
     void freeze(std::size_t node, Millis span);
-    // Leaves by agreement, and ends once it has left.
+    // Requests a planned leave; the process exits once it has left.
     void leave(std::size_t node);
-    // Messages of handing over are lost for so long.
+    // Drops state transfer messages for this span.
     void loseStateTransfer(Millis span) { stateTransferLostUntil_ = now_ + span; }
-    // The tail misses a view; the member between loses its disk, the head its power, and the cut heals: the disk of the tail is back.
+    // The tail misses a view. Then the middle member loses its disk and the head its power, and the partition heals, so that the
+    // tail's disk is available again.
     void loseDiskDuringPartition();
-    // The node at this position of the newest view.
+    // Node that is the head or tail of the newest view.
     std::size_t head() const;
     std::size_t tail() const;
-    std::size_t between() const { return kFounders - head() - tail(); }  // of a view of the founders
+    std::size_t between() const {
+        return kFounders - head() - tail();
+    }  // middle node of a view of the founders
 
 private:
     struct QueuedPersist {
@@ -126,7 +130,7 @@
         std::unique_ptr<Replica> replica;
         std::uint64_t session = 0;
         bool leaving = false;
-        bool gone = false;  // for good
+        bool gone = false;  // permanently
         Millis frozenUntil = 0;
         std::deque<Event> waiting;
         DurableState written;
@@ -196,12 +200,12 @@
     std::map<std::pair<std::size_t, std::size_t>, Millis> partitionedUntil_;
     std::map<std::tuple<std::size_t, std::size_t, Step>, Millis> lostUntil_;
     Millis stateTransferLostUntil_ = 0;
-    std::uint64_t inFlight_ = 0;  // sum of the hashes of the messages on their way
-    Millis begunAt_ = std::numeric_limits<Millis>::infinity();  // the scenario
+    std::uint64_t inFlight_ = 0;                                // sum of the hashes of the messages in flight
+    Millis begunAt_ = std::numeric_limits<Millis>::infinity();  // start of the scenario
     bool clientRuns_ = true;
     std::uint64_t nextToken_ = 1;
     std::map<std::uint64_t, OpenWrite> openWrites_;
-    std::map<std::uint64_t, Position> openReads_;  // what was acknowledged when it began
+    std::map<std::uint64_t, Position> openReads_;  // position acknowledged when the read began
     Position acknowledged_;
     std::deque<std::pair<Millis, Position>> acknowledgements_;
     std::map<std::uint64_t, Known> history_;  // by sequence
--- a/tests/replica/explorer.cpp
+++ b/tests/replica/explorer.cpp
@@ -18,8 +18,8 @@
     return all.empty() ? "no deviation" : all;
 }
 
-// Whatever overlaps: all must be served again while no more disks are lost than is tolerated. With more of them the state must
-// stay right, but need not be served.
+// The system must become available again if no more disks are lost than is tolerated. With more lost disks the state must remain
+// correct but need not be available.
 bool mustEndWhole(const Scenario& scenario, const Plan& plan) {
     const auto wiped = std::ranges::count(plan, Deviation::wiped, &Plan::value_type::second);
     return scenario.disksLost + static_cast<std::size_t>(wiped) <= 1;
--- a/tests/replica/flapping_test.cpp
+++ b/tests/replica/flapping_test.cpp
@@ -1,4 +1,4 @@
-// A member that comes and goes, as with a bad link: each time it is taken in costs two view changes, so its pauses grow.
+// A flapping member, for example with a bad link: each time it is added costs two view changes, so its probation grows.
 #include <gtest/gtest.h>
 
 #include "replica/settings.hpp"
@@ -7,10 +7,10 @@
 namespace beechpoint::replica::simulation {
 namespace {
 
-constexpr Millis kOutage = 1'300;  // long enough to be left out
-constexpr Millis kBack = 1'100;    // long enough to be taken in again after the first pause
+constexpr Millis kOutage = 1'300;  // long enough to be removed from the view
+constexpr Millis kBack = 1'100;    // long enough to be added again after the first probation
 constexpr int kRounds = 8;
-constexpr std::uint64_t kMaxViews = 6;  // of three times in and out
+constexpr std::uint64_t kMaxViews = 6;  // for three additions and removals
 constexpr Millis kCatchUp = 4'000;
 
 void isolate(Cluster& cluster, std::size_t node, bool cut) {
--- a/tests/replica/head_writes_test.cpp
+++ b/tests/replica/head_writes_test.cpp
@@ -1,4 +1,4 @@
-// Writes at the head: when they are acknowledged, refused or unavailable.
+// Writes at the head: when they are acknowledged, rejected or unavailable.
 #include "replica_fixture.hpp"
 
 namespace beechpoint::replica {
--- a/tests/replica/identity_test.cpp
+++ b/tests/replica/identity_test.cpp
@@ -1,4 +1,4 @@
-// A replica at its start: its identity, and who founds the first view.
+// A replica at startup: its identity and the founding of the first view.
 #include "replica_fixture.hpp"
 
 namespace beechpoint::replica {
--- a/tests/replica/learner_test.cpp
+++ b/tests/replica/learner_test.cpp
@@ -1,4 +1,4 @@
-// Processes outside the view that copy the committed table before a view takes them in.
+// Processes outside the view that copy the committed table before a view adds them.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr Millis kCatchUp = 4'000;
-constexpr Millis kCopy = 700;      // that a whole table takes
-constexpr Millis kMaxPause = 450;  // between two acknowledgements, view changes and all
+constexpr Millis kCopy = 700;      // duration of a full table transfer
+constexpr Millis kMaxPause = 450;  // between two acknowledgements, including view changes
 
 class LearnerTest : public ::testing::TestWithParam<std::uint64_t> {
 protected:
@@ -21,14 +21,14 @@
         options.fullTableDelay = fullTableDelay;
         return Cluster(options);
     }
-    // Founded, and with more batches behind it than the history keeps.
+    // A founded cluster with more committed batches than the history keeps.
     static void age(Cluster& cluster) {
         cluster.startClient();
         ASSERT_TRUE(cluster.runUntil(6'000, [&] { return cluster.isComplete(); })) << cluster.describe();
         const std::uint64_t enough = cluster.acknowledged() + kMaxHistoryBatches + 20;
         ASSERT_TRUE(cluster.runUntil(60'000, [&] { return cluster.acknowledged() >= enough; }));
     }
-    // The longest time without an acknowledgement until the condition holds.
+    // Longest time without an acknowledgement until the condition holds.
     static Millis longestPause(Cluster& cluster, Millis span, const std::function<bool()>& condition) {
         std::uint64_t seen = cluster.acknowledged();
         Millis since = cluster.now();
@@ -59,7 +59,7 @@
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
 
-// The copy takes longer than a learner may wait: it is taken in as it is, well inside the time that a loss counts for.
+// The copy takes longer than the learning deadline, so the learner is added without it, well within the time that a loss counts.
 TEST_P(LearnerTest, JoinsWithSlowTransferAfterMaximumTime) {
     Cluster cluster = make(kMaxLearningTime + 1'000);
     age(cluster);
--- a/tests/replica/leaving_test.cpp
+++ b/tests/replica/leaving_test.cpp
@@ -1,4 +1,4 @@
-// Leaving by agreement, in virtual time: a process that is told to end stays a full member until a view without it is installed.
+// Planned leave in virtual time: a process that is asked to shut down stays a full member until a view without it is installed.
 #include <gtest/gtest.h>
 
 #include "simulated_cluster.hpp"
@@ -6,9 +6,9 @@
 namespace beechpoint::replica::simulation {
 namespace {
 
-constexpr Millis kBound = 3'000;         // what a leaving process may take at most
-constexpr Millis kLeavesWithin = 1'500;  // where the others can spare it
-constexpr Millis kCatchUp = 4'000;       // a loss counts for so long after the return
+constexpr Millis kBound = 3'000;         // maximum duration of a leave
+constexpr Millis kLeavesWithin = 1'500;  // if the others meet the tolerance without it
+constexpr Millis kCatchUp = 4'000;       // time after the return for which a loss still counts
 constexpr Millis kRecoverWithin = 3'000;
 
 class LeavingTest : public ::testing::TestWithParam<std::uint64_t> {
@@ -29,7 +29,7 @@
         const std::uint64_t before = cluster.acknowledged();
         return cluster.runUntil(kRecoverWithin, [&] { return cluster.acknowledged() > before + 1; });
     }
-    // All that run share one view of so many members, and vouch for it.
+    // Whether all running processes share one installed view with this many members.
     static bool sharesView(Cluster& cluster, std::size_t members) {
         for (std::size_t node = 0; node < cluster.nodes(); ++node) {
             if (cluster.gone(node)) continue;
@@ -58,7 +58,7 @@
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
 
-// The new one comes first, then the old one is told to end; right when it has ended a second machine loses its disk.
+// The replacement starts first, then the old process leaves; immediately after it exits, a second machine loses its disk.
 TEST_P(LeavingTest, WipeRightAfterPlannedReplacementLeavesMajority) {
     Cluster cluster = make(3);
     found(cluster);
@@ -81,7 +81,7 @@
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
 
-// Two members that must both hold everything: the one that ends is exchanged for one that waits, whose disk is slow.
+// Two members that must both hold everything: the leaving one is replaced by a waiting process with a slow disk.
 TEST_P(LeavingTest, OnlyOtherCopyWaitsUntilReplacementHoldsState) {
     Cluster cluster = make(2);
     found(cluster);
@@ -99,7 +99,7 @@
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
 
-// Nobody can take its place: it serves to the end of its time.
+// Without a replacement, the leaving member serves until its time-out.
 TEST_P(LeavingTest, MemberThatCannotBeSparedServesUntilTimeout) {
     Cluster cluster = make(2);
     found(cluster);
@@ -154,7 +154,7 @@
     }
 }
 
-// Ended and started again at once: the new session simply joins.
+// Restarted immediately after leaving: the new session joins as usual.
 TEST_P(LeavingTest, RestartedLeavingHeadJoinsAgain) {
     Cluster cluster = make(3);
     found(cluster);
--- a/tests/replica/outside_view_test.cpp
+++ b/tests/replica/outside_view_test.cpp
@@ -1,4 +1,4 @@
-// Processes outside the view, and what a replica reports of its disk.
+// Processes outside the view, and the disk state that a replica reports.
 #include "replica_fixture.hpp"
 
 namespace beechpoint::replica {
@@ -30,7 +30,7 @@
     receive("c", Heartbeat{1, now_});
     EXPECT_EQ(last<HeartbeatReply>()->status.stored, (Position{2, 6}));
     EXPECT_EQ(last<HeartbeatReply>()->status.syncedEpoch, 1u);
-    // Older answers, and deltas on another state, are dropped.
+    // Older replies and deltas on another state are dropped.
     receive("a", SyncReply{{2, 6}, TableUpdate{{2, 5}, false, {{"k", "5"}}}});
     receive("a", SyncReply{{1, 3}, TableUpdate{{2, 7}, false, {{"k", "7"}}}});
     EXPECT_TRUE(persists_.empty());
@@ -47,7 +47,7 @@
     storeAllPersists();
     receive("d", SyncRequest{{1, 3}, true});
     ASSERT_EQ(countSent<SyncReply>("d"), 1u);
-    // The pending batch is not part of it: nobody knows yet whether it will be committed.
+    // The pending batch is not included: it is not known yet whether it will be committed.
     EXPECT_EQ(last<SyncReply>()->update.position, (Position{1, 3}));
     EXPECT_TRUE(last<SyncReply>()->update.whole);
     receive("c", Commit{kBatch.position});
--- a/tests/replica/position_text.hpp
+++ b/tests/replica/position_text.hpp
@@ -1,4 +1,4 @@
-// How a position is written in failures and traces: EPOCH.SEQUENCE.
+// Format of a position in failures and traces: EPOCH.SEQUENCE.
 #pragma once
 
 #include <fmt/format.h>
--- a/tests/replica/reads_test.cpp
+++ b/tests/replica/reads_test.cpp
@@ -41,7 +41,7 @@
     EXPECT_FALSE(last<ReadDone>());
     actions_ = late;
     answerHeartbeats({"a"});
-    if (!last<ReadDone>()) {  // the round for the read waited for its turn
+    if (!last<ReadDone>()) {  // the round for the read was rate-limited
         advanceTime(50);
         answerHeartbeats({"a"});
     }
--- a/tests/replica/received_state_test.cpp
+++ b/tests/replica/received_state_test.cpp
@@ -1,4 +1,4 @@
-// A full table in chunks, from members whose tables move on meanwhile: what comes out is the table at the position that it claims.
+// A full table in chunks from members whose tables advance meanwhile: the result must be the table at the position it states.
 #include "replica/received_state.hpp"
 
 #include <fmt/format.h>
@@ -18,7 +18,7 @@
 
 constexpr std::size_t kChunk = 100;  // bytes
 
-// One history of committed batches, and members that have a prefix of it.
+// One history of committed batches, and members that hold a prefix of it.
 class History {
 public:
     explicit History(std::uint64_t seed) : random_(seed) {
@@ -41,7 +41,7 @@
         tables_.push_back(std::move(next));
         batches_.push_back(std::move(batch));
     }
-    // The member learns of one batch more, where there is one.
+    // The member applies the next batch, if there is one.
     void advance(std::size_t member) {
         ReplicaTable& table = members_[member];
         const std::size_t applied = table.appliedPosition().sequence - 1;
@@ -49,7 +49,7 @@
         table.setPending(batches_[applied]);
         static_cast<void>(table.applyPending());
     }
-    // The member's process is restarted: it remembers no batches.
+    // The member's process restarts, which clears its batch history.
     void restart(std::size_t member) {
         const ReplicaTable& before = members_[member];
         DurableState state;
@@ -77,7 +77,7 @@
     return table;
 }
 
-// Replies are lost, come twice or late; members are asked by chance, lag behind one another and forget their history.
+// Replies are lost, duplicated or delayed; requests go to random members, which lag behind one another and lose their history.
 TEST(ReceivedState, IsTheTableAtItsPositionWhateverHappensMeanwhile) {
     std::size_t completed = 0;
     for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
@@ -112,7 +112,7 @@
     return {{}, {base, true, {{key, "1"}}}, base, afterKey, more};
 }
 
-// A starting state that was not installed may be given up with its view: its chunks don't go on in the next one.
+// A starting state that was not installed may be discarded with its view, so its chunks are not used in the next one.
 TEST(ReceivedState, DropsChunksOfAStartingStateWithTheView) {
     for (const Source source : {Source::committedState, Source::startingState}) {
         ReceivedState received;
--- a/tests/replica/replica_fixture.hpp
+++ b/tests/replica/replica_fixture.hpp
@@ -1,4 +1,4 @@
-// Fixture: one replica, driven by hand. The test plays the other members, the disk and the clock.
+// Fixture with one replica; the test controls the other members, the disk and the clock.
 #pragma once
 
 #include <fmt/format.h>
@@ -23,7 +23,7 @@
             "zone-" + name};
 }
 
-// The replica "b"; the test plays the others and the disk.
+// The replica "b"; the test controls the other members and the disk.
 class ReplicaTest : public ::testing::Test {
 protected:
     void startWith(DurableState state, bool bootstrap = false,
@@ -49,7 +49,7 @@
         return state;
     }
 
-    // In the view of epoch 2 at this index of the chain, the starting state stored.
+    // A replica in the view of epoch 2 at this index of the chain, with the starting state stored.
     void enterView(std::size_t index, Position start = {1, 3}, bool store = true) {
         View view{2, {memberOf("a"), memberOf("c")}, start};
         view.members.insert(view.members.begin() + static_cast<std::ptrdiff_t>(index), replica_->self());
@@ -90,7 +90,7 @@
         for (int count = 0; count < 20 && !persists_.empty(); ++count) storeNextPersist(works);
     }
     void failAllPersists() { storeAllPersists(false); }
-    // Answers all heartbeats sent so far but not answered, as these members; then forgets the actions.
+    // Answers all unanswered heartbeats on behalf of these members, then clears the actions.
     void answerHeartbeats(const std::vector<std::string>& members, Status status = {},
                           std::uint64_t epoch = 2) {
         const std::vector<Action> sent = std::exchange(actions_, {});
--- a/tests/replica/restarts_test.cpp
+++ b/tests/replica/restarts_test.cpp
@@ -1,4 +1,4 @@
-// Hundreds of changes, and members that start again with old disks at every distance: inside the history, beyond it, emptied.
+// Hundreds of changes, and members that restart with outdated disks: within the history, beyond it, or empty.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,16 +12,16 @@
 
 constexpr Millis kCatchUp = 4'000;
 constexpr Millis kRecoverWithin = 3'000;
-constexpr Millis kFullTableDelay = 400;  // of the large table
-constexpr Millis kSlowCopy = 2'600;      // longer than a learner may take
+constexpr Millis kFullTableDelay = 400;  // for the large table
+constexpr Millis kSlowCopy = 2'600;      // longer than the learning deadline
 constexpr Millis kWriteEvery = 20;
 constexpr int kRounds = 8;
-constexpr std::uint64_t kChanges = 500;  // in each run, at least
+constexpr std::uint64_t kChanges = 500;  // minimum per run
 
-// How far behind the others a member comes back.
+// How far behind the others a member returns.
 enum class Distance { sameView, insideHistory, beyondHistory, empty };
 
-// Lets the others go on until a member that is down is so far behind.
+// Runs the others until a stopped member is this far behind.
 void fallBehind(Cluster& cluster, Distance distance) {
     if (distance == Distance::sameView) return cluster.runFor(cluster.draw(50, 700));
     cluster.runFor(cluster.draw(1'500, 2'500));
@@ -49,7 +49,7 @@
         const std::uint64_t before = cluster.acknowledged();
         return cluster.runUntil(kRecoverWithin, [&] { return cluster.acknowledged() > before; });
     }
-    // Starts it; the time until it is fresh and holds all that was acknowledged before.
+    // Starts the member; returns the time until it is fresh and holds everything acknowledged before.
     static Millis catchUp(Cluster& cluster, std::size_t node) {
         const Millis began = cluster.now();
         const Position wanted = cluster.lastAcknowledged();
@@ -84,7 +84,7 @@
               << slowest << " ms\n";
 }
 
-// One was away for long; then all others lose their power, and it starts first. It must not lead with what it has.
+// One member was down for long; then all others lose power and it starts first. It must not become the source of the next view.
 TEST_P(RestartsTest, MemberWithOldStateIsNotSource) {
     Cluster cluster = make();
     found(cluster);
@@ -109,7 +109,7 @@
     EXPECT_FALSE(cluster.failed()) << cluster.failure() << "\n" << cluster.describe();
 }
 
-// It stands in the view and lacks the state, as its copy is slow, when another member goes and comes back.
+// A member is in the view but lacks the state because its transfer is slow, while another member stops and restarts.
 TEST_P(RestartsTest, MemberNotYetSyncedIsNotSource) {
     Cluster cluster = make(kSlowCopy);
     found(cluster);
--- a/tests/replica/simulated_checks.cpp
+++ b/tests/replica/simulated_checks.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A fresh member shows all that was acknowledged so long ago.
+// A fresh member must show everything acknowledged before this span.
 constexpr Millis kFreshLag = 1'300;
 
 }  // namespace
@@ -26,7 +26,7 @@
                          text(batch.position)));
 }
 
-// One history: at each sequence one position and one table, whoever shows it.
+// There is one history: each sequence has one position and one table on all nodes.
 void Cluster::checkState(std::size_t index) {
     const Replica& replica = *nodes_[index].replica;
     const Position position = replica.committedPosition();
@@ -42,7 +42,7 @@
                          text(entry->second.position)));
 }
 
-// The table on disk is the one of its position, if that was ever committed.
+// The table on disk must match its position if that position was committed.
 void Cluster::checkDisk(std::size_t index) {
     const DurableState& disk = nodes_[index].written;
     const auto known = history_.find(disk.position.sequence);
@@ -68,7 +68,7 @@
                          text(acknowledgements_.front().second)));
 }
 
-// Nothing may depend on a process that reports that it has left: every member of the view without it holds all that was acknowledged.
+// Nothing may depend on a process that has left: every member of the view without it holds everything acknowledged.
 void Cluster::checkLeft(std::size_t index) {
     Node& node = nodes_[index];
     node.leaving = false;
@@ -83,7 +83,7 @@
     for (const Member& member : view.members) {
         const DurableState& disk = nodes_[byAddress_[member.internalAddress]].written;
         const Position stored = disk.pending ? disk.pending->position : disk.position;
-        if (disk.control.incarnation != member.incarnation) continue;  // was emptied since
+        if (disk.control.incarnation != member.incarnation) continue;  // was wiped meanwhile
         if (disk.syncedEpoch < view.epoch || stored < acknowledged_)
             fail(fmt::format("node {} left before {} held the state of epoch {}", index, member.name,
                              view.epoch));
--- a/tests/replica/simulated_client.cpp
+++ b/tests/replica/simulated_client.cpp
@@ -21,7 +21,7 @@
     at(now_ + draw(options_.writeEvery / 2, options_.writeEvery * 1.5), [this] { clientStep(); });
 }
 
-// Offers a write to every process that thinks it may take one, so that two heads at once would be found out.
+// Sends a write to every process that considers itself writable, so that two simultaneous heads would be detected.
 void Cluster::write() {
     for (std::size_t index = 0; index < nodes_.size(); ++index) {
         if (!up(index) || frozen(index) || !replica(index).isWritable()) continue;
@@ -70,7 +70,7 @@
     const auto entry = head.committedTable().find(open.key);
     if (entry == head.committedTable().end() || entry->second != open.value)
         return fail(fmt::format("node {} acknowledged a write that its table lacks", index));
-    // An answer may come late, from a head that slept: then it must be part of the history meanwhile.
+    // An answer may be delayed because the head was suspended; its batch must then be in the history already.
     checkState(index);
     if (head.committedPosition() > acknowledged_) {
         acknowledged_ = head.committedPosition();
--- a/tests/replica/simulated_cluster.cpp
+++ b/tests/replica/simulated_cluster.cpp
@@ -68,7 +68,8 @@
 
 namespace {
 
-constexpr std::size_t kSmallChunkBytes = 16;  // every other run sends full tables in chunks, of a row or two
+constexpr std::size_t kSmallChunkBytes =
+    16;  // every other run sends full tables in chunks of one or two rows
 
 }  // namespace
 
@@ -77,7 +78,7 @@
     if (node.replica || node.gone) return;
     Settings settings;
     settings.self = node.member;
-    if (!bootstrap) node.seeds = currentSeeds();  // a process starts with the settings of the moment
+    if (!bootstrap) node.seeds = currentSeeds();  // a process starts with the current settings
     settings.seeds = node.seeds;
     settings.bootstrap = bootstrap;
     settings.tolerance = options_.tolerance;
@@ -95,7 +96,7 @@
     node.replica.reset();
     node.frozen = node.leaving = false;
     node.waiting.clear();
-    // The update on its way to the disk may or may not have got there.
+    // The update in flight to the disk may or may not have been stored.
     if (!node.persists.empty() && node.diskBusy && !node.diskFails && random_() < 0.5) {
         apply(node.persists.front().update, node.written);
         if (node.persists.front().update.force && random_() < 0.5) node.synced = node.written;
@@ -175,7 +176,7 @@
     node.frozen = false;
     std::deque<Event> waiting = std::exchange(node.waiting, {});
     const std::uint64_t session = node.session;
-    checkNode(index);  // what it would answer before it has handled anything
+    checkNode(index);  // its answers before it has handled any event
     for (Event& event : waiting)
         if (nodes_[index].session == session) deliver(index, std::move(event));
     if (nodes_[index].session == session && up(index)) deliver(index, Tick{});
@@ -199,7 +200,7 @@
 void Cluster::carryOut(std::size_t index, const std::vector<Action>& actions) {
     const std::uint64_t session = nodes_[index].session;
     for (const Action& action : actions) {
-        if (nodes_[index].session != session) return;  // a fault was due at this very step
+        if (nodes_[index].session != session) return;  // a fault occurred at this step
         if (const auto* sent = std::get_if<Send>(&action)) send(index, *sent);
         if (const auto* persist = std::get_if<Persist>(&action)) {
             nodes_[index].persists.push_back({persist->token, persist->update});
--- a/tests/replica/simulated_cluster.hpp
+++ b/tests/replica/simulated_cluster.hpp
@@ -1,5 +1,5 @@
-// Replicas in virtual time, with messages, disks and processes that fail by seed, a client that writes and reads, and the
-// promises of the control state checked after every step.
+// Replicas in virtual time with seeded faults of messages, disks and processes, a client that writes and reads, and checks of the
+// control state's invariants after every step.
 #pragma once
 
 #include <cstdint>
@@ -23,25 +23,25 @@
     std::size_t seeds = 3;
     std::size_t zones = 3;
     Tolerance tolerance;
-    Millis startSpread = 300;         // processes start within so long of each other
-    std::set<std::size_t> uncounted;  // nodes whose loss is not one of those tolerated
-    Millis writeEvery = 60;           // of the client, on average
-    Millis fullTableDelay = 0;        // that a message with a full table takes longer than others
+    Millis startSpread = 300;         // maximum difference between the processes' start times
+    std::set<std::size_t> uncounted;  // nodes with countsAsLoss unset
+    Millis writeEvery = 60;           // mean interval of the client
+    Millis fullTableDelay = 0;        // additional delay of a message with a full table
 };
 
-// What of the network is harmed at present.
+// Current faults of the network.
 struct NetworkFaults {
     double loss = 0;
     double duplicate = 0;
-    Millis extraDelay = 0;  // at most, drawn for each message
-    double late = 0;        // share that arrives only after up to 3 s
+    Millis extraDelay = 0;  // maximum, random per message
+    double late = 0;        // share of messages delayed by up to 3 s
 };
 
-// What of all disks is harmed at present.
+// Current faults of all disks.
 struct DiskFaults {
-    Millis slowest = 4;        // a forced write takes 1 ms to this
+    Millis slowest = 4;        // maximum duration of a forced write; the minimum is 1 ms
     double failure = 0;        // share of the writes that fail
-    double failedThere = 0.1;  // share of the failed writes that took effect all the same
+    double failedThere = 0.1;  // share of failed writes that still took effect
 };
 
 struct Counters {
@@ -64,7 +64,7 @@
     // ---- Time
     Millis now() const { return now_; }
     void runFor(Millis span);
-    // Until the condition holds; false if it did not within the span.
+    // Runs until the condition holds; returns false if it does not within the span.
     bool runUntil(Millis span, const std::function<bool()>& condition);
     void at(Millis time, std::function<void()> action);
 
@@ -73,7 +73,7 @@
     void start(std::size_t node, bool bootstrap = false);
     void kill(std::size_t node);
     void losePower(std::size_t node);
-    // SIGTERM: asks the others for a view without it; ends once it has left, or after the span.
+    // Models SIGTERM: requests a view without the node, which exits once it has left or after the time limit.
     void leave(std::size_t node, Millis most = 3'000);
     bool leaving(std::size_t node) const { return nodes_[node].leaving; }
     std::uint64_t leftByAgreement() const { return leftByAgreement_; }
@@ -84,14 +84,14 @@
     void stallDisk(std::size_t node, Millis until);
     void failDisk(std::size_t node, bool failing);
     void partition(std::size_t from, std::size_t to, bool cut);
-    void healPartitions();  // no cuts
+    void healPartitions();  // removes all partitions
     NetworkFaults& network() { return network_; }
     DiskFaults& disks() { return disks_; }
     // Called for each message as it is sent.
     void onSend(std::function<void(std::size_t from, const Body& body)> action) {
         onSend_ = std::move(action);
     }
-    // Ends all troubles but machines that are down for good.
+    // Ends all faults except machines that are permanently down.
     void heal();
     bool up(std::size_t node) const { return nodes_[node].replica != nullptr; }
     bool frozen(std::size_t node) const { return nodes_[node].frozen; }
@@ -105,14 +105,14 @@
     void stopClient() { clientRuns_ = false; }
     void write();
     bool writeInFlight() const;
-    // Done once, right after the next acknowledgement, or a moment after the next write was taken.
+    // Runs the action once, directly after the next acknowledgement or shortly after the next write was accepted.
     void onNextAcknowledgement(std::function<void()> action) { afterAcknowledgement_ = std::move(action); }
     void onNextWrite(std::function<void()> action) { afterWrite_ = std::move(action); }
-    // The same, when some process next puts a view in force.
+    // The same, when a process next installs a decided view.
     void onNextView(std::function<void()> action) { afterView_ = std::move(action); }
     std::uint64_t acknowledged() const { return counters_.writesAcknowledged; }
     Position lastAcknowledged() const { return acknowledged_; }
-    // Every process that is not gone runs, is listed in a view of all nodes and is fresh.
+    // Whether every node that is not permanently gone runs, is listed in a view of all nodes and is fresh.
     bool isComplete() const;
 
     Counters& counters() { return counters_; }
@@ -137,16 +137,16 @@
         Member member;
         std::vector<std::string> seeds;
         std::unique_ptr<Replica> replica;
-        std::uint64_t session = 0;  // of the process: events of an earlier one are void
+        std::uint64_t session = 0;  // of the process; events of an earlier session are ignored
         bool frozen = false;
-        bool gone = false;          // for good
-        bool leaving = false;       // was asked to leave, and runs still
+        bool gone = false;          // permanently
+        bool leaving = false;       // was asked to leave and is still running
         std::deque<Event> waiting;  // while frozen
-        DurableState written;       // what the operating system has
-        DurableState synced;        // what a loss of power leaves
+        DurableState written;       // state known to the operating system
+        DurableState synced;        // state that survives a power loss
         std::deque<QueuedPersist> persists;
         bool diskBusy = false;
-        std::uint64_t diskOrder = 0;  // an earlier completion is void
+        std::uint64_t diskOrder = 0;  // completions with an earlier number are ignored
         Millis diskStalledUntil = 0;
         bool diskFails = false;
         Millis timer = 0;
@@ -169,7 +169,7 @@
     struct OpenRead {
         std::size_t node;
         std::uint64_t session;
-        Position floor;  // acknowledged when it began
+        Position floor;  // position acknowledged when the read began
     };
     struct CommittedState {
         Position position;
@@ -221,7 +221,7 @@
     std::uint64_t leftByAgreement_ = 0;
     Position acknowledged_;
     std::deque<std::pair<Millis, Position>> acknowledgements_;
-    std::map<std::uint64_t, CommittedState> history_;  // by sequence: the one history
+    std::map<std::uint64_t, CommittedState> history_;  // committed states by sequence
 
     Counters counters_;
     std::string failure_;
--- a/tests/replica/simulated_disks.cpp
+++ b/tests/replica/simulated_disks.cpp
@@ -37,7 +37,7 @@
 
 void Cluster::finishPersist(std::size_t index) {
     Node& node = nodes_[index];
-    if (now_ < node.diskStalledUntil) {  // the stall began meanwhile
+    if (now_ < node.diskStalledUntil) {  // the stall started meanwhile
         node.diskBusy = false;
         startPersist(index);
         return;
@@ -50,7 +50,7 @@
         apply(persist.update, node.written);
         if (persist.update.force) node.synced = node.written;
     } else if (random_() < disks_.failedThere) {
-        apply(persist.update, node.written);  // a sync that failed: it may be there
+        apply(persist.update, node.written);  // a failed sync may still have written it
         if (random_() < 0.5) node.synced = node.written;
     }
     startPersist(index);
--- a/tests/replica/simulation_test.cpp
+++ b/tests/replica/simulation_test.cpp
@@ -15,9 +15,9 @@
 
 constexpr Millis kRecoverWithin = 3'000;
 constexpr Millis kReturnWithin = 3'000;
-constexpr Millis kCatchUp = 4'000;         // a loss counts for so long after the return
-constexpr Millis kLeavingBound = 3'001;    // a process that is told to end does so by then
-constexpr Millis kSuccessorAfter = 1'000;  // an empty machine comes so long after one that is gone for good
+constexpr Millis kCatchUp = 4'000;         // time after the return for which a loss still counts
+constexpr Millis kLeavingBound = 3'001;    // a leaving process exits within this time
+constexpr Millis kSuccessorAfter = 1'000;  // delay of an empty machine that replaces a permanently lost one
 
 std::uint64_t seedsPerMix() {
     const char* wanted = std::getenv("REPLICA_SEEDS");
@@ -44,7 +44,7 @@
     return done;
 }
 
-// All that is up has to come back into one view, and to show what was acknowledged.
+// All running nodes must return to one view and show everything acknowledged.
 void settleAndCheck(Cluster& cluster) {
     const Millis began = cluster.now();
     if (!recovers(cluster) && !cluster.failed()) cluster.fail("no write within 3 s of the end of the faults");
@@ -94,9 +94,9 @@
     EXPECT_GT(total.faultsWithWriteInFlight, 0u);
 }
 
-// Runs the fault now, right after an acknowledgement, or while a write is under way; waits for it.
+// Injects the fault now, directly after an acknowledgement, or while a write is in flight, and waits for it.
 void injectFault(Cluster& cluster, const std::function<void()>& fault) {
-    // Scheduled steps may run after this function: they hold what they need, and do nothing once it has given up.
+    // Scheduled steps may run after this function returns: they own their state and do nothing after its time-out.
     const auto done = std::make_shared<bool>(false);
     const auto counted = [&cluster, fault, done] {
         if (std::exchange(*done, true)) return;
@@ -124,7 +124,7 @@
     }
 }
 
-// One fault that the system must bear, then its end.
+// Injects and ends one fault that the system must tolerate.
 void oneFault(Cluster& cluster) {
     const std::size_t node = anyNode(cluster);
     const std::size_t other = anyNode(cluster);
@@ -227,7 +227,7 @@
     });
 }
 
-// A second fault while the first one is being repaired: right as a view comes into force.
+// A second fault during the repair of the first one, at the moment when a view is installed.
 TEST(Simulation, FaultsDuringRepair) {
     play("faults during repair", [](Cluster& cluster) {
         for (int round = 0; round < 3 && !cluster.failed(); ++round) {
@@ -268,9 +268,9 @@
     });
 }
 
-// One machine takes the place of another, announced (the new one comes first, then the old one is told to end) or not (it is
-// gone for good, an empty one comes a second later). As soon as the old one no longer counts as lost the next loss comes, at
-// the very moment: a lost disk, a power cut, a cut line or another announced one.
+// One machine replaces another, either planned (the new one starts first, then the old one leaves) or not (it is permanently
+// lost, and an empty one starts a second later). At the moment when the old one no longer counts as lost, the next loss follows: a
+// lost disk, a power loss, a partition or another planned replacement.
 std::size_t replaceMachine(Cluster& cluster, std::size_t old, bool announced) {
     const std::size_t added = cluster.addReplacement(old, cluster.random()() < 0.5 && !announced);
     if (announced) {
@@ -309,7 +309,7 @@
             if (!cluster.isComplete() && !cluster.failed())
                 cluster.fail("not whole when the second loss is over");
         }
-        // The last one is struck while a write is under way, as in the other mixes.
+        // The last fault occurs while a write is in flight, as in the other mixes.
         injectFault(cluster, [&] { cluster.losePower(anyNode(cluster)); });
         cluster.heal();
     });
@@ -360,8 +360,8 @@
     });
 }
 
-// Whatever fails, and however many lose their disks: the system may stop for good, but it never forks, goes back, or
-// forgets what it acknowledged. Faults strike the sender of a message of the agreement or of the chain as it sends it.
+// With any faults and any number of lost disks, the system may stop permanently but must never fork, move backwards or lose an
+// acknowledged write. Faults hit the sender of an agreement or chain message at the moment of sending.
 void strikeSenders(Cluster& cluster) {
     cluster.onSend([&cluster](std::size_t from, const Body& body) {
         const bool vote = std::holds_alternative<Promise>(body) || std::holds_alternative<Accepted>(body);
@@ -471,7 +471,7 @@
             if (!cluster.up(node)) continue;
             power ? cluster.losePower(node) : cluster.kill(node);
             cluster.at(cluster.now() + cluster.draw(50, 800), [&cluster, node] {
-                // A process whose disk is still empty is started as at first.
+                // A process whose disk is still empty is started with bootstrap again.
                 cluster.start(node, cluster.disk(node).control.incarnation == 0);
             });
         }
--- a/tests/replica/starting_state_test.cpp
+++ b/tests/replica/starting_state_test.cpp
@@ -1,4 +1,4 @@
-// How a member reaches the starting state of a view, and when it says so.
+// How a member reaches the starting state of a view, and when it reports that.
 #include "replica_fixture.hpp"
 
 namespace beechpoint::replica {
@@ -49,7 +49,7 @@
     EXPECT_GT(countSent<Propose>("c"), 0u);
 }
 
-// It has promised for epoch 3 on the ground of what its disk held; the view of epoch 2 reaches it only then.
+// The replica promised for epoch 3 based on its disk; the view of epoch 2 arrives only afterwards.
 TEST_F(ReplicaTest, DoesNotRecordSyncedInEpochEnteredSealed) {
     DurableState state = usedDisk();
     state.pending = Batch{{1, 4}, {{"k", "4"}}};
@@ -68,7 +68,7 @@
     enterView(1, {1, 9}, false);
     storeAllPersists();
     receive("a", SyncReply{{1, 3}, {{1, 9}, true, {{"k", "9"}}}});
-    failAllPersists();  // it may be there all the same
+    failAllPersists();  // it may still have been stored
     View next = replica_->view();
     next.epoch = 3;
     next.start = {1, 3};
@@ -83,7 +83,7 @@
     EXPECT_EQ(claim->update.table->changes, (std::vector<Change>{{"k", "0"}}));
 }
 
-// Found by the simulation: a source with its whole history answered with a delta, which the asker could not use.
+// Found by the simulation: a source with a complete history replied with a delta, which the requester could not apply.
 TEST_F(ReplicaTest, RequestsFullTableAfterFailedTransfer) {
     startWith(usedDisk());
     enterView(1, {1, 9}, false);
--- a/tests/replica/uncounted_test.cpp
+++ b/tests/replica/uncounted_test.cpp
@@ -1,4 +1,4 @@
-// Members whose loss is not one of those tolerated may go in any number at any time: no majority may hang on them.
+// Any number of members with countsAsLoss unset may be lost at any time, so no majority may depend on them.
 #include <gtest/gtest.h>
 
 #include "replica/view.hpp"
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Millis kRecoverWithin = 3'000;
-constexpr Millis kLooked = 3'000;  // after which every process has its place
+constexpr Millis kLooked = 3'000;  // every process is placed by then
 
 std::vector<Member> membersOf(std::size_t counted, std::size_t uncounted, std::size_t zones = 9) {
     std::vector<Member> members;
@@ -34,17 +34,17 @@
     EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(6, 1, 6), {1, 1}));
     EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(5, 1, 9), {1, 1}));
     EXPECT_FALSE(majoritySurvivesWithoutUncounted(membersOf(5, 1, 3), {1, 1}));
-    // Two do not bear the loss of one; but both must still be a majority.
+    // Two do not tolerate the loss of one, but together they must still be a majority.
     EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(2, 1), one));
     EXPECT_FALSE(majoritySurvivesWithoutUncounted(membersOf(2, 2), one));
-    // Nothing better can be had.
+    // Too few counted members: all are needed.
     EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(1, 2), one));
     EXPECT_TRUE(majoritySurvivesWithoutUncounted(membersOf(0, 3), one));
 }
 
 class UncountedTest : public ::testing::TestWithParam<std::uint64_t> {};
 
-// Two uncounted ones beside three counted: all uncounted go, and one counted loses its disk in the same moment.
+// Two uncounted and three counted members: all uncounted ones are lost while one counted member loses its disk.
 TEST_P(UncountedTest, ServesAfterLossOfAllUncountedAndOneCounted) {
     ClusterOptions options;
     options.seed = GetParam();
@@ -70,7 +70,7 @@
     EXPECT_FALSE(cluster.failed()) << cluster.failure();
 }
 
-// A spare copies the table and never says that it is fresh: polls go elsewhere.
+// A spare copies the table but is never fresh, so it does not answer polls.
 TEST_P(UncountedTest, SpareHoldsCopyAndIsNeverFresh) {
     ClusterOptions options;
     options.seed = GetParam();
--- a/tests/replica/view_agreement_test.cpp
+++ b/tests/replica/view_agreement_test.cpp
@@ -1,4 +1,4 @@
-// The two halves of the agreement, and the choice of the next view's source.
+// Acceptor and proposer of the agreement, and the choice of the next view's source.
 #include "replica/view_agreement.hpp"
 
 #include <fmt/format.h>
@@ -162,7 +162,7 @@
     EXPECT_EQ(view->start, (Position{4, 3}));
 }
 
-// Found by the simulation: the source of the epoch had lost its power before it could record that it is synced.
+// Found by the simulation: the source of the epoch lost power before it could record that it is synced.
 TEST_F(SourceChoice, MayHoldStartingStateWithoutHavingRecordedIt) {
     membership_.view.start = {2, 28};
     promise(1, 3, {2, 28});
--- a/tests/replica/view_votes_test.cpp
+++ b/tests/replica/view_votes_test.cpp
@@ -1,4 +1,4 @@
-// What a replica promises, accepts and proposes in the agreement on the next view, and when.
+// Promises, accepted values and proposals of a replica in the agreement on the next view.
 #include "replica_fixture.hpp"
 
 namespace beechpoint::replica {
--- a/tests/replica/voters_test.cpp
+++ b/tests/replica/voters_test.cpp
@@ -1,4 +1,4 @@
-// Who decides on the next view: the rules of the set, and members that are away while another disk is lost.
+// The voters of the next view: rules of the set, and absent members while another disk is lost.
 #include "replica/voters.hpp"
 
 #include <gtest/gtest.h>
@@ -90,7 +90,7 @@
     voters[3].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("abc"), kOne)), "abc");
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("abc"), {2, 1})), "abcd");
-    // Nothing is tolerated: those that are away are kept all the same, those that leave are not.
+    // With no tolerated loss, unreachable voters are still kept, but leaving ones are not.
     std::vector<Voter> three = here("abc");
     three[2].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(three, chainOf("ab"), {0, 0})), "abc");
@@ -152,7 +152,7 @@
     ClusterOptions options_;
 };
 
-// A minority misses changes; then one of the others loses its disk, the rest are dark, and the cut heals.
+// A minority misses changes; then one of the others loses its disk, the rest are down, and the partition heals.
 TEST_P(VotersTest, PartitionedMinorityCountsWhenAnotherDiskIsLost) {
     Cluster cluster(options_);
     founded(cluster);
@@ -171,7 +171,7 @@
     requireServedAgain(cluster);
 }
 
-// A planned restart leaves a view of the others; one of these loses its disk before the first one is back.
+// A planned restart leaves a view of the others; one of them loses its disk before the first one is back.
 TEST_P(VotersTest, PlannedRestartKeepsVote) {
     Cluster cluster(options_);
     founded(cluster);
@@ -186,7 +186,7 @@
     requireServedAgain(cluster);
 }
 
-// In halves nobody goes on, or the larger one does; together they all do, also if one loses its disk meanwhile.
+// Partitioned into halves, none or only the larger one continues; after healing all do, also if one loses its disk meanwhile.
 TEST_P(VotersTest, PartitionedHalvesRecoverOnceHealed) {
     Cluster cluster(options_);
     founded(cluster);
@@ -201,7 +201,7 @@
     requireServedAgain(cluster);
 }
 
-// A machine that is gone for good hands its vote to the one that comes in its place; then the next disk may be lost.
+// A permanently lost machine's vote is transferred to its replacement; then the next disk may be lost.
 TEST_P(VotersTest, ReplacementTakesOverVoteOfRemovedMachine) {
     Cluster cluster(options_);
     founded(cluster);
