--- a/src/duties/duty_holder.hpp
+++ b/src/duties/duty_holder.hpp
@@ -1,5 +1,5 @@
-/// Who holds a duty. The subjects are cut over the members of the newest decided view by rendezvous hashing, and the view's epoch is the
-/// fencing token: one epoch has one view, so one token has one holder, and a holder that changes has a higher token. Pure functions.
+/// Selects the holder of a duty. Rendezvous hashing distributes the subjects over the members of the newest decided view, and the view's epoch
+/// is the fencing token: each epoch has one view, so each token has one holder, and a change of holder raises the token. Pure functions.
 #pragma once
 
 #include <string>
--- a/src/duties/duty_runner.cpp
+++ b/src/duties/duty_runner.cpp
@@ -16,8 +16,8 @@
 
 bool isAccepted(int status) { return status >= kOk && status < 300; }
 
-// Sent again as it is, it would be refused again.
-bool isRefusedForGood(int status) {
+// Whether a retry of the same request would be rejected again.
+bool isRejectedPermanently(int status) {
     const bool isClientError = status >= kFirstClientError && status < kFirstServerError;
     return isClientError && status != kTooManyRequests && status != kRequestTimeout;
 }
@@ -26,11 +26,11 @@
 
 std::optional<DutyAction> DutyRunner::step(Millis now, const DutyContext& context,
                                            const std::optional<DutyWork>& work) {
-    const bool isOtherTerm = context.epoch != epoch_;
-    if (!context.isHolder || isOtherTerm) state_ = State::idle;
+    const bool isNewTerm = context.epoch != epoch_;
+    if (!context.isHolder || isNewTerm) state_ = State::idle;
     epoch_ = context.epoch;
-    if (state_ != State::idle || !mayAct(now, context)) return std::nullopt;
-    if (const auto intent = oldestOpen(*context.table)) return call(context, *intent);
+    if (state_ != State::idle || !canAct(now, context)) return std::nullopt;
+    if (const auto intent = oldestOpenIntent(*context.table)) return call(context, *intent);
     if (!work) return std::nullopt;
     state_ = State::proposing;
     number_ = work->number;
@@ -39,23 +39,23 @@
 
 bool DutyRunner::needsWork(Millis now, const DutyContext& context) const {
     const bool isIdle = state_ == State::idle || context.epoch != epoch_;
-    return isIdle && mayAct(now, context) && !oldestOpen(*context.table);
+    return isIdle && canAct(now, context) && !oldestOpenIntent(*context.table);
 }
 
 std::optional<DutyAction> DutyRunner::onProposed(Millis now, const DutyContext& context,
-                                                 std::uint64_t attempt, const ProposalResult& answer) {
+                                                 std::uint64_t attempt, const ProposalResult& result) {
     if (state_ != State::proposing || attempt != attempt_) return std::nullopt;
     state_ = State::idle;
-    if (!answer || answer->outcome == ProposalOutcome::stale) {
+    if (!result || result->outcome == ProposalOutcome::stale) {
         backOff(now);
         return std::nullopt;
     }
-    if (answer->outcome == ProposalOutcome::tooLarge) settledNumber_ = number_;  // never to be sent
-    const bool isKnown =
-        answer->outcome == ProposalOutcome::accepted || answer->outcome == ProposalOutcome::recorded;
-    if (!isKnown || answer->intent.state != IntentState::open) return std::nullopt;
-    if (context.epoch != epoch_ || !mayAct(now, context)) return std::nullopt;
-    return call(context, answer->intent);
+    if (result->outcome == ProposalOutcome::tooLarge) settledNumber_ = number_;  // it can never be sent
+    const bool isInTable =
+        result->outcome == ProposalOutcome::accepted || result->outcome == ProposalOutcome::recorded;
+    if (!isInTable || result->intent.state != IntentState::open) return std::nullopt;
+    if (context.epoch != epoch_ || !canAct(now, context)) return std::nullopt;
+    return call(context, result->intent);
 }
 
 std::optional<DutyAction> DutyRunner::onCalled(Millis now, std::uint64_t attempt, int status) {
@@ -63,16 +63,16 @@
     state_ = State::idle;
     lastStatus_ = status;
     if (status == kConflict) {
-        refusedToken_ = std::max(refusedToken_, epoch_);
+        rejectedToken_ = std::max(rejectedToken_, epoch_);
         return std::nullopt;
     }
-    const bool isAnswered = isAccepted(status) || isRefusedForGood(status);
-    if (!isAnswered) {
+    const bool isFinal = isAccepted(status) || isRejectedPermanently(status);
+    if (!isFinal) {
         if (status == 0) timeout_ = std::min(2 * timeout_, kMaxTimeout);
         backOff(now);
         return std::nullopt;
     }
-    succeed();
+    resetBackoff();
     state_ = State::settling;
     const IntentState outcome = isAccepted(status) ? IntentState::done : IntentState::refused;
     return SettleIntent{++attempt_, {subject_, number_, outcome}};
@@ -87,19 +87,19 @@
         backOff(now);
 }
 
-bool DutyRunner::mayAct(Millis now, const DutyContext& context) const {
+bool DutyRunner::canAct(Millis now, const DutyContext& context) const {
     if (!context.isHolder || !context.fresh || !context.table) return false;
-    if (context.epoch <= refusedToken_ || now < retryAt_) return false;
-    return !waitsForTakeover(now, context);
+    if (context.epoch <= rejectedToken_ || now < retryAt_) return false;
+    return !isWithinTakeoverDelay(now, context);
 }
 
-// Without an intent nobody has acted on this subject.
-bool DutyRunner::waitsForTakeover(Millis now, const DutyContext& context) const {
+// If the subject has no intent, no member has acted on it yet and no delay is needed.
+bool DutyRunner::isWithinTakeoverDelay(Millis now, const DutyContext& context) const {
     const bool isNew = now - context.holderSince < takeoverDelay_;
     return isNew && !intentsOf(*context.table, subject_).empty();
 }
 
-std::optional<Intent> DutyRunner::oldestOpen(const Table& table) const {
+std::optional<Intent> DutyRunner::oldestOpenIntent(const Table& table) const {
     for (Intent& intent : intentsOf(table, subject_)) {
         const bool isSettled = settledNumber_ && intent.number <= *settledNumber_;
         if (intent.state == IntentState::open && !isSettled) return std::move(intent);
@@ -122,12 +122,12 @@
 }
 
 void DutyRunner::backOff(Millis now) {
-    retryAt_ = now + retryAfter_ * (0.5 + random_());
-    retryAfter_ = std::min(2 * retryAfter_, kMaxBackoff);
+    retryAt_ = now + backoff_ * (0.5 + random_());
+    backoff_ = std::min(2 * backoff_, kMaxBackoff);
 }
 
-void DutyRunner::succeed() {
-    retryAfter_ = kInitialBackoff;
+void DutyRunner::resetBackoff() {
+    backoff_ = kInitialBackoff;
     timeout_ = kInitialTimeout;
 }
 
--- a/src/duties/intent.hpp
+++ b/src/duties/intent.hpp
@@ -1,8 +1,8 @@
-/// An intent: a call to the platform that is recorded in the replicated table before it is sent, so that whoever holds the duty next completes it
-/// with the same body. Values, and their form in the table.
+/// An intent: a call to the platform that is recorded in the replicated table before it is sent, so that the next holder of the duty completes
+/// it with the same body. Value types and their encoding in the table.
 ///
-///   key    duty/SUBJECT/NUMBER   the subject as keyOf() gives it, the number with kNumberDigits digits
-///   value  {"state":"open","token":12,"holder":"core-1","body":"..."}, a body only while open
+///   key    duty/SUBJECT/NUMBER   SUBJECT is keyOf(), NUMBER is zero-padded to kNumberDigits digits
+///   value  {"state":"open","token":12,"holder":"core-1","body":"..."}; the body is present only while open
 #pragma once
 
 #include <cstdint>
@@ -18,29 +18,29 @@
 inline constexpr int kNumberDigits = 20;
 
 enum class IntentState {
-    open,     ///< to be sent, again and again, until the platform has answered it
-    done,     ///< the platform took it
-    refused,  ///< the platform will never take it
+    open,     ///< sent and retried until the platform has accepted or rejected it
+    done,     ///< the platform accepted it
+    refused,  ///< the platform rejected it permanently
 };
 
 struct Intent {
-    std::uint64_t number = 0;  ///< rises within a subject: the window of a report, the count of an order
-    std::uint64_t token = 0;   ///< fencing token under which it was recorded
-    std::string holder;        ///< who recorded it
+    std::uint64_t number = 0;  ///< increases within a subject: a report's window, or the count of an order
+    std::uint64_t token = 0;   ///< fencing token with which it was recorded
+    std::string holder;        ///< member that recorded it
     IntentState state = IntentState::open;
-    std::string body;  ///< of the call, exactly; empty once it is not open
+    std::string body;  ///< exact body of the call; empty once the intent is settled
     bool operator==(const Intent&) const = default;
 };
 
 [[nodiscard]] std::string_view nameOf(IntentState state);
 
-/// The part of keys of the replicated table that all of a subject's intents share.
+/// The key prefix in the replicated table of all intents of a subject.
 [[nodiscard]] std::string intentPrefix(const Subject& subject);
 [[nodiscard]] std::string intentKey(const Subject& subject, std::uint64_t number);
 
-/// The value of an intent's key.
+/// Encodes the value stored under an intent's key.
 [[nodiscard]] std::string formatIntent(const Intent& intent);
-/// @param number digits at the end of the key. Nothing where key or value is not of this form.
+/// @param number digits at the end of the key. Empty if the number or the value is malformed.
 [[nodiscard]] std::optional<Intent> parseIntent(std::string_view number, std::string_view value);
 
 }  // namespace beechpoint::duties
--- a/src/duties/intent_log.cpp
+++ b/src/duties/intent_log.cpp
@@ -8,13 +8,13 @@
 namespace beechpoint::duties {
 namespace {
 
-std::size_t retainedOf(const Subject& subject) {
+std::size_t retentionLimit(const Subject& subject) {
     return subject.duty == Duty::usage ? kRetainedUsageIntents : kRetainedScalingIntents;
 }
 
-// Room for one more.
+// Removes the oldest intents so that one more can be added within the retention limit.
 void removeOldest(const Subject& subject, const std::vector<Intent>& intents, std::vector<Change>& changes) {
-    const std::size_t retained = retainedOf(subject) - 1;
+    const std::size_t retained = retentionLimit(subject) - 1;
     for (std::size_t index = 0; index + retained < intents.size(); ++index)
         changes.push_back({intentKey(subject, intents[index].number), std::nullopt});
 }
@@ -23,8 +23,8 @@
 
 ProposalDecision decide(const Table& table, const Proposal& proposal, std::uint64_t epoch) {
     if (proposal.token != epoch) return {ProposalOutcome::stale, {}, {}};
-    if (auto known = findIntent(table, proposal.subject, proposal.number))
-        return {ProposalOutcome::recorded, std::move(*known), {}};
+    if (auto existing = findIntent(table, proposal.subject, proposal.number))
+        return {ProposalOutcome::recorded, std::move(*existing), {}};
     const std::vector<Intent> intents = intentsOf(table, proposal.subject);
     if (!intents.empty() && proposal.number <= intents.back().number)
         return {ProposalOutcome::superseded, {}, {}};
@@ -34,7 +34,7 @@
     const Intent intent{proposal.number, proposal.token, proposal.holder, IntentState::open, proposal.body};
     removeOldest(proposal.subject, intents, decision.changes);
     decision.changes.push_back({intentKey(proposal.subject, proposal.number), formatIntent(intent)});
-    // As a successor will read it: bytes that are no UTF-8 are replaced in the table.
+    // Read the intent back as a successor would: invalid UTF-8 is replaced when it is encoded.
     Table after;
     beechpoint::apply(decision.changes, after);
     if (auto recorded = findIntent(after, proposal.subject, proposal.number))
--- a/src/duties/intent_log.hpp
+++ b/src/duties/intent_log.hpp
@@ -1,12 +1,12 @@
-/// The intents in the replicated table, and what the head of the chain makes of a holder's proposals. Pure functions of the committed table; what
-/// they accept is a batch for it.
+/// The intents in the replicated table, and how the head of the replication chain decides on a holder's proposals. Pure functions of the
+/// committed table; accepted proposals yield a batch of changes to it.
 ///
-/// Invariant: a subject has one body for a number for good. The head commits one batch at a time, on the table of all batches before, so that
-/// the first proposal of a number wins; every later one is told the body that is recorded.
+/// Invariant: the body of a number of a subject never changes. The head commits one batch at a time, each on top of all previous batches, so the
+/// first proposal of a number wins, and later proposals of it receive the recorded body.
 ///
 ///   proposal                                        | outcome
-///   its token is not the epoch of the head's view   | stale
-///   the number is recorded                          | recorded, with what the table has
+///   the token is not the epoch of the head's view   | stale
+///   the number is recorded                          | recorded, with the intent in the table
 ///   the number is not above the newest recorded one | superseded
 ///   the body is longer than kMaxBodyBytes           | tooLarge
 ///   else                                            | accepted; the subject's intents beyond the newest kRetained are removed
@@ -24,11 +24,11 @@
 namespace beechpoint::duties {
 
 inline constexpr std::size_t kMaxBodyBytes = std::size_t{256} * 1024;
-/// Intents of a subject that the table keeps.
+/// Number of intents that the table keeps per subject.
 inline constexpr std::size_t kRetainedUsageIntents = 24;
 inline constexpr std::size_t kRetainedScalingIntents = 2;
 
-/// A holder wants to make a call.
+/// A holder's request to record an intent.
 struct Proposal {
     Subject subject;
     std::uint64_t number = 0;
@@ -37,7 +37,7 @@
     std::string body;
 };
 
-/// A holder's call was answered for good.
+/// The final outcome of a holder's call.
 struct Settlement {
     Subject subject;
     std::uint64_t number = 0;
@@ -48,19 +48,19 @@
 
 struct ProposalDecision {
     ProposalOutcome outcome = ProposalOutcome::stale;
-    Intent intent;                ///< where accepted or recorded: what stands in the table, after the changes
-    std::vector<Change> changes;  ///< where accepted: to be committed before the intent counts
+    Intent intent;                ///< if accepted or recorded: the intent in the table after the changes
+    std::vector<Change> changes;  ///< if accepted: must be committed before the call is sent
 };
 
-/// @param epoch of the view under which the head would commit the changes
+/// @param epoch of the view in which the head would commit the changes
 [[nodiscard]] ProposalDecision decide(const Table& table, const Proposal& proposal, std::uint64_t epoch);
 
-/// The changes that record the settlement; none where the intent is not open any more.
+/// The changes that record the settlement; none if the intent is no longer open.
 [[nodiscard]] std::vector<Change> settle(const Table& table, const Settlement& settlement);
 
 [[nodiscard]] std::optional<Intent> findIntent(const Table& table, const Subject& subject,
                                                std::uint64_t number);
-/// The subject's intents, by rising number. Records that can't be read are left out.
+/// The subject's intents in ascending order of number. Malformed records are skipped.
 [[nodiscard]] std::vector<Intent> intentsOf(const Table& table, const Subject& subject);
 
 }  // namespace beechpoint::duties
--- a/src/duties/subject.hpp
+++ b/src/duties/subject.hpp
@@ -1,4 +1,4 @@
-/// What a singleton duty is about: the unit that has one holder at a time, and for which the platform compares fencing tokens.
+/// The subject of a singleton duty: the unit that has one holder at a time and for which the platform compares fencing tokens.
 #pragma once
 
 #include <compare>
@@ -7,22 +7,22 @@
 namespace beechpoint::duties {
 
 enum class Duty {
-    usage,    ///< reports of the tenants' usage; all windows together are one subject
-    scaling,  ///< orders of hosts; a service in a zone is a subject
+    usage,    ///< reports of the tenants' usage; a single subject for all windows
+    scaling,  ///< orders of hosts; one subject per service and zone
 };
 
 struct Subject {
     Duty duty = Duty::usage;
-    std::string service;  ///< of scaling; else empty
-    std::string zone;     ///< likewise
+    std::string service;  ///< for Duty::scaling; otherwise empty
+    std::string zone;     ///< for Duty::scaling; otherwise empty
 
     auto operator<=>(const Subject&) const = default;
 };
 
-/// Unique text of the subject: a part of keys of the replicated table, and what the holder is drawn by.
+/// Unique text of the subject, used in keys of the replicated table and as the input of the rendezvous hash.
 ///
 ///   usage
-///   scaling/SERVICE/ZONE   where '%' and '/' in names are written %25 and %2F
+///   scaling/SERVICE/ZONE   with '%' and '/' in names escaped as %25 and %2F
 [[nodiscard]] std::string keyOf(const Subject& subject);
 
 }  // namespace beechpoint::duties
--- a/src/duties/true_time.hpp
+++ b/src/duties/true_time.hpp
@@ -1,7 +1,7 @@
-/// Estimate of true time from many machines' clocks, since the time of day of a single machine may be wrong by seconds and jump.
+/// Estimates true time from the clocks of many machines, since the time of day of a single machine may be off by seconds and may jump.
 ///
-/// Each machine reports its time of day; the estimate is the median of the reports, so that it holds while fewer than half of the clocks
-/// are wrong. Its error is the delay of a message. Free of I/O; `now` is this process's steady clock in milliseconds.
+/// Each machine reports its time of day. The estimate is the median of the reports, so it is correct while fewer than half of the clocks are
+/// wrong. Its error is about one message delay. No I/O; `now` is this process's steady clock in milliseconds.
 #pragma once
 
 #include <cstddef>
@@ -15,21 +15,20 @@
 class TrueTime {
 public:
     static constexpr Millis kReportExpiry = 10'000;
-    static constexpr std::size_t kMaxReporters =
-        1024;  ///< at this size reports of further machines are ignored
+    static constexpr std::size_t kMaxReporters = 1024;  ///< reports of further machines are ignored
 
-    /// Of the machines that could report: of fewer, those whose clocks are wrong might be most.
+    /// Required share of the machines that could report: among fewer, wrong clocks could be the majority.
     static constexpr double kMinReportingShare = 0.75;
 
-    /// A machine reports its time of day, in milliseconds since 1970.
+    /// Records a machine's time of day, in milliseconds since 1970.
     void report(Millis now, const std::string& machine, Millis unixTime);
 
-    /// Milliseconds since 1970. Without reports: by this process's own clock.
+    /// Estimated time in milliseconds since 1970. Without reports, this process's own time of day.
     /// @param own this process's time of day, which counts as one report
     [[nodiscard]] Millis estimate(Millis now, Millis own) const;
 
-    /// Whether enough machines have reported lately for the estimate to outvote this process's own clock.
-    /// @param machines that could report
+    /// Whether enough machines have reported recently for the estimate to outvote wrong clocks.
+    /// @param machines number of machines that could report
     [[nodiscard]] bool isConfirmed(Millis now, std::size_t machines) const;
 
     [[nodiscard]] std::size_t reporterCount() const { return offsets_.size(); }
--- a/src/duties/usage.hpp
+++ b/src/duties/usage.hpp
@@ -1,4 +1,4 @@
-/// Values of usage reporting. Window k begins, in true time, k times the window's length after the start of 1970.
+/// Value types of usage reporting. Window k begins, in true time, k window lengths after the start of 1970.
 #pragma once
 
 #include <cstdint>
@@ -12,23 +12,22 @@
 
 using WindowNumber = std::uint64_t;
 
-/// Requests that began to run, by tenant.
+/// Number of requests that started execution, by tenant.
 using TenantCounts = std::map<std::string, std::uint64_t>;
 
-/// What one process counted in one window so far.
+/// Counts of one window so far, of one process or summed over all.
 struct WindowCounts {
     WindowNumber window = 0;
     TenantCounts counts;
     bool operator==(const WindowCounts&) const = default;
 };
 
-/// What a gateway tells the holder of the usage duty.
+/// A gateway's report to the holder of the usage duty.
 struct UsageReport {
     std::string gateway;
-    std::uint64_t session = 0;  ///< drawn at each start of its process
-    Millis coveredUntil = 0;    ///< true time up to which the counts are complete
-    std::vector<WindowCounts>
-        windows;  ///< totals, not increments; those that have not changed may be left out
+    std::uint64_t session = 0;          ///< random, new at each start of the process
+    Millis coveredUntil = 0;            ///< true time up to which the counts are complete
+    std::vector<WindowCounts> windows;  ///< totals, not increments; unchanged ones may be omitted
 };
 
 /// @param unixTime milliseconds since 1970; @param length of a window in milliseconds
--- a/src/duties/usage_collector.cpp
+++ b/src/duties/usage_collector.cpp
@@ -13,7 +13,7 @@
         TenantCounts& counts = session.windows[window.window];
         for (const auto& [tenant, count] : window.counts) {
             if (counts.size() >= kMaxTenants && !counts.contains(tenant)) continue;
-            // Reports may pass each other: a total never falls.
+            // Reports may arrive out of order: a total never decreases.
             counts[tenant] = std::max(counts[tenant], count);
         }
     }
@@ -28,17 +28,17 @@
 std::optional<WindowCounts> UsageCollector::nextWindow(std::optional<WindowNumber> newestRecorded,
                                                        Millis unixTime, Millis collectedFor,
                                                        const std::vector<SessionKey>& liveGateways) const {
-    std::optional<WindowNumber> window = firstCounted();
+    std::optional<WindowNumber> window = firstCountedWindow();
     if (newestRecorded) window = *newestRecorded + 1;
     if (!window) return std::nullopt;
     const WindowNumber current = windowAt(unixTime, windowLength_);
-    // Older ones may have been dropped already by some session; one gateway may be a window ahead.
-    constexpr WindowNumber kKeptBefore = kMaxWindows - 2;
-    if (current > kKeptBefore) window = std::max(*window, current - kKeptBefore);
+    // A session may already have dropped older windows; one gateway may be a window ahead.
+    constexpr WindowNumber kRetainedBeforeCurrent = kMaxWindows - 2;
+    if (current > kRetainedBeforeCurrent) window = std::max(*window, current - kRetainedBeforeCurrent);
     const Millis sinceEnd = unixTime - windowEnd(*window, windowLength_);
     if (sinceEnd < kMinGatherTime) return std::nullopt;
-    const bool mayBeCovered = std::min(sinceEnd, collectedFor) < maxGatherTime_;
-    if (mayBeCovered && !covered(*window, liveGateways)) return std::nullopt;
+    const bool canWaitForCoverage = std::min(sinceEnd, collectedFor) < maxGatherTime_;
+    if (canWaitForCoverage && !isCovered(*window, liveGateways)) return std::nullopt;
     return WindowCounts{*window, totalOf(*window)};
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-std::optional<WindowNumber> UsageCollector::firstCounted() const {
+std::optional<WindowNumber> UsageCollector::firstCountedWindow() const {
     std::optional<WindowNumber> first;
     for (const auto& entry : sessions_) {
         const auto& windows = entry.second.windows;
@@ -62,7 +62,7 @@
     return first;
 }
 
-bool UsageCollector::covered(WindowNumber window, const std::vector<SessionKey>& liveGateways) const {
+bool UsageCollector::isCovered(WindowNumber window, const std::vector<SessionKey>& liveGateways) const {
     const Millis end = windowEnd(window, windowLength_);
     return std::all_of(liveGateways.begin(), liveGateways.end(), [&](const SessionKey& gateway) {
         const auto session = sessions_.find(gateway);
--- a/src/duties/usage_counter.cpp
+++ b/src/duties/usage_counter.cpp
@@ -24,7 +24,7 @@
 }
 
 std::vector<WindowCounts> UsageCounter::unreported(std::uint64_t holder) {
-    changeHolder(holder);
+    switchHolder(holder);
     std::vector<WindowCounts> report;
     for (auto& [number, window] : windows_) {
         WindowCounts changed{number, {}};
@@ -45,7 +45,7 @@
     windows_.erase(windows_.begin(), windows_.lower_bound(recordedBefore_));
 }
 
-void UsageCounter::changeHolder(std::uint64_t holder) {
+void UsageCounter::switchHolder(std::uint64_t holder) {
     if (holder == holder_) return;
     holder_ = holder;
     for (auto& [number, window] : windows_)
--- a/src/duties/usage_counter.hpp
+++ b/src/duties/usage_counter.hpp
@@ -1,11 +1,11 @@
-/// A gateway's own usage counts: how many requests of each tenant began to run in each window, until the holder of the usage duty has
-/// recorded the window.
+/// Usage counts of one gateway: the number of requests of each tenant that started execution in each window. A window is kept until the
+/// holder of the usage duty has recorded it.
 ///
-/// Reports hold totals, so that one sent twice counts once. A report that a holder has acknowledged is not sent to it again; a new holder
-/// gets everything that is not recorded yet. Free of I/O; one thread uses it at a time.
+/// Reports hold totals, so that a duplicate counts once. Counts that a holder has acknowledged are not sent to it again; a new holder
+/// receives all counts that are not recorded yet. No I/O; not thread-safe.
 ///
 ///   bound                             | at the bound
-///   kMaxWindows not recorded windows  | the oldest is dropped, droppedWindows() counts it
+///   kMaxWindows unrecorded windows    | the oldest is dropped, droppedWindows() counts it
 ///   kMaxTenants of a window           | requests of further tenants are not counted, uncountedRequests() counts them
 #pragma once
 
@@ -27,14 +27,14 @@
     /// @param windowLength in milliseconds, above 0
     explicit UsageCounter(Millis windowLength) : windowLength_(windowLength) {}
 
-    /// A request of the tenant began to run at that true time.
+    /// Counts a request of the tenant that started execution at this true time.
     void add(const std::string& tenant, Millis unixTime);
 
-    /// The totals that this holder does not have yet.
-    /// @param holder identifies the holder and its term; another one than at the last call gets all windows
+    /// The totals that this holder has not acknowledged yet.
+    /// @param holder identifies the holder and its term; if it differs from the last call's, all windows are returned
     [[nodiscard]] std::vector<WindowCounts> unreported(std::uint64_t holder);
 
-    /// The holder has received what the last unreported() returned, and windows below `recordedBefore` are recorded for good.
+    /// The holder has received the result of the last unreported(), and windows below `recordedBefore` are recorded permanently.
     void onAcknowledged(std::uint64_t holder, WindowNumber recordedBefore);
 
     [[nodiscard]] std::uint64_t droppedWindows() const { return droppedWindows_; }
@@ -43,12 +43,12 @@
 private:
     struct Count {
         std::uint64_t total = 0;
-        std::uint64_t sent = 0;          // total when it was last returned
-        std::uint64_t acknowledged = 0;  // total that the holder has
+        std::uint64_t sent = 0;          // total when last returned by unreported()
+        std::uint64_t acknowledged = 0;  // total acknowledged by the holder
     };
     using Window = std::map<std::string, Count>;  // by tenant
 
-    void changeHolder(std::uint64_t holder);
+    void switchHolder(std::uint64_t holder);
 
     Millis windowLength_;
     std::map<WindowNumber, Window> windows_;
--- a/src/tenants/api_key_digest.hpp
+++ b/src/tenants/api_key_digest.hpp
@@ -1,5 +1,5 @@
-/// Digests of API keys (BLAKE2b, 256 bits), by which keys are looked up: the keys themselves are not kept. Values; to be used from any
-/// thread.
+/// Digests of API keys (BLAKE2b, 256 bits). Keys are looked up by digest; the keys themselves are not kept. Immutable values, safe to use
+/// from any thread.
 #pragma once
 
 #include <array>
@@ -16,10 +16,10 @@
 
     [[nodiscard]] static ApiKeyDigest of(std::string_view key);
 
-    /// Takes the same time wherever the two differ.
+    /// Compares in constant time.
     [[nodiscard]] bool operator==(const ApiKeyDigest& other) const;
 
-    /// For hash tables: the digest's first bytes.
+    /// Hash value for hash tables: the digest's first bytes.
     [[nodiscard]] std::size_t hash() const {
         std::size_t value = 0;
         std::memcpy(&value, bytes_.data(), sizeof value);
--- a/src/tenants/authentication.cpp
+++ b/src/tenants/authentication.cpp
@@ -7,27 +7,27 @@
 namespace {
 
 constexpr std::string_view kScheme = "bearer";
-constexpr std::string_view kBlanks = " \t";
+constexpr std::string_view kWhitespace = " \t";
 
 bool isBearer(std::string_view scheme) {
-    const auto sameLetter = [](char left, char right) {
+    const auto equalsIgnoringCase = [](char left, char right) {
         return std::tolower(static_cast<unsigned char>(left)) == right;
     };
-    return std::equal(scheme.begin(), scheme.end(), kScheme.begin(), kScheme.end(), sameLetter);
+    return std::equal(scheme.begin(), scheme.end(), kScheme.begin(), kScheme.end(), equalsIgnoringCase);
 }
 
-std::string_view withoutBlanks(std::string_view text) {
-    const auto begin = text.find_first_not_of(kBlanks);
+std::string_view trimmed(std::string_view text) {
+    const auto begin = text.find_first_not_of(kWhitespace);
     if (begin == std::string_view::npos) return {};
-    return text.substr(begin, text.find_last_not_of(kBlanks) + 1 - begin);
+    return text.substr(begin, text.find_last_not_of(kWhitespace) + 1 - begin);
 }
 
-// Empty where the field's value is not of the form "Bearer KEY".
+// The key; empty if the field's value does not have the form "Bearer KEY".
 std::string_view bearerKey(std::string_view value) {
-    value = withoutBlanks(value);
-    const auto blank = value.find_first_of(kBlanks);
-    if (blank == std::string_view::npos || !isBearer(value.substr(0, blank))) return {};
-    return withoutBlanks(value.substr(blank));
+    value = trimmed(value);
+    const auto separator = value.find_first_of(kWhitespace);
+    if (separator == std::string_view::npos || !isBearer(value.substr(0, separator))) return {};
+    return trimmed(value.substr(separator));
 }
 
 }  // namespace
--- a/src/tenants/authentication.hpp
+++ b/src/tenants/authentication.hpp
@@ -1,12 +1,12 @@
-/// Whose request it is, by its API key (`Authorization: Bearer KEY`, RFC 6750). Pure functions.
+/// Authenticates a request by its API key (`Authorization: Bearer KEY`, RFC 6750). Pure functions.
 ///
 ///   configuration    | route      | key of the request                       | outcome
 ///   without tenants  | any        | any                                      | unrestricted
-///   with tenants     | any        | one that a tenant holds                  | tenant
-///   with tenants     | public     | none, or one that nobody holds           | anonymous
+///   with tenants     | any        | a key of a tenant                        | tenant
+///   with tenants     | public     | none, or not a tenant's key              | anonymous
 ///   with tenants     | not public | none, several, or not of the Bearer form | missingKey
-///   with tenants     | not public | one that somebody held earlier           | revokedKey
-///   with tenants     | not public | one that nobody holds                    | unknownKey
+///   with tenants     | not public | a former key of a tenant                 | revokedKey
+///   with tenants     | not public | any other key                            | unknownKey
 #pragma once
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 
 struct Authentication {
     AuthenticationOutcome outcome = AuthenticationOutcome::missingKey;
-    std::shared_ptr<const TenantEntry> tenant;  ///< not null where the outcome is tenant
+    std::shared_ptr<const TenantEntry> tenant;  ///< set if the outcome is tenant
 
     /// Whether the request may be served.
     [[nodiscard]] bool isAccepted() const {
@@ -33,7 +33,7 @@
 };
 
 /// @param directory null: the configuration has no tenants
-/// @param authorization values of the request's Authorization fields
+/// @param authorization values of the request's Authorization header fields
 [[nodiscard]] Authentication authenticate(const TenantDirectory* directory, bool isPublicRoute,
                                           const std::vector<std::string_view>& authorization);
 
--- a/src/tenants/tenant_directory.cpp
+++ b/src/tenants/tenant_directory.cpp
@@ -13,15 +13,15 @@
             if (!isNew && known->second != entry) known->second = nullptr;
         }
     }
-    if (previous) rememberRevoked(*previous);
+    if (previous) addRevokedKeys(*previous);
 }
 
-void TenantDirectory::rememberRevoked(const TenantDirectory& previous) {
-    const auto remember = [this](const ApiKeyDigest& key) {
+void TenantDirectory::addRevokedKeys(const TenantDirectory& previous) {
+    const auto addRevoked = [this](const ApiKeyDigest& key) {
         if (revoked_.size() < kMaxRevokedKeys && !byKey_.contains(key)) revoked_.insert(key);
     };
-    for (const auto& [key, holder] : previous.byKey_) remember(key);
-    for (const ApiKeyDigest& key : previous.revoked_) remember(key);
+    for (const auto& [key, holder] : previous.byKey_) addRevoked(key);
+    for (const ApiKeyDigest& key : previous.revoked_) addRevoked(key);
 }
 
 bool TenantDirectory::wasRevoked(std::string_view key) const {
--- a/src/tenants/tenant_directory.hpp
+++ b/src/tenants/tenant_directory.hpp
@@ -1,6 +1,6 @@
-/// The tenants of a configuration by API key: an immutable snapshot, a part of routing::RoutingTable. Keys are kept as digests only.
+/// Index of a configuration's tenants by API key: an immutable snapshot, part of routing::RoutingTable. Keys are kept only as digests.
 ///
-/// Not here: the request's header (authentication.hpp), and the rules on a list of tenants (configuration/tenant_checks.hpp).
+/// See authentication.hpp for the request header, and configuration/tenant_checks.hpp for the validation of a list of tenants.
 #pragma once
 
 #include <cstddef>
@@ -20,27 +20,27 @@
 /// A tenant without its keys.
 struct TenantEntry {
     std::string name;
-    std::optional<int> priorityClass;         ///< in place of the route's
-    std::vector<std::string> allowedRegions;  ///< empty: all
+    std::optional<int> priorityClass;         ///< overrides the route's
+    std::vector<std::string> allowedRegions;  ///< empty: all regions
 };
 
 class TenantDirectory {
 public:
     static constexpr std::size_t kMaxRevokedKeys =
-        1024;  ///< remembered; those that were revoked before are forgotten first
+        1024;  ///< limit of remembered keys; the earliest revoked are dropped first
 
-    /// Of a key that two tenants list, which a valid configuration does not have, neither is found.
-    /// @param previous the directory that this one takes the place of; null: none
+    /// A key listed by two tenants, which a valid configuration does not contain, finds neither of them.
+    /// @param previous the directory that this one replaces; null: none
     /// @param complete false: some tenants of the configuration could not be read
     explicit TenantDirectory(const std::vector<configuration::Tenant>& tenants,
                              const TenantDirectory* previous = nullptr, bool complete = true);
 
-    /// The tenant that holds the key; nullptr where none does.
+    /// The tenant that the key belongs to; nullptr if none.
     [[nodiscard]] std::shared_ptr<const TenantEntry> findByKey(std::string_view key) const;
-    /// Whether the key belonged to an earlier directory and belongs to none of the tenants now. For logs and metrics.
+    /// Whether the key belonged to a tenant in an earlier directory and belongs to none now. For logs and metrics.
     [[nodiscard]] bool wasRevoked(std::string_view key) const;
     [[nodiscard]] std::size_t size() const { return size_; }
-    /// False: a key that is not found may be that of a tenant which could not be read.
+    /// If false, a key that is not found may belong to a tenant that could not be read.
     [[nodiscard]] bool isComplete() const { return complete_; }
 
 private:
@@ -48,7 +48,7 @@
         std::size_t operator()(const ApiKeyDigest& digest) const { return digest.hash(); }
     };
 
-    void rememberRevoked(const TenantDirectory& previous);
+    void addRevokedKeys(const TenantDirectory& previous);
 
     std::unordered_map<ApiKeyDigest, std::shared_ptr<const TenantEntry>, DigestHash> byKey_;
     std::unordered_set<ApiKeyDigest, DigestHash> revoked_;
--- a/tests/duties/duty_simulation.cpp
+++ b/tests/duties/duty_simulation.cpp
@@ -20,12 +20,12 @@
 namespace {
 
 constexpr Millis kTick = 20;
-constexpr std::size_t kTicksOfAStep = 3;
-constexpr Millis kUnixAtZero = 1.7e12;  // a window begins
+constexpr std::size_t kTicksPerStep = 3;
+constexpr Millis kUnixTimeAtStart = 1.7e12;  // a window begins
 constexpr Millis kWindow = 5000;
 constexpr Millis kLate = 10'000;
 constexpr Millis kLease = 3000;
-constexpr Millis kFreshFor = 600;
+constexpr Millis kFreshnessBound = 600;
 constexpr Millis kHeadTimeout = 1000;
 constexpr Millis kPlatformTimeout = 1500;
 constexpr Millis kHour = 3.6e6;
@@ -40,7 +40,7 @@
     std::string name;
     std::uint64_t session = 1;
     std::unique_ptr<DutyServiceState> state;
-    std::size_t view = 0;     // newest seen, as an index
+    std::size_t view = 0;     // index of the newest view it has seen
     std::size_t version = 0;  // of the table
     Millis confirmedAt = -1e9;
     Millis clockOffset = 0;
@@ -50,7 +50,7 @@
     Millis cutPlatformUntil = 0;
     bool callInFlight = false;
     std::deque<CallPlatform> calls;
-    std::deque<std::function<void()>> whenAwake;
+    std::deque<std::function<void()>> pendingEvents;
 };
 
 struct GatewayProcess {
@@ -88,7 +88,7 @@
     SimulationResult run() {
         for (now_ = kTick; now_ < settings_.end; now_ += kTick) tick();
         checkEnd();
-        result_.book = book_;
+        result_.platformModel = platformModel_;
         result_.views = views_.size();
         return std::move(result_);
     }
@@ -127,7 +127,7 @@
         member.confirmedAt = -1e9;
         member.callInFlight = false;
         member.calls.clear();
-        member.whenAwake.clear();
+        member.pendingEvents.clear();
     }
     bool alive(const MemberProcess& member) const { return now_ >= member.deadUntil; }
     bool runs(const MemberProcess& member) const { return alive(member) && now_ >= member.frozenUntil; }
@@ -146,29 +146,29 @@
     DutyReplicaState replicaOf(const MemberProcess& member) const {
         DutyReplicaState replica;
         replica.view = views_[member.view];
-        replica.fresh = isIn(member, replica.view) && now_ - member.confirmedAt <= kFreshFor;
+        replica.fresh = isIn(member, replica.view) && now_ - member.confirmedAt <= kFreshnessBound;
         replica.table = versions_[member.version];
         return replica;
     }
-    // Runs when the process does; not at all if it was killed meanwhile.
+    // Runs once the process is not frozen; never if it was killed in the meantime.
     void at(MemberProcess& member, std::uint64_t session, const std::function<void()>& run) {
         if (member.session != session || !alive(member)) return;
         if (runs(member)) return run();
-        member.whenAwake.push_back([this, &member, session, run] { at(member, session, run); });
+        member.pendingEvents.push_back([this, &member, session, run] { at(member, session, run); });
     }
 
     void tickMember(MemberProcess& member) {
         if (!runs(member)) return;
-        learn(member);
-        auto waiting = std::exchange(member.whenAwake, {});
-        // What came during a freeze is read in any order with the timers.
+        updateView(member);
+        auto waiting = std::exchange(member.pendingEvents, {});
+        // Events that arrived during a freeze are processed before or after the timers.
         const bool timersFirst = chance(0.5);
-        const bool isTimerDue = (tick_ + member.name.back()) % kTicksOfAStep == 0;
+        const bool isTimerDue = (tick_ + member.name.back()) % kTicksPerStep == 0;
         if (isTimerDue && timersFirst) step(member);
         for (const auto& run : waiting) run();
         if (isTimerDue && !timersFirst) step(member);
     }
-    void learn(MemberProcess& member) {
+    void updateView(MemberProcess& member) {
         if (!inControl(member)) return;
         if (member.view + 1 < views_.size() && now_ - decidedAt_.back() > 300 * random_()) {
             member.view = views_.size() - 1;
@@ -176,7 +176,7 @@
         }
         if (member.view + 1 == views_.size() && chance(0.3)) member.version = versions_.size() - 1;
         if (!chance(0.2)) return;
-        // A round of heartbeats: counts from when it was sent.
+        // A heartbeat round confirms the view as of the time it was sent.
         const Millis sentAt = now_;
         after(shortDelay(), [this, &member, session = member.session, sentAt] {
             if (member.session != session || !inControl(member)) return;
@@ -184,49 +184,50 @@
         });
     }
     void step(MemberProcess& member) {
-        perform(member, member.state->step(now_, kUnixAtZero + now_ + member.clockOffset, replicaOf(member),
-                                           [this] { return liveGateways(); }));
+        execute(member, member.state->step(now_, kUnixTimeAtStart + now_ + member.clockOffset,
+                                           replicaOf(member), [this] { return liveGateways(); }));
         sendNextCall(member);
     }
-    void perform(MemberProcess& member, const std::vector<DutyAction>& actions) {
+    void execute(MemberProcess& member, const std::vector<DutyAction>& actions) {
         for (const DutyAction& action : actions)
-            std::visit([&](const auto& one) { carryOut(member, one); }, action);
+            std::visit([&](const auto& one) { execute(member, one); }, action);
     }
 
     // ---- The head of the chain
 
-    void carryOut(MemberProcess& member, const ProposeIntent& action) {
+    void execute(MemberProcess& member, const ProposeIntent& action) {
         const auto end = [this, &member, session = member.session,
                           attempt = action.attempt](const ProposalResult& answer) {
             at(member, session, [this, &member, attempt, answer] {
-                perform(member, member.state->onProposed(now_, replicaOf(member), kUsage, attempt, answer));
+                execute(member, member.state->onProposed(now_, replicaOf(member), kUsage, attempt, answer));
                 sendNextCall(member);
             });
         };
-        ask(member,
-            {[proposal = action.proposal](const Table& table, std::uint64_t epoch) {
-                 return decide(table, proposal, epoch);
-             },
-             {}},
-            [end](const ProposalDecision* decision) {
-                end(decision ? ProposalResult{*decision} : std::nullopt);
-            });
-    }
-    void carryOut(MemberProcess& member, const SettleIntent& action) {
-        ask(member,
-            {[settlement = action.settlement](const Table& table, std::uint64_t) {
-                 return ProposalDecision{ProposalOutcome::accepted, {}, settle(table, settlement)};
-             },
-             {}},
-            [this, &member, session = member.session,
-             attempt = action.attempt](const ProposalDecision* decision) {
-                const bool isRecorded = decision != nullptr;
-                at(member, session, [this, &member, attempt, isRecorded] {
-                    member.state->onSettled(now_, kUsage, attempt, isRecorded);
-                });
-            });
-    }
-    void ask(MemberProcess& member, HeadRequest request, std::function<void(const ProposalDecision*)> end) {
+        requestHead(member,
+                    {[proposal = action.proposal](const Table& table, std::uint64_t epoch) {
+                         return decide(table, proposal, epoch);
+                     },
+                     {}},
+                    [end](const ProposalDecision* decision) {
+                        end(decision ? ProposalResult{*decision} : std::nullopt);
+                    });
+    }
+    void execute(MemberProcess& member, const SettleIntent& action) {
+        requestHead(member,
+                    {[settlement = action.settlement](const Table& table, std::uint64_t) {
+                         return ProposalDecision{ProposalOutcome::accepted, {}, settle(table, settlement)};
+                     },
+                     {}},
+                    [this, &member, session = member.session,
+                     attempt = action.attempt](const ProposalDecision* decision) {
+                        const bool isRecorded = decision != nullptr;
+                        at(member, session, [this, &member, attempt, isRecorded] {
+                            member.state->onSettled(now_, kUsage, attempt, isRecorded);
+                        });
+                    });
+    }
+    void requestHead(MemberProcess& member, HeadRequest request,
+                     std::function<void(const ProposalDecision*)> end) {
         const auto isEnded = std::make_shared<bool>(false);
         const auto once = [isEnded, end = std::move(end)](const ProposalDecision* decision) {
             if (!std::exchange(*isEnded, true)) end(decision);
@@ -236,24 +237,24 @@
             once(nullptr);
         });
         const std::string head = views_[member.view].members.front().name;
-        if (!inControl(member) || chance(losses())) return;
-        const bool losesAnswer = chance(losses());
+        if (!inControl(member) || chance(lossProbability())) return;
+        const bool losesAnswer = chance(lossProbability());
         request.done = [this, once, losesAnswer](const ProposalDecision& decision) {
             if (!losesAnswer) after(shortDelay(), [once, decision] { once(&decision); });
         };
         after(shortDelay(), [this, head, request = std::move(request)]() mutable {
-            if (views_.back().members.front().name == head) waiting_.push_back(std::move(request));
+            if (views_.back().members.front().name == head) headRequests_.push_back(std::move(request));
         });
     }
-    double losses() const { return now_ < settings_.faultsUntil ? 0.08 : 0; }
+    double lossProbability() const { return now_ < settings_.faultsUntil ? 0.08 : 0; }
 
-    // One batch at a time; each is decided on the table of all batches before.
+    // One batch at a time; each is decided on the table after all previous batches.
     void tickHead() {
-        if (isWriting_ || waiting_.empty()) return;
+        if (isWriting_ || headRequests_.empty()) return;
         const MemberProcess& head = *memberNamed(views_.back().members.front().name);
         if (!inControl(head) || !isIn(head, views_.back()) || head.view + 1 != views_.size()) return;
-        const HeadRequest request = std::move(waiting_.front());
-        waiting_.pop_front();
+        const HeadRequest request = std::move(headRequests_.front());
+        headRequests_.pop_front();
         const ProposalDecision decision = request.decide(*versions_.back(), views_.back().epoch);
         if (decision.changes.empty()) return request.done(decision);
         isWriting_ = true;
@@ -275,10 +276,10 @@
     // ---- Views
 
     void decideView(const std::vector<MemberProcess*>& members) {
-        // A batch under way may be in the starting state of the next view.
+        // A batch in progress may be part of the next view's initial state.
         if (isWriting_ && chance(0.5)) commitBatch();
         isWriting_ = false;
-        waiting_.clear();
+        headRequests_.clear();
         replica::View view;
         view.epoch = views_.empty() ? 1 : views_.back().epoch + 1;
         for (const MemberProcess* const member : members) {
@@ -301,7 +302,7 @@
         std::vector<MemberProcess*> next;
         for (MemberProcess& member : members_)
             if (inControl(member)) next.push_back(&member);
-        const bool flaps = hasFaults && chance(flapping_) && next.size() * 2 > members_.size() + 2;
+        const bool flaps = hasFaults && chance(flapProbability_) && next.size() * 2 > members_.size() + 2;
         if (flaps) next.erase(next.begin() + static_cast<std::ptrdiff_t>(random_.below(next.size())));
         if (next.size() * 2 <= members_.size()) return;
         const bool isSame = next.size() == views_.back().members.size() &&
@@ -316,14 +317,14 @@
 
     // ---- The platform
 
-    void carryOut(MemberProcess& member, const CallPlatform& call) { member.calls.push_back(call); }
+    void execute(MemberProcess& member, const CallPlatform& call) { member.calls.push_back(call); }
     void sendNextCall(MemberProcess& member) {
         if (member.callInFlight || member.calls.empty()) return;
         const CallPlatform call = member.calls.front();
         member.calls.pop_front();
         if (!member.state->isCallAllowed(replicaOf(member), call)) return onCalled(member, call, 0);
         checkNotOutdated(member);
-        book_.onSent(call.holder, call.token);
+        platformModel_.onSent(call.holder, call.token);
         member.callInFlight = true;
         const auto isEnded = std::make_shared<bool>(false);
         const auto once = [this, &member, session = member.session, call, isEnded](int status) {
@@ -339,19 +340,19 @@
         const bool isSlow = platform_ == PlatformMode::slow;
         after(isSlow ? 1400 * random_() : shortDelay(), [this, call, once, isSlow] {
             if (platform_ == PlatformMode::tooMany && chance(0.7)) return once(429);
-            const int status = book_.onCall(now_, call.holder, call.token, call.number, call.body);
+            const int status = platformModel_.onCall(now_, call.holder, call.token, call.number, call.body);
             if (platform_ == PlatformMode::losesAnswers && chance(0.5)) return;
             after(isSlow ? 600 * random_() : shortDelay(), [once, status] { once(status); });
         });
     }
     void onCalled(MemberProcess& member, const CallPlatform& call, int status) {
-        perform(member, member.state->onCalled(now_, call.subject, call.attempt, status));
+        execute(member, member.state->onCalled(now_, call.subject, call.attempt, status));
     }
-    // A call leaves only while a majority has confirmed the view within the freshness bound.
+    // A call may be sent only while a majority has confirmed the view within the freshness bound.
     void checkNotOutdated(const MemberProcess& member) {
         const std::size_t next = member.view + 1;
-        if (next < views_.size() && now_ - decidedAt_[next] > kFreshFor + kTick)
-            book_.violate(fmt::format("{} called under an outdated view", member.name));
+        if (next < views_.size() && now_ - decidedAt_[next] > kFreshnessBound + kTick)
+            platformModel_.addViolation(fmt::format("{} called under an outdated view", member.name));
     }
 
     // ---- Gateways
@@ -370,12 +371,12 @@
     }
     void tickGateway(GatewayProcess& gateway, std::size_t tick) {
         if (now_ < gateway.deadUntil) return;
-        const Millis own = kUnixAtZero + now_ + gateway.clockOffset;
+        const Millis own = kUnixTimeAtStart + now_ + gateway.clockOffset;
         if (tick % 25 == gateway.name.back() % 25U) poll(gateway, own);
         if (gateway.serves && now_ < settings_.end - 5000) {
             const std::string tenant = fmt::format("t{}", random_.below(3));
             gateway.state->onRunStarted(now_, own, tenant);
-            ++truth_[windowAt(kUnixAtZero + now_, kWindow)][tenant];
+            ++actualCounts_[windowAt(kUnixTimeAtStart + now_, kWindow)][tenant];
         }
         if (tick % 12 != 0) return;
         auto call = gateway.state->onTimer(now_, own);
@@ -387,7 +388,7 @@
         member.state->onGatewayTime(now_, gateway.name, own);
         control::PollReply reply;
         reply.estimatedUnixTime =
-            member.state->estimatedUnixTime(now_, kUnixAtZero + now_ + member.clockOffset);
+            member.state->estimatedUnixTime(now_, kUnixTimeAtStart + now_ + member.clockOffset);
         if (const auto holder = member.state->usageHolder(views_[member.view])) {
             reply.usageAddress = holder->address;
             reply.usageTerm = holder->term;
@@ -404,13 +405,13 @@
             gateway.state->onReply(now_, reply);
         };
         after(1000, [once] { once(std::nullopt); });
-        if (chance(losses())) return;
+        if (chance(lossProbability())) return;
         after(shortDelay(), [this, call, once] {
             MemberProcess& member = *memberNamed(call.address);
             at(member, member.session, [this, &member, call, once] {
                 const control::UsageReply reply =
                     member.state->onUsage(now_, replicaOf(member), call.message);
-                if (!chance(losses())) after(shortDelay(), [once, reply] { once(reply); });
+                if (!chance(lossProbability())) after(shortDelay(), [once, reply] { once(reply); });
             });
         });
     }
@@ -421,9 +422,9 @@
         if (now_ >= settings_.faultsUntil) return heal();
         if (now_ < nextFaultAt_) return;
         nextFaultAt_ = now_ + 500 + 4000 * random_();
-        flapping_ = chance(0.3) ? 0.7 : 0.05;
+        flapProbability_ = chance(0.3) ? 0.7 : 0.05;
         ++result_.faults;
-        // Often the one that acts.
+        // Prefer the current holder.
         const replica::Member* const holder = holderOf(kUsage, views_.back());
         MemberProcess& member =
             chance(0.6) ? *memberNamed(holder->name) : members_[random_.below(members_.size())];
@@ -481,26 +482,29 @@
         for (GatewayProcess& gateway : gateways_) tickGateway(gateway, tick_);
     }
 
-    // ---- Checks of the end
+    // ---- Final checks
 
     void checkEnd() {
         result_.committedIntents = committed_.size();
         for (const std::uint64_t number : committed_)
-            if (!book_.accepted().contains(number) && now_ > windowEnd(number, kWindow) - kUnixAtZero + kLate)
-                book_.violate(fmt::format("the recorded window {} was never accepted", number));
-        const WindowNumber lastDue = windowAt(kUnixAtZero + settings_.end - kLate, kWindow) - 1;
-        if (!book_.accepted().contains(lastDue))
-            book_.violate(fmt::format("window {} was not reported: the newest is {}", lastDue,
-                                      book_.accepted().empty() ? 0 : book_.accepted().rbegin()->first));
+            if (!platformModel_.accepted().contains(number) &&
+                now_ > windowEnd(number, kWindow) - kUnixTimeAtStart + kLate)
+                platformModel_.addViolation(fmt::format("the recorded window {} was never accepted", number));
+        const WindowNumber lastDue = windowAt(kUnixTimeAtStart + settings_.end - kLate, kWindow) - 1;
+        if (!platformModel_.accepted().contains(lastDue))
+            platformModel_.addViolation(fmt::format(
+                "window {} was not reported: the newest is {}", lastDue,
+                platformModel_.accepted().empty() ? 0 : platformModel_.accepted().rbegin()->first));
         for (const Intent& intent : intentsOf(*versions_.back(), kUsage))
             if (intent.state == IntentState::open && intent.number < lastDue)
-                book_.violate(fmt::format("window {} is still open in the table", intent.number));
+                platformModel_.addViolation(
+                    fmt::format("window {} is still open in the table", intent.number));
         if (settings_.killsGateways) return;
-        for (const auto& [number, body] : book_.accepted()) checkCounts(number, body);
+        for (const auto& [number, body] : platformModel_.accepted()) checkCounts(number, body);
     }
     void checkCounts(WindowNumber number, const std::string& body) {
         const nlohmann::json counts = nlohmann::json::parse(body)["instance_counts"];
-        for (const auto& [tenant, count] : truth_[number]) {
+        for (const auto& [tenant, count] : actualCounts_[number]) {
             const double reported = counts.value(tenant, 0.0);
             if (std::abs(reported - static_cast<double>(count)) > kTolerance * static_cast<double>(count))
                 result_.countErrors.push_back(
@@ -520,14 +524,14 @@
     std::vector<Millis> decidedAt_;
     std::vector<std::size_t> startVersions_;  // of each view
     std::vector<std::shared_ptr<const Table>> versions_;
-    std::deque<HeadRequest> waiting_;
+    std::deque<HeadRequest> headRequests_;
     bool isWriting_ = false;
     std::vector<Change> batch_;
     std::set<std::uint64_t> committed_;
-    std::map<WindowNumber, TenantCounts> truth_;
-    PlatformBook book_{kLease};
+    std::map<WindowNumber, TenantCounts> actualCounts_;
+    PlatformModel platformModel_{kLease};
     PlatformMode platform_ = PlatformMode::healthy;
-    double flapping_ = 0.05;
+    double flapProbability_ = 0.05;
     Millis nextViewAt_ = 1000;
     Millis nextFaultAt_ = 6000;
     SimulationResult result_;
--- a/tests/duties/duty_variant_test.cpp
+++ b/tests/duties/duty_variant_test.cpp
@@ -1,4 +1,4 @@
-// Linked with a broken variant: the simulation must report what EXPECTED_VIOLATION says on one of its seeds.
+// Linked with a broken variant: the simulation must report the violation EXPECTED_VIOLATION on at least one seed.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,7 +18,7 @@
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
         SimulationSettings settings;
         settings.seed = seed;
-        const auto violations = simulateDuties(settings).book.violations();
+        const auto violations = simulateDuties(settings).platformModel.violations();
         const bool isFound = std::ranges::any_of(violations, [expected](const std::string& text) {
             return text.find(expected) != std::string::npos;
         });
--- a/tests/duties/platform_book.cpp
+++ b/tests/duties/platform_book.cpp
@@ -12,36 +12,38 @@
 
 }  // namespace
 
-int PlatformBook::onCall(Millis now, const std::string& holder, std::uint64_t token, std::uint64_t number,
-                         const std::string& body) {
+int PlatformModel::onCall(Millis now, const std::string& holder, std::uint64_t token, std::uint64_t number,
+                          const std::string& body) {
     if (token < highestToken_) {
         ++conflicts_;
         return kConflict;
     }
     highestToken_ = token;
-    checkTurns(now, holder);
+    checkAlternation(now, holder);
     const auto [entry, isNew] = accepted_.emplace(number, body);
-    if (!isNew) ++repeats_;
+    if (!isNew) ++duplicates_;
     if (entry->second != body)
-        violate(fmt::format("two bodies for window {}: {} and {}", number, entry->second, body));
+        addViolation(fmt::format("two bodies for window {}: {} and {}", number, entry->second, body));
     return kOk;
 }
 
-void PlatformBook::onSent(const std::string& holder, std::uint64_t token) {
-    const auto [entry, isNew] = holderOfToken_.emplace(token, holder);
+void PlatformModel::onSent(const std::string& holder, std::uint64_t token) {
+    const auto [entry, isNew] = holderByToken_.emplace(token, holder);
     if (entry->second != holder)
-        violate(fmt::format("token {} used by two holders: {} and {}", token, entry->second, holder));
+        addViolation(fmt::format("token {} used by two holders: {} and {}", token, entry->second, holder));
 }
 
-void PlatformBook::checkTurns(Millis now, const std::string& holder) {
-    if (!acts_.empty() && acts_.back().holder != holder) {
+void PlatformModel::checkAlternation(Millis now, const std::string& holder) {
+    if (!acceptedCalls_.empty() && acceptedCalls_.back().holder != holder) {
         ++holderChanges_;
-        const bool isTurn = std::ranges::any_of(
-            acts_, [&](const Act& act) { return act.holder == holder && now - act.at < leaseMs_; });
-        if (isTurn)
-            violate(fmt::format("{}, {}, {} within the lease time", holder, acts_.back().holder, holder));
+        const bool isAlternating = std::ranges::any_of(acceptedCalls_, [&](const AcceptedCall& call) {
+            return call.holder == holder && now - call.at < leaseMs_;
+        });
+        if (isAlternating)
+            addViolation(fmt::format("{}, {}, {} within the lease time", holder, acceptedCalls_.back().holder,
+                                     holder));
     }
-    acts_.push_back({now, holder});
+    acceptedCalls_.push_back({now, holder});
 }
 
 }  // namespace beechpoint::duties
--- a/tests/duties/scaling_policy_test.cpp
+++ b/tests/duties/scaling_policy_test.cpp
@@ -5,22 +5,22 @@
 namespace beechpoint::duties {
 namespace {
 
-constexpr double kCapacityOfHost = 64;
+constexpr double kHostCapacity = 64;
 constexpr Millis kStep = 500;
 const ScalingBounds kBounds{11, 34, 8000};
 
-// Two zones of one region and one of another, 17 hosts each. Orders take effect at once in `ordered`, in the hosts after the boot time.
+// Two zones in one region and one in another, with 17 hosts each. An order updates `ordered` at once and the hosts after the boot time.
 class Fleet {
 public:
     explicit Fleet(ScalingPolicy::Floor floor = ScalingPolicy::Floor::startingCount) : policy(floor) {
         for (const auto& [zone, region] : {std::pair{"a1", "a"}, {"a2", "a"}, {"b1", "b"}}) {
-            ZoneObservation seen;
-            seen.zone = zone;
-            seen.region = region;
-            zones.push_back(seen);
+            ZoneObservation observation;
+            observation.zone = zone;
+            observation.region = region;
+            zones.push_back(observation);
             serve(zone, 17);
         }
-        setUse(0.2);
+        setUtilization(0.2);
     }
 
     ZoneObservation& at(const std::string& zone) {
@@ -28,21 +28,21 @@
     }
     void serve(const std::string& zone, int count) {
         at(zone).serving = count;
-        at(zone).capacity = count * kCapacityOfHost;
+        at(zone).capacity = count * kHostCapacity;
     }
-    // Of 17 hosts in each zone.
-    void setUse(double use) {
-        for (ZoneObservation& seen : zones) seen.running = use * 17 * kCapacityOfHost;
+    // Sets the load as a share of the capacity of 17 hosts per zone.
+    void setUtilization(double utilization) {
+        for (ZoneObservation& observation : zones) observation.running = utilization * 17 * kHostCapacity;
     }
-    // The last counts wanted; each that differs is ordered.
+    // Orders each desired count that differs; returns the last desired counts.
     std::map<std::string, int> run(Millis duration) {
-        std::map<std::string, int> wanted;
+        std::map<std::string, int> desired;
         for (const Millis end = now + duration; now < end; now += kStep) {
-            wanted = policy.decide(now, kBounds, zones);
-            for (const auto& [zone, count] : wanted) order(zone, count);
-            startBooted();
+            desired = policy.decide(now, kBounds, zones);
+            for (const auto& [zone, count] : desired) order(zone, count);
+            completeBoots();
         }
-        return wanted;
+        return desired;
     }
 
     ScalingPolicy policy;
@@ -53,37 +53,37 @@
 
 private:
     void order(const std::string& zone, int count) {
-        ZoneObservation& seen = at(zone);
-        if (count == seen.ordered.value_or(seen.serving)) return;
+        ZoneObservation& observation = at(zone);
+        if (count == observation.ordered.value_or(observation.serving)) return;
         EXPECT_GE(count, kBounds.minCount);
         EXPECT_LE(count, kBounds.maxCount);
         ++orders;
         if (zone == "a1") ordersOfA1.emplace_back(now, count);
-        seen.ordered = count;
+        observation.ordered = count;
         policy.onOrdered(now, zone);
-        starts_.emplace(now + kBounds.boot, std::pair{zone, count});
+        boots_.emplace(now + kBounds.boot, std::pair{zone, count});
     }
-    void startBooted() {
-        while (!starts_.empty() && starts_.begin()->first <= now) {
-            const auto [zone, count] = starts_.begin()->second;
+    void completeBoots() {
+        while (!boots_.empty() && boots_.begin()->first <= now) {
+            const auto [zone, count] = boots_.begin()->second;
             serve(zone, count);
-            starts_.erase(starts_.begin());
+            boots_.erase(boots_.begin());
         }
     }
 
-    std::multimap<Millis, std::pair<std::string, int>> starts_;
+    std::multimap<Millis, std::pair<std::string, int>> boots_;
 };
 
 TEST(ScalingPolicy, OrdersNothingUnderSteadyLoad) {
     Fleet fleet;
-    fleet.setUse(0.5);
+    fleet.setUtilization(0.5);
     fleet.run(120'000);
     EXPECT_EQ(fleet.orders, 0);
 }
 
 TEST(ScalingPolicy, OrdersNothingWhileTheLoadIsUnknown) {
     Fleet fleet(ScalingPolicy::Floor::minCount);
-    for (ZoneObservation& seen : fleet.zones) seen.running.reset();
+    for (ZoneObservation& observation : fleet.zones) observation.running.reset();
     fleet.run(120'000);
     EXPECT_EQ(fleet.orders, 0);
 }
@@ -91,34 +91,34 @@
 TEST(ScalingPolicy, GrowsAtOnceWhenTheLoadIsHigh) {
     Fleet fleet;
     fleet.run(5000);
-    fleet.setUse(0.8);
-    const auto wanted = fleet.run(kStep);
-    EXPECT_GT(wanted.at("a1"), 17);
-    EXPECT_GT(wanted.at("a2"), 17);
+    fleet.setUtilization(0.8);
+    const auto desired = fleet.run(kStep);
+    EXPECT_GT(desired.at("a1"), 17);
+    EXPECT_GT(desired.at("a2"), 17);
 }
 
 TEST(ScalingPolicy, GrowsBeforeTheLoadIsHighWhereItRises) {
     Fleet fleet;
-    double use = 0.3;
-    while (fleet.orders == 0 && use < 0.8) {
-        fleet.setUse(use);
+    double utilization = 0.3;
+    while (fleet.orders == 0 && utilization < 0.8) {
+        fleet.setUtilization(utilization);
         fleet.run(kStep);
-        use += 0.015;
+        utilization += 0.015;
     }
-    EXPECT_LT(use, ScalingPolicy::kHighUtilization);
-    EXPECT_GT(use, 0.35);
+    EXPECT_LT(utilization, ScalingPolicy::kHighUtilization);
+    EXPECT_GT(utilization, 0.35);
 }
 
 TEST(ScalingPolicy, NeverOrdersAboveTheMaximum) {
     Fleet fleet;
-    fleet.setUse(5);
-    const auto wanted = fleet.run(60'000);
-    for (const auto& [zone, count] : wanted) EXPECT_EQ(count, kBounds.maxCount) << zone;
+    fleet.setUtilization(5);
+    const auto desired = fleet.run(60'000);
+    for (const auto& [zone, count] : desired) EXPECT_EQ(count, kBounds.maxCount) << zone;
 }
 
 TEST(ScalingPolicy, DoesNotRepeatGrowthWhileOrderedHostsBoot) {
     Fleet fleet;
-    fleet.setUse(0.7);
+    fleet.setUtilization(0.7);
     fleet.run(kStep);
     const int orders = fleet.orders;
     EXPECT_GT(orders, 0);
@@ -129,7 +129,7 @@
 TEST(ScalingPolicy, LeavesTheMinimumTimeBetweenOrdersOfAZone) {
     Fleet fleet;
     for (int step = 0; step < 20; ++step) {
-        fleet.setUse(0.7 + 0.06 * step);
+        fleet.setUtilization(0.7 + 0.06 * step);
         fleet.run(1000);
     }
     ASSERT_GT(fleet.ordersOfA1.size(), 1U);
@@ -141,7 +141,7 @@
 TEST(ScalingPolicy, DoesNotFlapUnderAnOscillatingLoad) {
     Fleet fleet(ScalingPolicy::Floor::minCount);
     for (int period = 0; period < 30; ++period) {
-        fleet.setUse(period % 2 ? 0.3 : 0.8);
+        fleet.setUtilization(period % 2 ? 0.3 : 0.8);
         fleet.run(5000);
     }
     int last = 17;
@@ -153,18 +153,18 @@
 
 TEST(ScalingPolicy, KeepsTheStartingCountHoweverLowTheLoad) {
     Fleet fleet;
-    fleet.setUse(0.01);
+    fleet.setUtilization(0.01);
     fleet.run(300'000);
     EXPECT_EQ(fleet.orders, 0);
 }
 
 TEST(ScalingPolicy, GoesBackToTheStartingCountSlowlyAfterAPeak) {
     Fleet fleet;
-    fleet.setUse(0.9);
+    fleet.setUtilization(0.9);
     fleet.run(20'000);
     const int peak = *fleet.at("a1").ordered;
     ASSERT_GT(peak, 18);
-    fleet.setUse(0.1);
+    fleet.setUtilization(0.1);
     fleet.run(ScalingPolicy::kStabilizationTime - 2 * kStep);
     EXPECT_EQ(*fleet.at("a1").ordered, peak);
     fleet.run(1000'000);
@@ -175,14 +175,15 @@
 
 TEST(ScalingPolicy, StopsAtTheMinimumWhereTheFloorIsTheMinimum) {
     Fleet fleet(ScalingPolicy::Floor::minCount);
-    fleet.setUse(0.01);
+    fleet.setUtilization(0.01);
     fleet.run(1000'000);
-    for (const ZoneObservation& seen : fleet.zones) EXPECT_EQ(seen.ordered, kBounds.minCount) << seen.zone;
+    for (const ZoneObservation& observation : fleet.zones)
+        EXPECT_EQ(observation.ordered, kBounds.minCount) << observation.zone;
 }
 
 TEST(ScalingPolicy, TakesNoHostAwayWhileAZoneIsEvacuated) {
     Fleet fleet(ScalingPolicy::Floor::minCount);
-    fleet.setUse(0.01);
+    fleet.setUtilization(0.01);
     fleet.at("a2").evacuated = true;
     fleet.run(120'000);
     EXPECT_FALSE(fleet.at("a1").ordered);
@@ -191,7 +192,7 @@
 
 TEST(ScalingPolicy, TakesNoHostAwayWhileHostsAreColdOrLeave) {
     Fleet fleet(ScalingPolicy::Floor::minCount);
-    fleet.setUse(0.01);
+    fleet.setUtilization(0.01);
     fleet.at("a1").cold = 1;
     fleet.at("b1").draining = 1;
     fleet.run(120'000);
@@ -200,51 +201,51 @@
 
 TEST(ScalingPolicy, ReplacesAnEvacuatedZoneInItsRegionFirst) {
     Fleet fleet;
-    fleet.setUse(0.4);
+    fleet.setUtilization(0.4);
     fleet.run(5000);
     fleet.at("a2").evacuated = true;
-    const auto wanted = fleet.run(kStep);
-    EXPECT_GT(wanted.at("a1"), 17);
-    EXPECT_EQ(wanted.at("a2"), 17);
-    EXPECT_EQ(wanted.at("b1"), 17);
+    const auto desired = fleet.run(kStep);
+    EXPECT_GT(desired.at("a1"), 17);
+    EXPECT_EQ(desired.at("a2"), 17);
+    EXPECT_EQ(desired.at("b1"), 17);
 }
 
 TEST(ScalingPolicy, ReplacesInAnotherRegionWhatItsOwnHasNoRoomFor) {
     Fleet fleet;
-    fleet.setUse(0.6);
+    fleet.setUtilization(0.6);
     fleet.run(5000);
     fleet.at("a2").evacuated = true;
-    for (const char* zone : {"a1", "a2"}) fleet.at(zone).running = 1.2 * 17 * kCapacityOfHost;
-    const auto wanted = fleet.run(kStep);
-    EXPECT_EQ(wanted.at("a1"), kBounds.maxCount);
-    EXPECT_GT(wanted.at("b1"), 17);
+    for (const char* zone : {"a1", "a2"}) fleet.at(zone).running = 1.2 * 17 * kHostCapacity;
+    const auto desired = fleet.run(kStep);
+    EXPECT_EQ(desired.at("a1"), kBounds.maxCount);
+    EXPECT_GT(desired.at("b1"), 17);
 }
 
 TEST(ScalingPolicy, ReplacesVanishedHostsInTheCompleteZones) {
     Fleet fleet;
-    fleet.setUse(0.45);
+    fleet.setUtilization(0.45);
     fleet.run(5000);
     fleet.serve("a2", 4);
-    const auto wanted = fleet.run(kStep);
-    EXPECT_GT(wanted.at("a1"), 17);
-    EXPECT_EQ(wanted.at("a2"), 4);
+    const auto desired = fleet.run(kStep);
+    EXPECT_GT(desired.at("a1"), 17);
+    EXPECT_EQ(desired.at("a2"), 4);
 }
 
 TEST(ScalingPolicy, NeverOrdersLessThanTheStartingCountForAZoneThatLostHosts) {
     Fleet fleet;
-    fleet.setUse(0.45);
+    fleet.setUtilization(0.45);
     fleet.run(5000);
     fleet.serve("a1", 9);
     fleet.serve("a2", 4);
-    fleet.setUse(0.9);
-    const auto wanted = fleet.run(kStep);
-    EXPECT_GE(wanted.at("a1"), 17);
-    EXPECT_GE(wanted.at("a2"), 17);
+    fleet.setUtilization(0.9);
+    const auto desired = fleet.run(kStep);
+    EXPECT_GE(desired.at("a1"), 17);
+    EXPECT_GE(desired.at("a2"), 17);
 }
 
 TEST(ScalingPolicy, OrdersNothingBelowTheMinimumWhenTheListShowsFewer) {
     Fleet fleet;
-    fleet.setUse(0.01);
+    fleet.setUtilization(0.01);
     fleet.serve("b1", 3);
     fleet.run(60'000);
     EXPECT_EQ(fleet.orders, 0);
@@ -253,13 +254,13 @@
 TEST(ScalingPolicy, BringsAnOrderBackIntoChangedBounds) {
     Fleet fleet;
     fleet.at("a1").ordered = 30;
-    const auto wanted = fleet.policy.decide(1000, {11, 20, 8000}, fleet.zones);
-    EXPECT_EQ(wanted.at("a1"), 20);
+    const auto desired = fleet.policy.decide(1000, {11, 20, 8000}, fleet.zones);
+    EXPECT_EQ(desired.at("a1"), 20);
 }
 
 TEST(ScalingPolicy, KeepsTheCountsOrderedByAnEarlierHolder) {
     Fleet fleet;
-    fleet.setUse(0.1);
+    fleet.setUtilization(0.1);
     fleet.at("a1").ordered = 25;
     fleet.serve("a1", 25);
     fleet.run(300'000);
--- a/tests/tenants/authentication_test.cpp
+++ b/tests/tenants/authentication_test.cpp
@@ -1,4 +1,4 @@
-// The table of authentication.hpp, row by row.
+// Covers each row of the table in authentication.hpp.
 #include "tenants/authentication.hpp"
 
 #include <gtest/gtest.h>
@@ -83,7 +83,7 @@
     }
 }
 
-TEST_F(AuthenticationTest, DoesNotKnowAKeyThatNobodyHolds) {
+TEST_F(AuthenticationTest, RejectsAnUnknownKey) {
     for (const Fields& fields : withAnUnknownKey) {
         const Authentication got = onClosedRoute(fields);
         EXPECT_EQ(got.outcome, Outcome::unknownKey) << ::testing::PrintToString(fields);
@@ -103,22 +103,22 @@
     EXPECT_EQ(authenticate(&after, true, {"Bearer k-1"}).outcome, Outcome::anonymous);
 }
 
-TEST_F(AuthenticationTest, KnowsNobodyInAnEmptyDirectory) {
+TEST_F(AuthenticationTest, FindsNoTenantInAnEmptyDirectory) {
     const TenantDirectory empty{{}};
     EXPECT_EQ(authenticate(&empty, false, {}).outcome, Outcome::missingKey);
     EXPECT_EQ(authenticate(&empty, false, {"Bearer k-1"}).outcome, Outcome::unknownKey);
     EXPECT_EQ(authenticate(&empty, true, {"Bearer k-1"}).outcome, Outcome::anonymous);
 }
 
-// An empty key that a configuration lists lets nobody in.
-TEST_F(AuthenticationTest, DoesNotTakeAnEmptyKey) {
+// An empty key in the configuration authenticates no request.
+TEST_F(AuthenticationTest, DoesNotAcceptAnEmptyKey) {
     const TenantDirectory odd{
         {{.name = "alder", .apiKeys = {"", " "}, .priorityClass = {}, .allowedRegions = {}}}};
     for (const Fields& fields : {Fields{}, Fields{""}, Fields{"Bearer "}, Fields{"Bearer   "}})
         EXPECT_EQ(authenticate(&odd, false, fields).outcome, Outcome::missingKey);
 }
 
-TEST_F(AuthenticationTest, IsRefusedUnlessDecided) { EXPECT_FALSE(Authentication{}.isAccepted()); }
+TEST_F(AuthenticationTest, IsRejectedByDefault) { EXPECT_FALSE(Authentication{}.isAccepted()); }
 
 TEST_F(AuthenticationTest, NamesOutcomes) {
     EXPECT_EQ(nameOf(Outcome::unrestricted), "unrestricted");
--- a/tests/tenants/tenant_directory_test.cpp
+++ b/tests/tenants/tenant_directory_test.cpp
@@ -42,7 +42,7 @@
     EXPECT_TRUE(directory.findByKey("b1")->allowedRegions.empty());
 }
 
-TEST(TenantDirectory, FindsNobodyByAKeyThatTwoTenantsHold) {
+TEST(TenantDirectory, FindsNoTenantByAKeyThatTwoTenantsList) {
     const TenantDirectory directory{
         {tenant("alder", {"both", "a1"}), tenant("birch", {"both", "b1"}), tenant("elm", {"both"})}};
     EXPECT_EQ(directory.findByKey("both"), nullptr);
@@ -50,7 +50,7 @@
     EXPECT_EQ(directory.findByKey("b1")->name, "birch");
 }
 
-TEST(TenantDirectory, TakesAKeyThatOneTenantListsTwice) {
+TEST(TenantDirectory, AcceptsAKeyThatOneTenantListsTwice) {
     const TenantDirectory directory{{tenant("alder", {"a1", "a1"})}};
     ASSERT_NE(directory.findByKey("a1"), nullptr);
     EXPECT_EQ(directory.findByKey("a1")->name, "alder");
@@ -87,7 +87,7 @@
     EXPECT_EQ(remembered, TenantDirectory::kMaxRevokedKeys - 1);
 }
 
-// A request keeps its tenant although the directory that it was found in is gone.
+// A request keeps its tenant entry after the directory has been destroyed.
 TEST(TenantDirectory, EntriesOutliveTheDirectory) {
     std::shared_ptr<const TenantEntry> entry;
     {
