--- a/tests/layout/shards_sim.hpp
+++ b/tests/layout/shards_sim.hpp
@@ -24,9 +24,9 @@
 };
 
 struct SimCounts {
-    std::uint64_t queries = 0, answered = 0, replanned = 0, refused = 0, wrong = 0, changesDone = 0,
+    std::uint64_t queries = 0, answered = 0, replanned = 0, rejected = 0, wrongAnswers = 0, changesDone = 0,
                   changesUndone = 0, epochs = 0;
-    std::string firstWrong;
+    std::string firstWrongAnswer;
 };
 
 class ShardsSim {
@@ -75,17 +75,17 @@
         LayoutPtr layout;  // the newest layout it has received
         std::map<int, int> data;
         Millis retiredSince = -1;
-        std::map<SliceId, Millis> retired;  // slices for which it is retired, and when it learned so
+        std::map<SliceId, Millis> retiredSlices;  // slices for which it is retired, and when it learned so
         std::uint64_t incarnation = 0;
     };
     struct Copy {
         std::string from, to;
         SliceId slice;
-        std::uint64_t run;
+        std::uint64_t attempt;
     };
     struct Answer {
-        bool ok = false;
-        Epoch epoch = 0, since = 0;
+        bool succeeded = false;
+        Epoch epoch = 0, completeSince = 0;
         std::map<int, int> data;
     };
 
@@ -112,10 +112,10 @@
     void schedule(Millis when, std::function<void()> action) {
         events_.emplace(std::pair{when, nextEvent_++}, std::move(action));
     }
-    void scheduleEvery(Millis gap, int, const std::function<void()>& action) {
-        schedule(now_ + gap * (0.5 + randomBelow(1000) / 1000.0), [this, gap, action] {
+    void scheduleEvery(Millis interval, int, const std::function<void()>& action) {
+        schedule(now_ + interval * (0.5 + randomBelow(1000) / 1000.0), [this, interval, action] {
             action();
-            scheduleEvery(gap, 0, action);
+            scheduleEvery(interval, 0, action);
         });
     }
     void runUntil(Millis end) {
@@ -174,9 +174,9 @@
         for (const Slice& s : layout->slices()) {
             const Holder* ownHolder = s.find(host);
             if (ownHolder && ownHolder->state == HolderState::retired)
-                h.retired.emplace(s.id, now_);
+                h.retiredSlices.emplace(s.id, now_);
             else
-                h.retired.erase(s.id);
+                h.retiredSlices.erase(s.id);
         }
         const Epoch epoch = layout->epoch();
         schedule(now_ + randomBelow(100), [this, host, epoch, incarnation = h.incarnation] {
@@ -204,13 +204,13 @@
         const std::size_t pick = static_cast<std::size_t>(randomBelow(static_cast<int>(slices.size())));
         const Slice& s = slices[pick];
         ChangeSpec spec = Split{s.id, s.first + (s.last - s.first) / 2 + 1};
-        const int action = randomBelow(6);
-        if (action < 4)
+        const int kind = randomBelow(6);
+        if (kind < 4)
             spec = Move{
                 s.id,
                 s.holders[static_cast<std::size_t>(randomBelow(static_cast<int>(s.holders.size())))].host,
                 hostName(randomBelow(kHosts))};
-        else if (action == 4 && pick + 1 < slices.size())
+        else if (kind == 4 && pick + 1 < slices.size())
             spec = Merge{s.id, slices[pick + 1].id};
         else if (slices.size() > 12)
             return;
@@ -234,30 +234,31 @@
             if (hosts_[h.host].alive && h.state != HolderState::copying) hosts_[h.host].data[key] = version;
     }
     void startCopy(const StartCopy& c) {
-        copies_[c.change] = {c.from, c.to, c.slice, ++copyRun_};
+        copies_[c.change] = {c.from, c.to, c.slice, ++copyAttempt_};
         schedule(now_ + 200 + randomBelow(1500),
-                 [this, id = c.change, run = copyRun_] { copyDone(id, run, false); });
+                 [this, id = c.change, attempt = copyAttempt_] { finishCopyPhase(id, attempt, false); });
     }
-    void copyDone(ChangeId id, std::uint64_t run, bool caughtUp) {
+    void finishCopyPhase(ChangeId id, std::uint64_t attempt, bool isCatchUp) {
         const auto found = copies_.find(id);
-        if (found == copies_.end() || found->second.run != run) return;
+        if (found == copies_.end() || found->second.attempt != attempt) return;
         const Copy copy = found->second;
         if (!hosts_[copy.from].alive || !hosts_[copy.to].alive) return;
         const Slice* slice = changes_.layout()->find(copy.slice);
         if (!slice) return;
         // Copies the current data of the source; later writes are added during catch-up.
-        if (!caughtUp || !faults_.servesTooEarly)
+        if (!isCatchUp || !faults_.servesTooEarly)
             for (const auto& [key, version] : hosts_[copy.from].data)
                 if (slice->containsHash(hashKey(keys_[static_cast<std::size_t>(key)]))) {
-                    int& ownVersion = hosts_[copy.to].data[key];
-                    ownVersion = std::max(ownVersion, version);
+                    int& targetVersion = hosts_[copy.to].data[key];
+                    targetVersion = std::max(targetVersion, version);
                 }
-        if (caughtUp)
+        if (isCatchUp)
             return reportToManager([&](LayoutActions& out) { changes_.catchUpCompleted(now_, id, out); });
         const Millis lag = 50 + randomBelow(500);  // writes during the lag arrive with catch-up
-        schedule(now_ + lag, [this, id, run] {
+        schedule(now_ + lag, [this, id, attempt] {
             reportToManager([&](LayoutActions& out) { changes_.copyCompleted(now_, id, out); });
-            schedule(now_ + 100 + randomBelow(400), [this, id, run] { copyDone(id, run, true); });
+            schedule(now_ + 100 + randomBelow(400),
+                     [this, id, attempt] { finishCopyPhase(id, attempt, true); });
         });
     }
     void killRandomHost() {
@@ -265,8 +266,8 @@
         const std::string host = hostName(randomBelow(kHosts));
         Host& h = hosts_[host];
         if (!h.alive) return;
-        for (int other = 0; other < kHosts;
-             ++other)  // one dead host at a time, since each slice has only two holders
+        // One dead host at a time, since each slice has only two holders.
+        for (int other = 0; other < kHosts; ++other)
             if (!hosts_[hostName(other)].alive) return;
         h.alive = false;
         ++h.incarnation;
@@ -279,8 +280,8 @@
     void restartHost(const std::string& host) {
         Host& h = hosts_[host];
         h.alive = true;
-        h.retired.clear();
-        std::map<int, int> fresh;
+        h.retiredSlices.clear();
+        std::map<int, int> restored;
         for (const Slice& s : changes_.layout()->slices()) {
             const Holder* ownHolder = s.find(host);
             if (!ownHolder || !ownHolder->isComplete()) continue;
@@ -290,10 +291,10 @@
                 for (const Holder& other : s.holders)
                     if (other.host != host && other.isComplete() && hosts_[other.host].alive)
                         version = std::max(version, hosts_[other.host].data[key]);
-                fresh[key] = version;
+                restored[key] = version;
             }
         }
-        h.data = std::move(fresh);
+        h.data = std::move(restored);
         reportToManager([&](LayoutActions& out) { changes_.hostReturned(now_, host, out); });
         if (changes_.layout()->epoch() > h.layout->epoch()) receiveLayout(host, changes_.layout());
     }
@@ -301,7 +302,7 @@
     // ---- queries
     struct Query {
         std::size_t gatherer;
-        std::vector<int> wanted;
+        std::vector<int> requestedKeys;
         std::map<int, int> minVersions;  // versions when the query started
         Millis deadline;
         int attempts = 0;
@@ -318,15 +319,15 @@
         const auto q = std::make_shared<Query>();
         q->gatherer = static_cast<std::size_t>(randomBelow(kGatherers));
         q->deadline = now_ + kMaxQueryDuration;
-        for (int i = 0, n = 1 + randomBelow(6); i < n; ++i) q->wanted.push_back(randomBelow(kKeys));
-        for (const int key : q->wanted) q->minVersions[key] = versions_[key];
+        for (int i = 0, n = 1 + randomBelow(6); i < n; ++i) q->requestedKeys.push_back(randomBelow(kKeys));
+        for (const int key : q->requestedKeys) q->minVersions[key] = versions_[key];
         plan(q);
     }
     void plan(const QueryPtr& q) {
         EpochTracker& tracker = trackers_[q->gatherer];
         tracker.unpin(q->pin);
         if (++q->attempts > 3 || now_ + 300 > q->deadline) {
-            ++counts_.refused;
+            ++counts_.rejected;
             return;
         }
         if (q->attempts > 1) {
@@ -335,69 +336,72 @@
                 tracker.update(changes_.layout());  // a stale answer may trigger a layout refresh
         }
         std::vector<std::string_view> keys;
-        for (const int key : q->wanted) keys.push_back(keys_[static_cast<std::size_t>(key)]);
+        for (const int key : q->requestedKeys) keys.push_back(keys_[static_cast<std::size_t>(key)]);
         q->plan = planKeys(tracker.newest(), keys);
         q->pin = tracker.pin(q->deadline);
         q->received.clear();
         q->stale = false;
         q->pendingParts = q->plan.parts.size();
-        for (const PlannedPart& part : q->plan.parts) ask(q, part.slice);
+        for (const PlannedPart& part : q->plan.parts) sendPart(q, part.slice);
     }
-    void ask(const QueryPtr& q, SliceId id) {
+    void sendPart(const QueryPtr& q, SliceId id) {
         std::vector<std::string> hosts;
         for (const Holder& h : q->plan.layout->find(id)->holders)
             if (h.isSelectable()) hosts.push_back(h.host);
         const std::string host = hosts[static_cast<std::size_t>(randomBelow(static_cast<int>(hosts.size())))];
-        const Millis back = now_ + 5 + randomBelow(randomBelow(10) == 0 ? 800 : 60);
-        schedule(back, [this, q, id, host, attempt = q->attempts] {
+        const Millis answerTime = now_ + 5 + randomBelow(randomBelow(10) == 0 ? 800 : 60);
+        schedule(answerTime, [this, q, id, host, attempt = q->attempts] {
             if (q->attempts != attempt) return;
-            Answer a = answerOf(host, *q->plan.layout->find(id), q->plan.layout->epoch(), q->wanted);
+            Answer a = makeAnswer(host, *q->plan.layout->find(id), q->plan.layout->epoch(), q->requestedKeys);
             onAnswer(q, id, host, a);
         });
     }
     // A host answers only for slices that it holds complete in its own layout, and reports that epoch.
-    Answer answerOf(const std::string& host, const Slice& asked, Epoch planned,
-                    const std::vector<int>& wanted) {
+    Answer makeAnswer(const std::string& host, const Slice& slice, Epoch planned,
+                      const std::vector<int>& requestedKeys) {
         Host& h = hosts_[host];
         Answer a;
         if (!h.alive) return a;
         a.epoch = h.layout->epoch();
-        const Slice* ownVersion = h.layout->find(asked.id);
+        const Slice* ownSlice = h.layout->find(slice.id);
         if (!faults_.acceptsStaleAnswers) {
-            if (!ownVersion) return a;
-            const Holder* ownHolder = ownVersion->find(host);
+            if (!ownSlice) return a;
+            const Holder* ownHolder = ownSlice->find(host);
             if (!ownHolder || !ownHolder->isComplete()) return a;
-            a.since = ownHolder->completeSince;
-            const auto retired = h.retired.find(asked.id);
-            if (retired != h.retired.end() &&
+            a.completeSince = ownHolder->completeSince;
+            const auto retired = h.retiredSlices.find(slice.id);
+            if (retired != h.retiredSlices.end() &&
                 (planned >= h.layout->epoch() || now_ >= retired->second + kMaxQueryDuration))
                 return a;
         }
-        a.ok = true;
-        for (const int key : wanted)
-            if (asked.containsHash(hashKey(keys_[static_cast<std::size_t>(key)])))
+        a.succeeded = true;
+        for (const int key : requestedKeys)
+            if (slice.containsHash(hashKey(keys_[static_cast<std::size_t>(key)])))
                 a.data[key] = h.data.contains(key) ? h.data[key] : 0;
         return a;
     }
     void onAnswer(const QueryPtr& q, SliceId id, const std::string& host, const Answer& a) {
         const bool isAccepted =
-            faults_.acceptsStaleAnswers ? a.ok : a.ok && q->plan.acceptsAnswer(id, host, a.epoch, a.since);
+            faults_.acceptsStaleAnswers
+                ? a.succeeded
+                : a.succeeded && q->plan.acceptsAnswer(id, host, a.epoch, a.completeSince);
         if (!isAccepted) q->stale = true;
         for (const auto& [key, version] : a.data) q->received[key] = version;
         if (--q->pendingParts > 0) return;
         if (q->stale) return plan(q);  // replan the whole query on the newest layout
         trackers_[q->gatherer].unpin(q->pin);
         ++counts_.answered;
-        for (const int key : q->wanted) {
+        for (const int key : q->requestedKeys) {
             const bool isCorrect = q->received.contains(key) && q->received[key] >= q->minVersions[key] &&
                                    q->received[key] <= versions_[key];
             if (isCorrect) continue;
-            ++counts_.wrong;
-            if (counts_.firstWrong.empty())
-                counts_.firstWrong = "key c" + std::to_string(key) + ": version " +
-                                     std::to_string(q->received.contains(key) ? q->received[key] : -1) +
-                                     ", minimum " + std::to_string(q->minVersions[key]) + ", plan of epoch " +
-                                     std::to_string(q->plan.layout->epoch()) + ", at " + std::to_string(now_);
+            ++counts_.wrongAnswers;
+            if (counts_.firstWrongAnswer.empty())
+                counts_.firstWrongAnswer = "key c" + std::to_string(key) + ": version " +
+                                           std::to_string(q->received.contains(key) ? q->received[key] : -1) +
+                                           ", minimum " + std::to_string(q->minVersions[key]) +
+                                           ", plan of epoch " + std::to_string(q->plan.layout->epoch()) +
+                                           ", at " + std::to_string(now_);
             break;
         }
     }
@@ -405,7 +409,7 @@
     std::mt19937_64 random_;
     SimFaults faults_;
     Millis now_ = 0;
-    std::uint64_t nextEvent_ = 0, copyRun_ = 0;
+    std::uint64_t nextEvent_ = 0, copyAttempt_ = 0;
     bool faultsActive_ = false;
     std::map<std::pair<Millis, std::uint64_t>, std::function<void()>> events_;
     std::vector<std::string> keys_;
--- a/tests/layout/store_test.cpp
+++ b/tests/layout/store_test.cpp
@@ -35,7 +35,7 @@
 
 // A completed move, a split, an aborted move and a move whose target dies, with the time of each step.
 const std::vector<std::pair<Millis, std::function<LayoutStep(const ChangeManager&)>>>& scenarioSteps() {
-    const auto confirmed = [](const char* host) {
+    const auto confirm = [](const char* host) {
         return [host](const ChangeManager& c) {
             return LayoutStep(EpochConfirmedStep{host, c.layout()->epoch()});
         };
@@ -45,12 +45,12 @@
         {100, always(BeginStep{Move{1, "a", "c"}})},
         {200, always(CopyCompletedStep{1})},
         {300, always(CatchUpCompletedStep{1})},
-        {400, confirmed("c")},
-        {500, confirmed("a")},
+        {400, confirm("c")},
+        {500, confirm("a")},
         {600, [](const ChangeManager& c) { return LayoutStep(EpochReleasedStep{c.layout()->epoch()}); }},
         {700, always(BeginStep{Split{2, 5000}})},
-        {800, confirmed("a")},
-        {900, confirmed("b")},
+        {800, confirm("a")},
+        {900, confirm("b")},
         {1000, always(BeginStep{Move{1, "b", "d"}})},
         {1100, always(CopyCompletedStep{3})},
         {1200, always(AbortStep{3})},
@@ -63,7 +63,7 @@
 
 TEST(Store, RestoresItsStateAfterEveryStep) {
     TemporaryDirectory directory;
-    for (std::size_t upTo = 0; upTo <= scenarioSteps().size(); ++upTo) {
+    for (std::size_t stepCount = 0; stepCount <= scenarioSteps().size(); ++stepCount) {
         std::filesystem::remove_all(directory.file());
         std::filesystem::remove_all(directory.file() + "-wal");
         std::filesystem::remove_all(directory.file() + "-shm");
@@ -78,15 +78,15 @@
         };
         {
             LayoutStore store(directory.file(), "one", 1, 0, initialLayout());
-            for (std::size_t i = 0; i < upTo; ++i)
+            for (std::size_t i = 0; i < stepCount; ++i)
                 store.step(scenarioSteps()[i].first, scenarioSteps()[i].second(store.changes()));
             layout = serializeLayout(*store.changes().layout());
             changes = summary(store.changes());
         }
-        LayoutStore again(directory.file(), "two", 2, 40'000, initialLayout());
-        EXPECT_EQ(serializeLayout(*again.changes().layout()), layout) << upTo;
-        EXPECT_EQ(summary(again.changes()), changes) << upTo;
-        EXPECT_EQ(again.fencingToken(), 2U);
+        LayoutStore reopened(directory.file(), "two", 2, 40'000, initialLayout());
+        EXPECT_EQ(serializeLayout(*reopened.changes().layout()), layout) << stepCount;
+        EXPECT_EQ(summary(reopened.changes()), changes) << stepCount;
+        EXPECT_EQ(reopened.fencingToken(), 2U);
     }
 }
 
@@ -110,8 +110,8 @@
     TemporaryDirectory directory;
     LayoutStore one(directory.file(), "g1", f1, 1'000, initialLayout());
     one.step(2'000, BeginStep{Move{1, "a", "c"}});
-    EXPECT_THROW(LayoutStore(directory.file(), "g2", f1, 2'000, initialLayout()),
-                 LeaseLost);                             // same token, different controller
+    // Same token, different controller.
+    EXPECT_THROW(LayoutStore(directory.file(), "g2", f1, 2'000, initialLayout()), LeaseLost);
     commit(lease_sessions::Operation::close, "g1", s1);  // g1 is paused and its session has expired
     commit(lease_sessions::Operation::grant, "g2", s2);
     const std::uint64_t f2 = table.singletonRole("layout")->fencingToken;
@@ -119,10 +119,9 @@
     LayoutStore two(directory.file(), "g2", f2, 9'001, initialLayout());
     EXPECT_EQ(two.changes().activeCount(), 1U);
     const auto epoch = one.changes().layout()->epoch();
-    EXPECT_THROW(one.step(9'100, CopyCompletedStep{1}),
-                 LeaseLost);  // g1 resumes with an outdated token
-    EXPECT_THROW(LayoutStore(directory.file(), "g1", f1, 9'150, initialLayout()),
-                 LeaseLost);  // reopening does not help
+    // g1 resumes with an outdated token; reopening does not help.
+    EXPECT_THROW(one.step(9'100, CopyCompletedStep{1}), LeaseLost);
+    EXPECT_THROW(LayoutStore(directory.file(), "g1", f1, 9'150, initialLayout()), LeaseLost);
     EXPECT_EQ(one.changes().layout()->epoch(), epoch);
     EXPECT_FALSE(two.step(9'200, CopyCompletedStep{1}).empty());
 }
@@ -187,15 +186,15 @@
         ::_exit(0);
     }
     ::close(pipeEnds[1]);
-    std::string all;
+    std::string output;
     char buffer[4096];
-    for (ssize_t got; (got = ::read(pipeEnds[0], buffer, sizeof buffer)) > 0;)
-        all.append(buffer, static_cast<std::size_t>(got));
+    for (ssize_t count; (count = ::read(pipeEnds[0], buffer, sizeof buffer)) > 0;)
+        output.append(buffer, static_cast<std::size_t>(count));
     ::close(pipeEnds[0]);
     int status = 0;
     ::waitpid(pid, &status, 0);
-    for (std::size_t at = 0, end; (end = all.find('\n', at)) != std::string::npos; at = end + 1) {
-        const std::string text = all.substr(at, end - at);
+    for (std::size_t at = 0, end; (end = output.find('\n', at)) != std::string::npos; at = end + 1) {
+        const std::string text = output.substr(at, end - at);
         published[parseLayout(text)->epoch()] = text;
     }
     return WIFSIGNALED(status) ? WTERMSIG(status) : WEXITSTATUS(status) == 0 ? -1 : 0;
@@ -211,17 +210,17 @@
         ASSERT_EQ(outcome, SIGKILL);
         ++points;
         LayoutStore store(directory.file(), "next", 2, 60'000, initialLayout());  // a new grant of the duty
-        const LayoutPtr now = store.changes().layout();
+        const LayoutPtr recovered = store.changes().layout();
         // Every published epoch is persisted, and no epoch number stands for two layouts.
         if (!published.empty()) {
-            ASSERT_LE(published.rbegin()->first, now->epoch()) << n;
-            if (published.contains(now->epoch())) {
-                ASSERT_EQ(published.at(now->epoch()), serializeLayout(*now)) << n;
+            ASSERT_LE(published.rbegin()->first, recovered->epoch()) << n;
+            if (published.contains(recovered->epoch())) {
+                ASSERT_EQ(published.at(recovered->epoch()), serializeLayout(*recovered)) << n;
             }
         }
         resumed += store.changes().activeCount() > 0 ? 1 : 0;
         // Every change in progress ends, done or undone, by its timeouts.
-        Epoch last = now->epoch();
+        Epoch last = recovered->epoch();
         const auto checkEpochs = [&](const LayoutActions& out) {  // epochs are consecutive
             for (const LayoutAction& a : out)
                 if (const auto* p = std::get_if<Publish>(&a)) {
