--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -83,7 +83,7 @@
         settings_.seedNodes = std::move(settings.seedNodes);
         settings_.timingBounds = settings.timingBounds;
         settings_.faultTolerance = settings.faultTolerance;
-        directory_.ttl(directoryTtlSecondsOf(settings_));
+        directory_.setTtl(directoryTtlSecondsOf(settings_));
         logger_.info("the settings were reloaded");
     }
 
@@ -110,7 +110,7 @@
     }
 
     const replica::Replica* replica() const { return driver_.replica(); }
-    bool readsHosts() const { return gateways_.readsHosts(); }
+    bool readsHostList() const { return gateways_.readsHostList(); }
     std::size_t pendingLongPolls() const { return gateways_.pendingLongPolls(); }
 
 private:
@@ -124,7 +124,7 @@
     // ---- Requests
 
     Result<void> listenInternally() {
-        // A start that is tried again may find it listening.
+        // A retried start may find it already listening.
         if (server_.port() != 0) return boost::outcome_v2::success();
         return server_.listen(internalAddressOf(settings_));
     }
@@ -151,7 +151,7 @@
     }
 
     void answerReadiness(const std::shared_ptr<net::HttpConnection>& connection) const {
-        const bool ready = phase_ == Phase::serving && driver_.replica() && driver_.replica()->inView();
+        const bool ready = phase_ == Phase::serving && driver_.replica() && driver_.replica()->isInView();
         if (ready)
             connection->respond(kOk, kJson, R"({"ready":true})");
         else
@@ -187,13 +187,13 @@
     }
 
     void onTableChanged() {
-        gateways_.onTableMoved();
+        gateways_.onTableChanged();
         operatorApi_.onReplicaChanged();
         duties_.onReplicaChanged();
     }
 
     void onViewChanged() {
-        gateways_.onView();
+        gateways_.onViewChanged();
         operatorApi_.onReplicaChanged();
         duties_.onReplicaChanged();
     }
@@ -231,8 +231,8 @@
 
     // ---- Graceful shutdown
 
-    // First the operators' calls that have begun are answered, then the others are asked for a view without this member. It goes on as
-    // a member until that view is installed, so that no replica and no voter is missing in between.
+    // First the operators' calls in progress are answered, then the other members are asked for a view without this member. It stays a
+    // member until that view is installed, so that no replica and no voter is missing meanwhile.
     bool drained() {
         if (clock_.now() >= drainDeadline_) return true;
         const bool callsFinished = operatorApi_.pendingCalls() == 0;
@@ -281,7 +281,7 @@
 void Control::reload(settings::ProcessSettings settings) { impl_->reload(std::move(settings)); }
 void Control::stop(std::function<void()> done) { impl_->stop(std::move(done)); }
 const replica::Replica* Control::replica() const { return impl_->replica(); }
-bool Control::readsHosts() const { return impl_->readsHosts(); }
+bool Control::readsHostList() const { return impl_->readsHostList(); }
 std::size_t Control::pendingLongPolls() const { return impl_->pendingLongPolls(); }
 
 }  // namespace beechpoint::control
--- a/src/control/duty_service.cpp
+++ b/src/control/duty_service.cpp
@@ -59,7 +59,7 @@
     }
 
     void completeReply(PollReply& reply) const {
-        reply.trueTime = state_.trueTime(clock_.now(), ownTime());
+        reply.estimatedUnixTime = state_.estimatedUnixTime(clock_.now(), ownTime());
         if (!driver_.replica()) return;
         const auto holder = state_.usageHolder(driver_.replica()->view());
         if (!holder) return;
@@ -96,11 +96,11 @@
 private:
     Millis ownTime() const { return clock_.toUnix(clock_.now()); }
 
-    DutyReplica replica() const {
-        DutyReplica state;
+    DutyReplicaState replica() const {
+        DutyReplicaState state;
         const replica::Replica* const replica = driver_.replica();
         if (!replica) return state;
-        state.fresh = replica->inView() && replica->fresh(clock_.now());
+        state.fresh = replica->isInView() && replica->isFresh(clock_.now());
         state.view = replica->view();
         state.table = replica->committedSnapshot();
         return state;
@@ -152,7 +152,7 @@
     }
 
     void onProposed(const duties::Subject& subject, std::uint64_t attempt, const ProposalReply& reply) {
-        duties::ProposalAnswer answer;
+        duties::ProposalResult answer;
         if (reply.answered) answer = duties::ProposalDecision{reply.outcome, reply.intent, {}};
         perform(state_.onProposed(clock_.now(), replica(), subject, attempt, answer));
     }
@@ -175,8 +175,8 @@
         if (callInFlight_ || calls_.empty() || now < nextCallAt_) return;
         const duties::CallPlatform call = std::move(calls_.front());
         calls_.pop_front();
-        // The process may have stood still since the call was decided on.
-        if (!state_.mayCall(replica(), call))
+        // The process may have been suspended since the call was decided.
+        if (!state_.isCallAllowed(replica(), call))
             return onCalled(call, kNotCalled, "not fresh, or not the holder");
         callInFlight_ = true;
         nextCallAt_ = now + callSpacing();
@@ -204,13 +204,13 @@
     const Clock& clock_;
     Logger& logger_;
     ReplicaDriver& driver_;
-    rpc::Client client_;  // of its own: a call that times out closes the connection for all others
+    rpc::Client client_;  // separate: a call that times out closes the connection for all other calls
     host_discovery::PlatformClient platform_;
     double callsPerSecond_;
     DutyServiceState state_;
     std::shared_ptr<IntentWriter> writer_;
     LiveGateways liveGateways_;
-    std::deque<duties::CallPlatform> calls_;  // at most one a subject
+    std::deque<duties::CallPlatform> calls_;  // at most one per subject
     bool callInFlight_ = false;
     Millis nextCallAt_ = 0;
 };
--- a/src/control/duty_service_state.cpp
+++ b/src/control/duty_service_state.cpp
@@ -14,7 +14,7 @@
 
 const Subject kUsage{duties::Duty::usage, "", ""};
 
-// Of the time until a report is due: the rest is for recording and sending it.
+// Share of the report deadline for collecting counts; the rest is for recording and sending the report.
 constexpr double kGatherShare = 0.7;
 
 std::string usageBody(const duties::WindowCounts& window) {
@@ -24,8 +24,8 @@
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// Where either has no identity yet, nothing speaks against the other.
-bool isOfOtherCluster(const DutyReplica& replica, const UsageMessage& message) {
+// A cluster id of 0 on either side means unknown and matches any cluster.
+bool isOfOtherCluster(const DutyReplicaState& replica, const UsageMessage& message) {
     const std::uint64_t own = replica.table ? configuration::clusterId(*replica.table) : 0;
     return own != 0 && message.clusterId != 0 && own != message.clusterId;
 }
@@ -40,7 +40,7 @@
 
 DutyServiceState::DutyServiceState(Settings settings)
     : settings_(std::move(settings)),
-      collector_(std::max(settings_.usageWindow, 1.0), kGatherShare * settings_.usageLate) {
+      collector_(std::max(settings_.usageWindow, 1.0), kGatherShare * settings_.usageReportDeadline) {
     if (settings_.usageWindow <= 0) return;
     held_.emplace(kUsage, Held{duties::DutyRunner{kUsage, settings_.takeoverDelay, settings_.seed}});
 }
@@ -51,7 +51,8 @@
     if (unixTime > 0) trueTime_.report(now, gateway, unixTime);
 }
 
-UsageReply DutyServiceState::onUsage(Millis now, const DutyReplica& replica, const UsageMessage& message) {
+UsageReply DutyServiceState::onUsage(Millis now, const DutyReplicaState& replica,
+                                     const UsageMessage& message) {
     UsageReply reply;
     const bool isHolder = settings_.usageWindow > 0 && holds(replica, kUsage);
     if (!isHolder || isOfOtherCluster(replica, message)) return reply;
@@ -66,25 +67,25 @@
 
 // ---- Time
 
-std::vector<DutyAction> DutyServiceState::step(Millis now, Millis ownTime, const DutyReplica& replica,
+std::vector<DutyAction> DutyServiceState::step(Millis now, Millis ownTime, const DutyReplicaState& replica,
                                                const LiveGateways& gateways) {
     std::vector<DutyAction> actions;
     followTerm(now, replica);
     forgetRecordedUsage(replica);
     for (auto& entry : held_) {
         Held& held = entry.second;
-        const duties::DutySituation situation = situationOf(now, replica, held);
+        const duties::DutyContext situation = situationOf(now, replica, held);
         std::optional<duties::DutyWork> work;
-        if (held.runner.wantsWork(now, situation))
+        if (held.runner.needsWork(now, situation))
             work = usageWork(now, ownTime, held.runner, replica, gateways);
         if (auto action = held.runner.step(now, situation, work)) actions.push_back(std::move(*action));
     }
     return actions;
 }
 
-std::vector<DutyAction> DutyServiceState::onProposed(Millis now, const DutyReplica& replica,
+std::vector<DutyAction> DutyServiceState::onProposed(Millis now, const DutyReplicaState& replica,
                                                      const Subject& subject, std::uint64_t attempt,
-                                                     const duties::ProposalAnswer& answer) {
+                                                     const duties::ProposalResult& answer) {
     Held* const held = find(subject);
     if (!held) return {};
     return asList(held->runner.onProposed(now, situationOf(now, replica, *held), attempt, answer));
@@ -100,11 +101,12 @@
     if (Held* const held = find(subject)) held->runner.onSettled(now, attempt, recorded);
 }
 
-bool DutyServiceState::mayCall(const DutyReplica& replica, const duties::CallPlatform& call) const {
+bool DutyServiceState::isCallAllowed(const DutyReplicaState& replica,
+                                     const duties::CallPlatform& call) const {
     return replica.fresh && replica.view.epoch == call.token && holds(replica, call.subject);
 }
 
-// ---- What the operators and gateways are told
+// ---- Status for operators and gateways
 
 std::optional<UsageHolder> DutyServiceState::usageHolder(const replica::View& view) const {
     if (settings_.usageWindow <= 0) return std::nullopt;
@@ -113,7 +115,7 @@
     return UsageHolder{holder->internalAddress, view.epoch};
 }
 
-std::vector<DutyStatus> DutyServiceState::status(const DutyReplica& replica) const {
+std::vector<DutyStatus> DutyServiceState::status(const DutyReplicaState& replica) const {
     std::vector<DutyStatus> all;
     for (const auto& entry : held_) {
         const Subject& subject = entry.first;
@@ -125,7 +127,7 @@
         status.token = replica.view.epoch;
         status.heldHere = holds(replica, subject);
         status.lastStatus = held.runner.lastStatus();
-        status.calls = held.runner.calls();
+        status.calls = held.runner.callCount();
         const auto intents =
             replica.table ? duties::intentsOf(*replica.table, subject) : std::vector<duties::Intent>{};
         status.openIntents = static_cast<std::size_t>(
@@ -141,22 +143,22 @@
 
 // ---- Parts
 
-bool DutyServiceState::holds(const DutyReplica& replica, const Subject& subject) const {
+bool DutyServiceState::holds(const DutyReplicaState& replica, const Subject& subject) const {
     const replica::Member* const holder = duties::holderOf(subject, replica.view);
     return holder && holder->name == settings_.member;
 }
 
-duties::DutySituation DutyServiceState::situationOf(Millis now, const DutyReplica& replica,
-                                                    Held& held) const {
-    duties::DutySituation situation;
-    situation.holds = holds(replica, held.runner.subject());
-    // In a view between two that are known here, another member may have held it.
+duties::DutyContext DutyServiceState::situationOf(Millis now, const DutyReplicaState& replica,
+                                                  Held& held) const {
+    duties::DutyContext situation;
+    situation.isHolder = holds(replica, held.runner.subject());
+    // If a view was missed in between, another member may have held the duty meanwhile.
     const bool missedView = replica.view.epoch > held.epoch + 1;
-    if (!situation.holds || missedView) held.since.reset();
+    if (!situation.isHolder || missedView) held.since.reset();
     held.epoch = replica.view.epoch;
-    if (situation.holds && !held.since) held.since = now;
+    if (situation.isHolder && !held.since) held.since = now;
     situation.fresh = replica.fresh && !draining_;
-    situation.holdsSince = held.since.value_or(now);
+    situation.holderSince = held.since.value_or(now);
     situation.epoch = replica.view.epoch;
     situation.member = settings_.member;
     situation.table = replica.table.get();
@@ -165,27 +167,27 @@
 
 std::optional<duties::DutyWork> DutyServiceState::usageWork(Millis now, Millis ownTime,
                                                             const duties::DutyRunner& runner,
-                                                            const DutyReplica& replica,
+                                                            const DutyReplicaState& replica,
                                                             const LiveGateways& gateways) const {
     const auto live = gateways();
-    // A window far ahead, once recorded, would keep all before it from being reported.
-    if (!trueTime_.confirmed(now, live.size())) return std::nullopt;
-    const auto window = collector_.next(runner.newestNumber(*replica.table), trueTime_.at(now, ownTime),
-                                        now - collectingSince_, live);
+    // Recording a window far in the future would prevent all earlier windows from being reported.
+    if (!trueTime_.isConfirmed(now, live.size())) return std::nullopt;
+    const auto window = collector_.nextWindow(runner.newestNumber(*replica.table),
+                                              trueTime_.estimate(now, ownTime), now - collectingSince_, live);
     if (!window) return std::nullopt;
     return duties::DutyWork{window->window, usageBody(*window)};
 }
 
-// A report holds what the holder of its term lacks: it covers a window only together with that term's other reports to this process.
-void DutyServiceState::followTerm(Millis now, const DutyReplica& replica) {
+// Reports are incremental within a term: they cover a window only together with the other reports of that term to this process.
+void DutyServiceState::followTerm(Millis now, const DutyReplicaState& replica) {
     if (!holds(replica, kUsage)) collector_.clear();
     if (replica.view.epoch == collectedTerm_) return;
-    collector_.forgetCoverage();
+    collector_.resetCoverage();
     collectedTerm_ = replica.view.epoch;
     collectingSince_ = now;
 }
 
-void DutyServiceState::forgetRecordedUsage(const DutyReplica& replica) {
+void DutyServiceState::forgetRecordedUsage(const DutyReplicaState& replica) {
     if (!replica.table || replica.table == readTable_) return;
     readTable_ = replica.table;
     const auto intents = duties::intentsOf(*replica.table, kUsage);
--- a/src/control/gateway_service_state.cpp
+++ b/src/control/gateway_service_state.cpp
@@ -33,12 +33,12 @@
         return actions;
     }
     if (isOfOtherCluster(table, request.clusterId)) {
-        refuse(nullptr, ticket, PollStatus::otherCluster, actions);
+        refuse(nullptr, ticket, PollStatus::clusterMismatch, actions);
         return actions;
     }
     const Renewal renewal = renewLease(now, request.gateway);
     if (renewal == Renewal::refused) {
-        refuse(table, ticket, PollStatus::full, actions);
+        refuse(table, ticket, PollStatus::leaseTableFull, actions);
         return actions;
     }
     if (renewal == Renewal::changed) {
@@ -65,7 +65,7 @@
     const bool isNewList = hosts_.onPeerUpdate(now, peerUpdate);
     reply.hostListVersion = hosts_.version();
     peerUpdates_.onPeerHostList(table, peerUpdate.member, peerUpdate.hostListVersion);
-    count_.observe(now, leases_.largestLive(now));
+    count_.observe(now, leases_.peakLiveCount(now));
     actions.gatewaysChanged = true;
     if (isNewList) answerAnswerable(now, table, 0, actions);
     return actions;
@@ -76,13 +76,13 @@
     peerUpdates_.onReply(member, reply);
 }
 
-ServiceActions GatewayServiceState::onTableMoved(Millis now, const CommittedTableSource* table) {
+ServiceActions GatewayServiceState::onTableChanged(Millis now, const CommittedTableSource* table) {
     ServiceActions actions;
     answerAnswerable(now, table, 0, actions);
     return actions;
 }
 
-void GatewayServiceState::onView(Millis now, const CommittedTableSource* table) {
+void GatewayServiceState::onViewChanged(Millis now, const CommittedTableSource* table) {
     const auto isMember = [&](const std::string& name) { return table && table->view().find(name); };
     peerUpdates_.forgetMembersExcept(isMember);
     hosts_.forgetMembersExcept(isMember);
@@ -90,9 +90,9 @@
     peerUpdates_.requestUpdate();
 }
 
-ServiceActions GatewayServiceState::onHosts(Millis now, const CommittedTableSource* table,
-                                            std::shared_ptr<const host_discovery::HostList> list,
-                                            Millis confirmedAt) {
+ServiceActions GatewayServiceState::onHostList(Millis now, const CommittedTableSource* table,
+                                               std::shared_ptr<const host_discovery::HostList> list,
+                                               Millis confirmedAt) {
     ServiceActions actions;
     if (!hosts_.offer(now, std::move(list), confirmedAt)) return actions;
     if (hosts_.reads()) actions.peerUpdates = peerUpdates_.updateAll(now, table);
@@ -103,10 +103,10 @@
 ServiceActions GatewayServiceState::tick(Millis now, const CommittedTableSource* table) {
     ServiceActions actions;
     leases_.advanceTo(now);
-    const auto largestLive = leases_.largestLive(now);
-    count_.observe(now, largestLive);
+    const auto maxLiveGateways = leases_.peakLiveCount(now);
+    count_.observe(now, maxLiveGateways);
     updateReaderRole(now, table);
-    if (count_.shouldAnnounce(now, largestLive)) answerAll(now, table, polls_.takeAll(), actions);
+    if (count_.shouldAnnounce(now, maxLiveGateways)) answerAll(now, table, polls_.takeAll(), actions);
     answerAnswerable(now, table, kServiceTick, actions);
     actions.peerUpdates = peerUpdates_.onTick(now, table);
     return actions;
@@ -128,7 +128,7 @@
     if (!leases_.renew(now, gateway)) return Renewal::refused;
     responder_.onRenewal(gateway);
     if (!isChanged) return Renewal::unchanged;
-    count_.observe(now, leases_.largestLive(now));
+    count_.observe(now, leases_.peakLiveCount(now));
     return Renewal::changed;
 }
 
@@ -148,7 +148,7 @@
     return updatePosition_ > request.position || hosts_.hasUpdateFor(request);
 }
 
-// Batches of duties' intents don't end the gateways' long polls.
+// Batches that contain only duty intents do not complete the gateways' long polls.
 void GatewayServiceState::noteTableChanges(const CommittedTableSource& table) {
     const Position committed = table.committedPosition();
     if (committed == checkedPosition_) return;
@@ -159,7 +159,7 @@
     if (update) checkedPosition_ = committed;
 }
 
-// Where either of the two has no identity yet, nothing speaks against the other.
+// A cluster id of 0 on either side means unknown and matches any cluster.
 bool GatewayServiceState::isOfOtherCluster(const CommittedTableSource* table, std::uint64_t clusterId) const {
     if (!table || clusterId == 0) return false;
     const std::uint64_t own = table->clusterId();
@@ -171,8 +171,8 @@
     actions.answers.push_back({ticket, responder_.refusal(table, status)});
 }
 
-// A gateway that polls again no longer waits for its earlier poll. That one is answered all the same, since a call that times out costs the
-// gateway its connection.
+// A gateway that polls again no longer waits for its earlier poll. The earlier poll is still answered, because a call that times out closes
+// the gateway's connection.
 void GatewayServiceState::answerSuperseded(Millis now, const CommittedTableSource* table,
                                            const std::string& gateway, ServiceActions& actions) {
     const auto poll = polls_.take(gateway);
--- a/src/control/host_list_distributor.cpp
+++ b/src/control/host_list_distributor.cpp
@@ -8,7 +8,7 @@
 namespace beechpoint::control {
 namespace {
 
-// A list that is not newer than the gateway's (another reader's) is sent only where it was confirmed within so long.
+// A list that is not newer than the gateway's (from another reader) is sent only if it was confirmed within this time.
 constexpr Millis kFreshlyConfirmed = 1500;
 constexpr std::size_t kMaxPackedBases = 64;
 
@@ -67,7 +67,7 @@
     peerUpdate.hostListVersion = version();
     peerUpdate.hostListAge = age(now);
     const bool isConfirmed = peerUpdate.hostListAge && *peerUpdate.hostListAge < kReaderReportExpiry;
-    peerUpdate.readsHosts = role_.reads() && role_.succeeds() && isConfirmed;
+    peerUpdate.readsHostList = role_.reads() && role_.succeeds() && isConfirmed;
 }
 
 bool HostListDistributor::needsUpdate(Millis now, const host_discovery::HostListVersion& held) const {
--- a/src/control/intent_writer.cpp
+++ b/src/control/intent_writer.cpp
@@ -24,17 +24,17 @@
     proceed();
 }
 
-// A write that has begun leaves the replica not writable until it ends.
+// A write in progress makes the replica not writable until it completes.
 void IntentWriter::proceed() {
     endOverdue();
-    while (!waiting_.empty() && driver_.replica() && driver_.replica()->writable() && membersRespond()) {
+    while (!waiting_.empty() && driver_.replica() && driver_.replica()->isWritable() && membersRespond()) {
         Waiting next = std::move(waiting_.front());
         waiting_.pop_front();
         std::visit([this](auto& request) { write(request); }, next.request);
     }
 }
 
-// A batch that waits for a lost member would keep the others from answering polls until the view has changed.
+// A batch that waits for a failed member would prevent the others from answering polls until the view changes.
 bool IntentWriter::membersRespond() const {
     const replica::Replica& replica = *driver_.replica();
     return std::ranges::all_of(replica.view().members, [&](const replica::Member& member) {
--- a/src/control/peer_updates.cpp
+++ b/src/control/peer_updates.cpp
@@ -30,7 +30,7 @@
 }
 
 std::vector<PeerUpdateCall> PeerUpdates::onTick(Millis now, const CommittedTableSource* table) {
-    // Half a tick early rather than half a tick late.
+    // Tolerates half a tick, so that an update is sent early rather than a whole tick late.
     const bool intervalOver = now - lastUpdateAt_ >= kPeerUpdateInterval - kServiceTick / 2;
     if (!updateRequested_ && !intervalOver) return {};
     return updateAll(now, table);
@@ -54,7 +54,7 @@
         return;
     }
     for (const std::uint64_t id : reply->unknownLeases) peer.knownLeases.erase(id);
-    // A lease that the peer does not know is sent again, in full: what was granted since the update before is not acknowledged yet.
+    // Unknown leases are sent again in full, so the grants since the previous update are not acknowledged yet.
     if (reply->unknownLeases.empty()) peer.acknowledgedUntil = peer.sentAt;
 }
 
@@ -92,11 +92,11 @@
 
 void PeerUpdates::addLeases(Millis now, Peer& peer, PeerUpdate& peerUpdate) const {
     if (!peer.acceptsIncrements) {
-        peerUpdate.leases = leases_.granted(now);
+        peerUpdate.leases = leases_.grantedLeases(now);
         return;
     }
     if (peer.knownLeases.size() > 2 * maxGateways_) peer.knownLeases.clear();
-    for (const auto& granted : leases_.grantedSince(peer.acknowledgedUntil, now)) {
+    for (const auto& granted : leases_.leasesGrantedSince(peer.acknowledgedUntil, now)) {
         const bool isKnown = !peer.knownLeases.insert(granted.id).second;
         if (isKnown)
             peerUpdate.renewals.push_back({granted.id, static_cast<std::uint32_t>(std::floor(granted.age))});
--- a/src/control/poll_responder.cpp
+++ b/src/control/poll_responder.cpp
@@ -51,7 +51,7 @@
     return reply;
 }
 
-// False where the table turns out not to be fresh.
+// False if the table is not fresh.
 bool PollResponder::addTable(Millis now, const CommittedTableSource& table, const PollRequest& request,
                              PollReply& reply) {
     if (table.committedPosition() <= request.position) return true;
@@ -75,14 +75,14 @@
     } else if (all > kReplyBudget && !reply.packedTable.empty()) {
         leaveOutHosts(reply);
     }
-    // Without room for its long poll the gateway would ask again at once.
+    // If its long poll can't be queued, the gateway would otherwise poll again at once.
     if (polls_.full() && reply.retryAfterMs == 0) reply.retryAfterMs = TransferSlots::kMaxRetryAfter;
 }
 
 void PollResponder::addDirectory(Millis now, const PollRequest& request, PollReply& reply) {
     if (!directoryUpdatedAt_ || now - *directoryUpdatedAt_ >= kDirectoryRefresh) {
         directoryUpdatedAt_ = now;
-        directory_.update(leases_.live(now));
+        directory_.update(leases_.liveGateways(now));
     }
     const DirectorySamples::Sample& sample = directory_.sampleFor(request.gateway);
     reply.directoryDigest = sample.digest;
@@ -96,10 +96,10 @@
 void PollResponder::addSmallState(Millis now, const CommittedTableSource& table, const PollRequest& request,
                                   PollReply& reply) {
     addDirectory(now, request, reply);
-    reply.liveGateways = leases_.count(now);
-    reply.largestLive = leases_.largestLive(now);
+    reply.liveGatewayCount = leases_.liveCount(now);
+    reply.maxLiveGateways = leases_.peakLiveCount(now);
     addMembers(table, reply);
-    if (request.wantsLoad) reply.othersLoad = leases_.loadOfOthers(now, request.gateway.name);
+    if (request.requestsLoad) reply.otherGatewaysLoad = leases_.loadOfOthers(now, request.gateway.name);
     reply.leaseMs = leaseMs_;
     addIdentity(table, reply);
 }
--- a/src/control/replica_codec.cpp
+++ b/src/control/replica_codec.cpp
@@ -15,7 +15,7 @@
 struct Fields<replica::Member> {
     static auto of(auto& member) {
         return std::tie(member.name, member.incarnation, member.session, member.internalAddress,
-                        member.controlAddress, member.zone, member.counted);
+                        member.controlAddress, member.zone, member.countsAsLoss);
     }
 };
 template <>
@@ -45,7 +45,7 @@
 template <>
 struct Fields<replica::HeartbeatReply> {
     static auto of(auto& message) {
-        return std::tie(message.sequence, message.sentAt, message.askedBySession, message.status);
+        return std::tie(message.sequence, message.sentAt, message.requesterSession, message.status);
     }
 };
 template <>
@@ -55,7 +55,7 @@
 template <>
 struct Fields<replica::Prepare> {
     static auto of(auto& message) {
-        return std::tie(message.proposal, message.base, message.founders, message.observed);
+        return std::tie(message.proposal, message.base, message.founders, message.observedDirectly);
     }
 };
 template <>
@@ -66,7 +66,7 @@
     }
 };
 template <>
-struct Fields<replica::Refuse> {
+struct Fields<replica::Reject> {
     static auto of(auto& message) { return std::tie(message.proposal, message.target, message.promised); }
 };
 template <>
@@ -117,7 +117,7 @@
     static auto of(auto& message) { return std::tie(message.from, message.epoch, message.body); }
 };
 template <>
-struct Fields<FoundedView> {
+struct Fields<StoredView> {
     static auto of(auto& view) { return std::tie(view.founders, view.view); }
 };
 
@@ -181,8 +181,8 @@
     return messages;
 }
 
-std::string encodeView(const FoundedView& view) { return rpc::pack(view); }
-Result<FoundedView> decodeView(std::string_view bytes) { return rpc::unpack<FoundedView>(bytes); }
+std::string encodeView(const StoredView& view) { return rpc::pack(view); }
+Result<StoredView> decodeView(std::string_view bytes) { return rpc::unpack<StoredView>(bytes); }
 std::string encodeVote(const replica::Vote& vote) { return rpc::pack(vote); }
 Result<replica::Vote> decodeVote(std::string_view bytes) { return rpc::unpack<replica::Vote>(bytes); }
 
--- a/src/directory/directory_service.hpp
+++ b/src/directory/directory_service.hpp
@@ -1,5 +1,5 @@
-/// Answers clients that ask for gateways (GET /resolve) on control members and gateways. A request waits kResolveWait where no usable gateway is
-/// known: a member that has just started receives the leases within half a second. Which gateways are named is decided by directory.hpp.
+/// Answers clients' GET /resolve on control members and gateways. A request waits up to kResolveWait while no usable gateway is known: a
+/// member that has just started receives the leases within half a second. directory.hpp selects the gateways.
 ///
 /// Owns the waiting requests; the HTTP server owns the connections. To be called from the server's thread only.
 #pragma once
@@ -33,14 +33,14 @@
     DirectoryService(const Clock& clock, Gateways gateways, double ttlSeconds);
     ~DirectoryService();
 
-    /// A request: answered now, or kept until gateways are known.
+    /// Answers the request now, or keeps it until gateways are known.
     void handle(const net::HttpMessage& message, const std::shared_ptr<net::HttpConnection>& connection);
     /// Answers the waiting requests that can be answered, and with 503 those that have waited kResolveWait. To be called when gateways change
     /// and every few hundred milliseconds.
     void answerPending();
     /// Graceful shutdown: the waiting requests are answered, and later ones do not wait.
     void drain();
-    void ttl(double seconds) { ttlSeconds_ = seconds; }
+    void setTtl(double seconds) { ttlSeconds_ = seconds; }
 
 private:
     struct PendingRequest {
--- a/src/dispatch/request_arrivals.cpp
+++ b/src/dispatch/request_arrivals.cpp
@@ -19,7 +19,7 @@
     if (requests_.contains(arrived.id)) return;
     Request request = makeRequest(arrived, state_.random(), state_.now);
     if (const auto reject = rejection(request)) {
-        state_.actions.act(*reject);
+        state_.actions.add(*reject);
         return;
     }
     initialSend_.send(requests_.add(std::move(request)));
@@ -46,7 +46,7 @@
 }
 
 AdmissionDecision RequestArrivals::admission(const Request& request) {
-    if (!state_.on(Mechanism::admission)) return {};
+    if (!state_.isEnabled(Mechanism::admission)) return {};
     const ServiceState& service = state_.serviceOf(request);
     const RouteRecord& route = state_.routeOf(request);
     return admit(
--- a/src/dispatch/request_factory.cpp
+++ b/src/dispatch/request_factory.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Guesses, for what a request costs between regions.
+// Estimates for the cost of transfers between regions.
 constexpr double kBytesPerTokenIn = 3;
 constexpr double kBytesPerTokenOut = 10;
 
@@ -44,7 +44,7 @@
     request.service = drawService(arrived, draw);
     request.shared = sharedPrefix(arrived.prompt);
     request.promptTokens = promptTokens(arrived);
-    request.bytes = bodyBytes(arrived, request.promptTokens) + kBytesPerTokenOut * arrived.outTokens;
+    request.bytes = bodyBytes(arrived, request.promptTokens) + kBytesPerTokenOut * arrived.maxOutputTokens;
     return request;
 }
 
--- a/src/duties/duty_runner.cpp
+++ b/src/duties/duty_runner.cpp
@@ -16,46 +16,46 @@
 
 bool isAccepted(int status) { return status >= kOk && status < 300; }
 
-// Sent again as it is, it would be refused again.
-bool isRefusedForGood(int status) {
+// Whether a retry of the same request would be rejected again.
+bool isRejectedPermanently(int status) {
     const bool isClientError = status >= kFirstClientError && status < kFirstServerError;
     return isClientError && status != kTooManyRequests && status != kRequestTimeout;
 }
 
 }  // namespace
 
-std::optional<DutyAction> DutyRunner::step(Millis now, const DutySituation& situation,
+std::optional<DutyAction> DutyRunner::step(Millis now, const DutyContext& context,
                                            const std::optional<DutyWork>& work) {
-    const bool isOtherTerm = situation.epoch != epoch_;
-    if (!situation.holds || isOtherTerm) state_ = State::idle;
-    epoch_ = situation.epoch;
-    if (state_ != State::idle || !mayAct(now, situation)) return std::nullopt;
-    if (const auto intent = oldestOpen(*situation.table)) return call(situation, *intent);
+    const bool isNewTerm = context.epoch != epoch_;
+    if (!context.isHolder || isNewTerm) state_ = State::idle;
+    epoch_ = context.epoch;
+    if (state_ != State::idle || !canAct(now, context)) return std::nullopt;
+    if (const auto intent = oldestOpenIntent(*context.table)) return call(context, *intent);
     if (!work) return std::nullopt;
     state_ = State::proposing;
     number_ = work->number;
-    return ProposeIntent{++attempt_, {subject_, work->number, situation.epoch, situation.member, work->body}};
+    return ProposeIntent{++attempt_, {subject_, work->number, context.epoch, context.member, work->body}};
 }
 
-bool DutyRunner::wantsWork(Millis now, const DutySituation& situation) const {
-    const bool isIdle = state_ == State::idle || situation.epoch != epoch_;
-    return isIdle && mayAct(now, situation) && !oldestOpen(*situation.table);
+bool DutyRunner::needsWork(Millis now, const DutyContext& context) const {
+    const bool isIdle = state_ == State::idle || context.epoch != epoch_;
+    return isIdle && canAct(now, context) && !oldestOpenIntent(*context.table);
 }
 
-std::optional<DutyAction> DutyRunner::onProposed(Millis now, const DutySituation& situation,
-                                                 std::uint64_t attempt, const ProposalAnswer& answer) {
+std::optional<DutyAction> DutyRunner::onProposed(Millis now, const DutyContext& context,
+                                                 std::uint64_t attempt, const ProposalResult& result) {
     if (state_ != State::proposing || attempt != attempt_) return std::nullopt;
     state_ = State::idle;
-    if (!answer || answer->outcome == ProposalOutcome::stale) {
+    if (!result || result->outcome == ProposalOutcome::stale) {
         backOff(now);
         return std::nullopt;
     }
-    if (answer->outcome == ProposalOutcome::tooLarge) settledNumber_ = number_;  // never to be sent
-    const bool isKnown =
-        answer->outcome == ProposalOutcome::accepted || answer->outcome == ProposalOutcome::recorded;
-    if (!isKnown || answer->intent.state != IntentState::open) return std::nullopt;
-    if (situation.epoch != epoch_ || !mayAct(now, situation)) return std::nullopt;
-    return call(situation, answer->intent);
+    if (result->outcome == ProposalOutcome::tooLarge) settledNumber_ = number_;  // it can never be sent
+    const bool isInTable =
+        result->outcome == ProposalOutcome::accepted || result->outcome == ProposalOutcome::recorded;
+    if (!isInTable || result->intent.state != IntentState::open) return std::nullopt;
+    if (context.epoch != epoch_ || !canAct(now, context)) return std::nullopt;
+    return call(context, result->intent);
 }
 
 std::optional<DutyAction> DutyRunner::onCalled(Millis now, std::uint64_t attempt, int status) {
@@ -63,16 +63,16 @@
     state_ = State::idle;
     lastStatus_ = status;
     if (status == kConflict) {
-        refusedToken_ = std::max(refusedToken_, epoch_);
+        rejectedToken_ = std::max(rejectedToken_, epoch_);
         return std::nullopt;
     }
-    const bool isAnswered = isAccepted(status) || isRefusedForGood(status);
-    if (!isAnswered) {
-        if (status == 0) timeout_ = std::min(2 * timeout_, kTimeoutMost);
+    const bool isFinal = isAccepted(status) || isRejectedPermanently(status);
+    if (!isFinal) {
+        if (status == 0) timeout_ = std::min(2 * timeout_, kMaxTimeout);
         backOff(now);
         return std::nullopt;
     }
-    succeed();
+    resetBackoff();
     state_ = State::settling;
     const IntentState outcome = isAccepted(status) ? IntentState::done : IntentState::refused;
     return SettleIntent{++attempt_, {subject_, number_, outcome}};
@@ -87,19 +87,19 @@
         backOff(now);
 }
 
-bool DutyRunner::mayAct(Millis now, const DutySituation& situation) const {
-    if (!situation.holds || !situation.fresh || !situation.table) return false;
-    if (situation.epoch <= refusedToken_ || now < retryAt_) return false;
-    return !waitsForTakeover(now, situation);
+bool DutyRunner::canAct(Millis now, const DutyContext& context) const {
+    if (!context.isHolder || !context.fresh || !context.table) return false;
+    if (context.epoch <= rejectedToken_ || now < retryAt_) return false;
+    return !isWithinTakeoverDelay(now, context);
 }
 
-// Without an intent nobody has acted on this subject.
-bool DutyRunner::waitsForTakeover(Millis now, const DutySituation& situation) const {
-    const bool isNew = now - situation.holdsSince < takeoverDelay_;
-    return isNew && !intentsOf(*situation.table, subject_).empty();
+// If the subject has no intent, no member has acted on it yet and no delay is needed.
+bool DutyRunner::isWithinTakeoverDelay(Millis now, const DutyContext& context) const {
+    const bool isNew = now - context.holderSince < takeoverDelay_;
+    return isNew && !intentsOf(*context.table, subject_).empty();
 }
 
-std::optional<Intent> DutyRunner::oldestOpen(const Table& table) const {
+std::optional<Intent> DutyRunner::oldestOpenIntent(const Table& table) const {
     for (Intent& intent : intentsOf(table, subject_)) {
         const bool isSettled = settledNumber_ && intent.number <= *settledNumber_;
         if (intent.state == IntentState::open && !isSettled) return std::move(intent);
@@ -113,22 +113,22 @@
     return std::max(intents.back().number, settledNumber_.value_or(0));
 }
 
-DutyAction DutyRunner::call(const DutySituation& situation, const Intent& intent) {
+DutyAction DutyRunner::call(const DutyContext& context, const Intent& intent) {
     state_ = State::calling;
     number_ = intent.number;
     ++calls_;
-    return CallPlatform{++attempt_,       subject_,    intent.number, situation.epoch,
-                        situation.member, intent.body, timeout_};
+    return CallPlatform{++attempt_,     subject_,    intent.number, context.epoch,
+                        context.member, intent.body, timeout_};
 }
 
 void DutyRunner::backOff(Millis now) {
-    retryAt_ = now + retryAfter_ * (0.5 + random_());
-    retryAfter_ = std::min(2 * retryAfter_, kRetryMost);
+    retryAt_ = now + backoff_ * (0.5 + random_());
+    backoff_ = std::min(2 * backoff_, kMaxBackoff);
 }
 
-void DutyRunner::succeed() {
-    retryAfter_ = kRetryFirst;
-    timeout_ = kTimeoutFirst;
+void DutyRunner::resetBackoff() {
+    backoff_ = kInitialBackoff;
+    timeout_ = kInitialTimeout;
 }
 
 }  // namespace beechpoint::duties
--- a/src/replica/disk_monitor.hpp
+++ b/src/replica/disk_monitor.hpp
@@ -1,5 +1,5 @@
-/// Whether the disk works: from the driver's reports, the last answer to a write, and a write that was not answered for too long.
-/// After a failed write it says when the next one may be tried.
+/// Detects a failing disk from the driver's reports, the result of the last write, and writes that time out. After a failed
+/// write it determines when the next one may be attempted.
 #pragma once
 
 #include "core/clock.hpp"
@@ -14,17 +14,17 @@
     void onHealthReported(bool failing) { reportedFailing_ = failing; }
     void onAnswer(Millis now, bool stored) {
         writesFail_ = !stored;
-        if (!stored) probeAt_ = now + kDiskProbeEvery;
+        if (!stored) probeAt_ = now + kDiskProbeInterval;
     }
 
-    bool isFailing(Millis now) const { return reportedFailing_ || writesFail_ || outbox_.stuck(now); }
-    /// The last answer of the storage was a failure.
+    bool isFailing(Millis now) const { return reportedFailing_ || writesFail_ || outbox_.isStuck(now); }
+    /// Whether the last completed write failed.
     bool writesFail() const { return writesFail_; }
-    /// False for kDiskProbeEvery after a failed write.
+    /// False for kDiskProbeInterval after a failed write.
     bool mayWrite(Millis now) const { return now >= probeAt_; }
-    /// Nothing is under way that would show whether writes work again.
+    /// Whether writes fail and no write is in flight that would show a recovery.
     bool isProbeDue(Millis now) const { return writesFail_ && outbox_.outstanding() == 0 && mayWrite(now); }
-    void onProbe(Millis now) { probeAt_ = now + kDiskProbeEvery; }
+    void onProbe(Millis now) { probeAt_ = now + kDiskProbeInterval; }
 
 private:
     const Outbox& outbox_;
--- a/tests/control/control_test.cpp
+++ b/tests/control/control_test.cpp
@@ -77,7 +77,7 @@
     const HttpAnswer first = cluster.call(0, "PUT", "/configuration", "0", configuration(5));
     EXPECT_EQ(first.status, 200) << first.body;
     for (std::size_t member = 0; member < Cluster::kMembers; member++) EXPECT_EQ(revisionAt(member), 5);
-    // The very call again, at another member.
+    // The same call again, at another member.
     EXPECT_EQ(cluster.call(1, "PUT", "/configuration", "\"0\"", configuration(5)).status, 200);
     // On top of a version that is not current.
     const HttpAnswer conflict = cluster.call(2, "PUT", "/configuration", "0", configuration(6));
@@ -116,7 +116,7 @@
     EXPECT_EQ(revisionAt(0), answers[0].status == 200 ? 2 : 3);
 }
 
-// Its end comes right behind the call, as after a partition that delayed both: by now the call was sent again elsewhere, or given up.
+// The connection closes right after the call, as after a partition that delayed both: the client has since retried elsewhere or given up.
 TEST_F(ControlTest, DropsWriteWhenClientHasDisconnected) {
     bootstrap();
     const std::string address = cluster.controlAddress(head());
@@ -207,10 +207,10 @@
         cluster.poll(0, pollOf("g1"));
         cluster.poll(1, pollOf("g2"));
         reply = cluster.poll(2, draining);
-        return reply && reply->liveGateways;
+        return reply && reply->liveGatewayCount;
     }));
-    EXPECT_EQ(reply->liveGateways, 3u);
-    EXPECT_EQ(reply->largestLive, 3u);
+    EXPECT_EQ(reply->liveGatewayCount, 3u);
+    EXPECT_EQ(reply->maxLiveGateways, 3u);
 }
 
 TEST_F(ControlTest, ReadsHostListAtOneMemberAndSendsItToAll) {
@@ -239,7 +239,7 @@
     const auto readers = [&] {
         std::size_t count = 0;
         for (std::size_t member = 0; member < Cluster::kMembers; member++)
-            count += cluster.member(member) && cluster.member(member)->readsHosts() ? 1 : 0;
+            count += cluster.member(member) && cluster.member(member)->readsHostList() ? 1 : 0;
         return count;
     };
     EXPECT_TRUE(cluster.runUntil([&] { return readers() == 1; }));
@@ -253,7 +253,7 @@
     EXPECT_EQ(reply->hostList->hosts.front().state, host_discovery::HostState::draining);
     // The reader is lost: another member takes over the role under a higher fencing token, or confirms the list.
     std::size_t reader = 0;
-    while (!cluster.member(reader)->readsHosts()) reader++;
+    while (!cluster.member(reader)->readsHostList()) reader++;
     cluster.kill(reader);
     const int before = calls;
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(2) && readers() == 1 && calls > before; }));
@@ -315,7 +315,7 @@
     EXPECT_EQ(cluster.call(2, "PUT", "/configuration", "1", configuration(2)).status, 200);
 }
 
-// A new machine whose seeds nobody serves finds the others once its settings are read again.
+// A new machine none of whose seeds is served joins the others once its settings are reloaded.
 TEST_F(ControlTest, JoinsAfterReloadWithNewSeeds) {
     for (const std::size_t member : {0, 1}) {
         cluster.setSeeds(member, {cluster.controlAddress(0), cluster.controlAddress(1)});
@@ -327,7 +327,7 @@
     cluster.start(2);
     const HttpAnswer alone = cluster.callOnce(cluster.controlAddress(2), "GET", "/configuration");
     EXPECT_EQ(alone.status, 503);
-    EXPECT_FALSE(cluster.member(2)->replica()->inView());
+    EXPECT_FALSE(cluster.member(2)->replica()->isInView());
     cluster.setSeeds(2, {cluster.controlAddress(1)});
     cluster.reload(2);
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.installed(); }));
--- a/tests/control/gateway_service_state_test.cpp
+++ b/tests/control/gateway_service_state_test.cpp
@@ -1,4 +1,4 @@
-// What a control member answers polls with and sends the other members.
+// Tests of a control member's poll answers and peer updates.
 #include "control/gateway_service_state.hpp"
 
 #include <gtest/gtest.h>
@@ -52,7 +52,7 @@
     replica::View view_;
 };
 
-// What the gateway holds when it polls.
+// The state that the gateway holds when it polls.
 enum class Held { nothing, newestTable };
 
 PollRequest pollOf(const std::string& name, Held held = Held::newestTable) {
@@ -85,8 +85,8 @@
         return state.onPoll(now, &table, request, ++tickets);
     }
     ServiceActions tick(Millis now) { return state.tick(now, &table); }
-    ServiceActions onHosts(Millis now, std::shared_ptr<const host_discovery::HostList> list) {
-        return state.onHosts(now, &table, std::move(list), now);
+    ServiceActions onHostList(Millis now, std::shared_ptr<const host_discovery::HostList> list) {
+        return state.onHostList(now, &table, std::move(list), now);
     }
 };
 
@@ -125,7 +125,7 @@
     host_discovery::Host host;
     host.instanceId = incompressible(kLargeReply);
     list->hosts.push_back(host);
-    service.onHosts(5, list);
+    service.onHostList(5, list);
     const auto first = service.poll(10, pollOf("g0", Held::nothing));
     EXPECT_FALSE(first.answers.front().reply.packedTable.empty());
     EXPECT_TRUE(first.answers.front().reply.packedHostList.empty());
@@ -149,16 +149,16 @@
     EXPECT_FALSE(refusal.table);
 }
 
-// A gateway of another system, whose member had this address before, gets nothing and no lease.
+// A gateway of another cluster, one of whose members had this address before, gets no state and no lease.
 TEST(GatewayServiceState, RefusesGatewaysOfAnotherCluster) {
     Service service;
     PollRequest poll = pollOf("g1", Held::nothing);
     poll.clusterId = 8;
     const auto refused = service.poll(0, poll);
     ASSERT_EQ(refused.answers.size(), 1u);
-    EXPECT_EQ(refused.answers.front().reply.status, PollStatus::otherCluster);
+    EXPECT_EQ(refused.answers.front().reply.status, PollStatus::clusterMismatch);
     EXPECT_TRUE(refused.answers.front().reply.members.empty());
-    EXPECT_TRUE(service.state.leases().live(1).empty());
+    EXPECT_TRUE(service.state.leases().liveGateways(1).empty());
     for (const std::uint64_t cluster : {std::uint64_t{7}, std::uint64_t{0}}) {
         poll.clusterId = cluster;
         const auto answered = service.poll(10, poll);
@@ -166,7 +166,7 @@
         EXPECT_EQ(answered.answers.front().reply.status, PollStatus::ok);
         EXPECT_EQ(answered.answers.front().reply.clusterId, 7u);
     }
-    EXPECT_EQ(service.state.leases().live(11).size(), 1u);
+    EXPECT_EQ(service.state.leases().liveGateways(11).size(), 1u);
 }
 
 TEST(GatewayServiceState, IgnoresPeerUpdatesOfAnotherCluster) {
@@ -177,13 +177,13 @@
     update.clusterId = 8;
     PeerUpdateReply reply;
     EXPECT_FALSE(service.state.onPeerUpdate(0, &service.table, update, reply).gatewaysChanged);
-    EXPECT_TRUE(service.state.leases().live(1).empty());
+    EXPECT_TRUE(service.state.leases().liveGateways(1).empty());
     update.clusterId = 7;
     EXPECT_TRUE(service.state.onPeerUpdate(0, &service.table, update, reply).gatewaysChanged);
-    EXPECT_EQ(service.state.leases().live(1).size(), 1u);
+    EXPECT_EQ(service.state.leases().liveGateways(1).size(), 1u);
 }
 
-// To a gateway that accepts chunks a large table goes in chunks, to any other in one reply.
+// A large table is sent in chunks to a gateway that accepts them, and in one reply to any other.
 TEST(GatewayServiceState, SendsALargeTableInChunksToGatewaysThatAcceptThem) {
     Service service;
     service.table.value = incompressible(3 * kChunkBytes);
@@ -213,7 +213,7 @@
         now += kServiceTick;
         const auto actions = service.tick(now);
         for (const PollAnswer& answer : actions.answers)
-            answered += answer.reply.largestLive.value_or(0) == 40;
+            answered += answer.reply.maxLiveGateways.value_or(0) == 40;
     };
     for (std::size_t number = 0; number < 40; ++number)
         EXPECT_TRUE(service.poll(known + static_cast<double>(number), pollOf("g" + std::to_string(number)))
--- a/tests/leases/lease_table_test.cpp
+++ b/tests/leases/lease_table_test.cpp
@@ -12,8 +12,8 @@
 LeaseTable::Settings settings() {
     LeaseTable::Settings settings;
     settings.leaseMs = 3000;
-    settings.windowMs = 10000;
-    settings.lateWakeMs = 1000;
+    settings.peakWindowMs = 10000;
+    settings.maxAdvanceGapMs = 1000;
     settings.maxGateways = 4;
     return settings;
 }
@@ -26,7 +26,7 @@
     return gateway;
 }
 
-// Advances in short steps, as the driver does, so that no late wake is seen.
+// Advances in short steps, as the driver does, so that no suspension is detected.
 void advanceInSteps(LeaseTable& table, Millis from, Millis to) {
     for (Millis now = from; now <= to; now += 250) table.advanceTo(now);
 }
@@ -42,44 +42,44 @@
     EXPECT_FALSE(table.isLive("g1", kStart + 3000));
     advanceInSteps(table, kStart + 3000, kStart + 4000);
     EXPECT_EQ(table.size(), 1u);
-    ASSERT_EQ(table.live(kStart + 4000).size(), 1u);
-    EXPECT_EQ(table.live(kStart + 4000).front().name, "g2");
+    ASSERT_EQ(table.liveGateways(kStart + 4000).size(), 1u);
+    EXPECT_EQ(table.liveGateways(kStart + 4000).front().name, "g2");
 }
 
 TEST(LeaseTable, HasNoCountUntilEveryLiveGatewayMustHavePolled) {
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     advanceInSteps(table, kStart, kStart + 2900);
-    EXPECT_FALSE(table.count(kStart + 2900).has_value());
-    EXPECT_FALSE(table.largestLive(kStart + 2900).has_value());
+    EXPECT_FALSE(table.liveCount(kStart + 2900).has_value());
+    EXPECT_FALSE(table.peakLiveCount(kStart + 2900).has_value());
     table.renew(kStart + 2900, gateway("g1"));
-    EXPECT_EQ(table.count(kStart + 3000), 1u);
+    EXPECT_EQ(table.liveCount(kStart + 3000), 1u);
 }
 
 TEST(LeaseTable, HasNoCountAfterLateWake) {
     LeaseTable table(settings(), kStart);
     advanceInSteps(table, kStart, kStart + 4000);
     table.renew(kStart + 4000, gateway("g1"));
-    ASSERT_EQ(table.count(kStart + 4000), 1u);
-    // The process does not run for eight seconds: its own leases ran out, but the gateways are alive.
+    ASSERT_EQ(table.liveCount(kStart + 4000), 1u);
+    // The process is suspended for eight seconds: its leases have expired, but the gateways are alive.
     const Millis woken = kStart + 12000;
     table.advanceTo(woken);
-    EXPECT_FALSE(table.count(woken).has_value());
+    EXPECT_FALSE(table.liveCount(woken).has_value());
     advanceInSteps(table, woken, woken + 2000);
     table.renew(woken + 2000, gateway("g1"));
     advanceInSteps(table, woken + 2000, woken + 3000);
-    EXPECT_EQ(table.count(woken + 3000), 1u);
+    EXPECT_EQ(table.liveCount(woken + 3000), 1u);
 }
 
 TEST(LeaseTable, ReturnsLargestCountOfWindow) {
     LeaseTable table(settings(), kStart);
     for (const char* name : {"g1", "g2", "g3"}) table.renew(kStart, gateway(name));
     for (Millis now = kStart; now <= kStart + 12000; now += 250) table.renew(now, gateway("g1"));
-    // g2 and g3 lived until 3,000 after the start: they count until 13,000 after it.
-    EXPECT_EQ(table.count(kStart + 12000), 1u);
-    EXPECT_EQ(table.largestLive(kStart + 12000), 3u);
+    // g2 and g3 were live until 3,000 after the start, so they count until 13,000 after it.
+    EXPECT_EQ(table.liveCount(kStart + 12000), 1u);
+    EXPECT_EQ(table.peakLiveCount(kStart + 12000), 3u);
     for (Millis now = kStart + 12250; now <= kStart + 13250; now += 250) table.renew(now, gateway("g1"));
-    EXPECT_EQ(table.largestLive(kStart + 13250), 1u);
+    EXPECT_EQ(table.peakLiveCount(kStart + 13250), 1u);
 }
 
 TEST(LeaseTable, MergesReportedLeasesByAge) {
@@ -96,10 +96,10 @@
     restarted.ready = false;
     table.renew(kStart + 500, restarted);
     table.merge(kStart + 600, {{gateway("g1", 1), 400}});
-    ASSERT_EQ(table.live(kStart + 600).size(), 1u);
-    EXPECT_EQ(table.live(kStart + 600).front().session, 2u);
+    ASSERT_EQ(table.liveGateways(kStart + 600).size(), 1u);
+    EXPECT_EQ(table.liveGateways(kStart + 600).front().session, 2u);
     table.merge(kStart + 700, {{gateway("g1", 3), 50}});
-    EXPECT_EQ(table.live(kStart + 700).front().session, 3u);
+    EXPECT_EQ(table.liveGateways(kStart + 700).front().session, 3u);
     EXPECT_EQ(table.size(), 1u);
 }
 
@@ -108,23 +108,23 @@
     table.renew(kStart, gateway("g1"));
     table.merge(kStart, {{gateway("g2"), 10}});
     for (const Millis age : {100.0, 200.0}) {
-        const auto granted = table.granted(kStart + age);
+        const auto granted = table.grantedLeases(kStart + age);
         ASSERT_EQ(granted.size(), 1u);
         EXPECT_EQ(granted.front().gateway.name, "g1");
         EXPECT_EQ(granted.front().age, age);
     }
     table.renew(kStart + 300, gateway("g1"));
-    EXPECT_EQ(table.granted(kStart + 300).front().age, 0);
-    EXPECT_TRUE(table.granted(kStart + 3300).empty());
+    EXPECT_EQ(table.grantedLeases(kStart + 300).front().age, 0);
+    EXPECT_TRUE(table.grantedLeases(kStart + 3300).empty());
 }
 
 TEST(LeaseTable, DoesNotReportGrantRenewedAtAnotherMember) {
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     table.merge(kStart + 500, {{gateway("g1"), 0}});
-    EXPECT_TRUE(table.granted(kStart + 600).empty());
+    EXPECT_TRUE(table.grantedLeases(kStart + 600).empty());
     table.renew(kStart + 700, gateway("g1"));
-    EXPECT_EQ(table.granted(kStart + 700).size(), 1u);
+    EXPECT_EQ(table.grantedLeases(kStart + 700).size(), 1u);
 }
 
 TEST(LeaseTable, RejectsGatewaysBeyondLimitAndRenewsTheOthers) {
@@ -139,14 +139,14 @@
     EXPECT_TRUE(table.renew(kStart + 3050, gateway("g5")));
 }
 
-// The deployment is to grow to 350 gateways; a gateway that is rejected gets no configuration. Twice as many leave room for those
-// that restart under other names while the old leases still run.
+// The deployment is planned to grow to 350 gateways, and a rejected gateway gets no configuration. The limit is at least twice
+// that, for gateways that restart under other names before their old leases expire.
 TEST(LeaseTable, DefaultLimitIsTwiceThePlannedGateways) {
     constexpr int kPlanned = 350;
     LeaseTable table(LeaseTable::Settings{}, kStart);
     for (int number = 0; number < 2 * kPlanned; number++)
         ASSERT_TRUE(table.renew(kStart, gateway("g" + std::to_string(number)))) << number;
-    EXPECT_EQ(table.live(kStart).size(), 2u * kPlanned);
+    EXPECT_EQ(table.liveGateways(kStart).size(), 2u * kPlanned);
     EXPECT_EQ(table.rejectedGrants(), 0u);
 }
 
@@ -176,13 +176,13 @@
 TEST(LeaseTable, AppliesRenewalsOfReportedLeases) {
     LeaseTable here(settings(), kStart), there(settings(), kStart);
     here.renew(kStart, gateway("g1"));
-    there.merge(kStart, here.granted(kStart));
+    there.merge(kStart, here.grantedLeases(kStart));
     advanceInSteps(here, kStart, kStart + 2000);
     advanceInSteps(there, kStart, kStart + 2000);
     here.renew(kStart + 2000, gateway("g1"));
-    const auto granted = here.grantedSince(kStart + 1000, kStart + 2100);
+    const auto granted = here.leasesGrantedSince(kStart + 1000, kStart + 2100);
     ASSERT_EQ(granted.size(), 1u);
-    EXPECT_TRUE(here.grantedSince(kStart + 2001, kStart + 2100).empty());
+    EXPECT_TRUE(here.leasesGrantedSince(kStart + 2001, kStart + 2100).empty());
     EXPECT_TRUE(there.mergeRenewals(kStart + 2100, {{granted.front().id, 100}}).empty());
     EXPECT_TRUE(there.isLive("g1", kStart + 4999));
     EXPECT_FALSE(there.isLive("g1", kStart + 5000));
@@ -192,11 +192,12 @@
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     Gateway later = gateway("g1", 2);
-    EXPECT_NE(idOf(gateway("g1")), idOf(later));
-    EXPECT_EQ(table.mergeRenewals(kStart, {{idOf(later), 0}}), std::vector<std::uint64_t>{idOf(later)});
+    EXPECT_NE(registrationId(gateway("g1")), registrationId(later));
+    EXPECT_EQ(table.mergeRenewals(kStart, {{registrationId(later), 0}}),
+              std::vector<std::uint64_t>{registrationId(later)});
     table.renew(kStart + 1, later);
-    EXPECT_EQ(table.mergeRenewals(kStart + 2, {{idOf(gateway("g1")), 0}}),
-              std::vector<std::uint64_t>{idOf(gateway("g1"))});
+    EXPECT_EQ(table.mergeRenewals(kStart + 2, {{registrationId(gateway("g1")), 0}}),
+              std::vector<std::uint64_t>{registrationId(gateway("g1"))});
     EXPECT_EQ(table.find("g1", kStart + 2)->session, 2u);
 }
 
@@ -204,7 +205,7 @@
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     advanceInSteps(table, kStart, kStart + 1000);
-    EXPECT_TRUE(table.mergeRenewals(kStart + 1000, {{idOf(gateway("g1")), 2000}}).empty());
+    EXPECT_TRUE(table.mergeRenewals(kStart + 1000, {{registrationId(gateway("g1")), 2000}}).empty());
     EXPECT_TRUE(table.isLive("g1", kStart + 2999));
 }
 
@@ -212,7 +213,7 @@
     LeaseTable table(settings(), kStart);
     table.renew(kStart, gateway("g1"));
     advanceInSteps(table, kStart, kStart + 3500);
-    EXPECT_EQ(table.mergeRenewals(kStart + 3500, {{idOf(gateway("g1")), 0}}).size(), 1u);
+    EXPECT_EQ(table.mergeRenewals(kStart + 3500, {{registrationId(gateway("g1")), 0}}).size(), 1u);
     EXPECT_EQ(table.size(), 0u);
 }
 
--- a/tests/replica/explore_client.cpp
+++ b/tests/replica/explore_client.cpp
@@ -14,13 +14,13 @@
 
 }  // namespace
 
-// Offers a write to every process that would take one, and a read to every one that believes to be the tail.
+// Sends a write to every process that accepts one, and a read to every process that considers itself the tail.
 void World::client() {
     if (!clientRuns_) return;
     for (std::size_t index = 0; index < kNodes; ++index) {
         Node& node = nodes_[index];
         if (!node.replica || now_ < node.frozenUntil) continue;
-        if (node.replica->writable()) {
+        if (node.replica->isWritable()) {
             const std::uint64_t token = nextToken_++;
             openWrites_[token] = {index, std::to_string(token)};
             deliver(index, ClientWrite{token, {{fmt::format("key/{}", token % 7), std::to_string(token)}}});
--- a/tests/replica/explore_points.cpp
+++ b/tests/replica/explore_points.cpp
@@ -1,4 +1,4 @@
-// Names of deviations and steps, and which step a message or an update of a disk is part of.
+// Names of deviations and steps, and the step that a message or disk update belongs to.
 #include <array>
 #include <variant>
 
@@ -18,7 +18,7 @@
 Step stepOf(const Body& body) {
     if (isAny<Heartbeat, HeartbeatReply>(body)) return Step::heartbeat;
     if (isAny<Join>(body)) return Step::joining;
-    if (isAny<Prepare, Promise, Refuse, Accept, Accepted>(body)) return Step::vote;
+    if (isAny<Prepare, Promise, Reject, Accept, Accepted>(body)) return Step::vote;
     if (isAny<Decided>(body)) return Step::decision;
     if (isAny<SyncRequest, SyncReply>(body)) return Step::stateTransfer;
     if (const auto* propose = std::get_if<Propose>(&body))
--- a/tests/replica/outside_view_test.cpp
+++ b/tests/replica/outside_view_test.cpp
@@ -1,4 +1,4 @@
-// Processes outside the view, and what a replica reports of its disk.
+// Processes outside the view, and the disk state that a replica reports.
 #include "replica_fixture.hpp"
 
 namespace beechpoint::replica {
@@ -10,7 +10,7 @@
     storeAllPersists();
     EXPECT_EQ(countSent<SyncRequest>("a"), 1u);
     EXPECT_EQ(last<SyncRequest>()->position, (Position{1, 3}));
-    advanceTime(kLearnRetry - 100);
+    advanceTime(kLearnerRetryInterval - 100);
     EXPECT_EQ(countSent<SyncRequest>(), 1u);
     advanceTime(200);
     EXPECT_EQ(countSent<SyncRequest>("c"), 1u);
@@ -30,7 +30,7 @@
     receive("c", Heartbeat{1, now_});
     EXPECT_EQ(last<HeartbeatReply>()->status.stored, (Position{2, 6}));
     EXPECT_EQ(last<HeartbeatReply>()->status.syncedEpoch, 1u);
-    // Older answers, and deltas on another state, are dropped.
+    // Older replies and deltas on another state are dropped.
     receive("a", SyncReply{{2, 6}, TableUpdate{{2, 5}, false, {{"k", "5"}}}});
     receive("a", SyncReply{{1, 3}, TableUpdate{{2, 7}, false, {{"k", "7"}}}});
     EXPECT_TRUE(persists_.empty());
@@ -47,7 +47,7 @@
     storeAllPersists();
     receive("d", SyncRequest{{1, 3}, true});
     ASSERT_EQ(countSent<SyncReply>("d"), 1u);
-    // The pending batch is not part of it: nobody knows yet whether it will be committed.
+    // The pending batch is not included: it is not known yet whether it will be committed.
     EXPECT_EQ(last<SyncReply>()->update.position, (Position{1, 3}));
     EXPECT_TRUE(last<SyncReply>()->update.whole);
     receive("c", Commit{kBatch.position});
@@ -76,7 +76,7 @@
     receive("a", kPropose);
     receive("a", Heartbeat{1, 1});
     EXPECT_FALSE(last<HeartbeatReply>()->status.diskFailing);
-    advanceTime(kDiskStuckAfter + 100);
+    advanceTime(kDiskWriteTimeout + 100);
     receive("a", Heartbeat{2, 2});
     EXPECT_TRUE(last<HeartbeatReply>()->status.diskFailing);
     storeAllPersists();
--- a/tests/replica/view_agreement_test.cpp
+++ b/tests/replica/view_agreement_test.cpp
@@ -1,4 +1,4 @@
-// The two halves of the agreement, and the choice of the next view's source.
+// Acceptor and proposer of the agreement, and the choice of the next view's source.
 #include "replica/view_agreement.hpp"
 
 #include <fmt/format.h>
@@ -28,15 +28,15 @@
 
 TEST(Acceptor, PromisesOnlyUpwards) {
     Acceptor acceptor{Vote{}};
-    EXPECT_FALSE(acceptor.sealed(1));
+    EXPECT_FALSE(acceptor.isSealed(1));
     EXPECT_TRUE(acceptor.promise(2, proposal(3)));
     EXPECT_TRUE(acceptor.promise(2, proposal(3)));
     EXPECT_FALSE(acceptor.promise(2, proposal(2)));
     EXPECT_TRUE(acceptor.promise(2, proposal(3, "b")));
     EXPECT_FALSE(acceptor.promise(2, proposal(3, "a")));
     EXPECT_FALSE(acceptor.promise(2, ProposalNumber{}));
-    EXPECT_TRUE(acceptor.sealed(1));
-    EXPECT_FALSE(acceptor.sealed(2));
+    EXPECT_TRUE(acceptor.isSealed(1));
+    EXPECT_FALSE(acceptor.isSealed(2));
 }
 
 TEST(Acceptor, AcceptsAtOrAboveItsPromise) {
@@ -162,7 +162,7 @@
     EXPECT_EQ(view->start, (Position{4, 3}));
 }
 
-// Found by the simulation: the source of the epoch had lost its power before it could record that it is synced.
+// Found by the simulation: the source of the epoch lost power before it could record that it is synced.
 TEST_F(SourceChoice, MayHoldStartingStateWithoutHavingRecordedIt) {
     membership_.view.start = {2, 28};
     promise(1, 3, {2, 28});
@@ -205,9 +205,9 @@
 
 TEST(TableHistory, ReturnsDeltasWithinHistoryAndFullTableBeyond) {
     TableHistory history({{"a", "0"}}, {1, 0});
-    for (std::uint64_t sequence = 1; sequence <= kHistoryBatches + 10; ++sequence)
+    for (std::uint64_t sequence = 1; sequence <= kMaxHistoryBatches + 10; ++sequence)
         history.applyBatch({{1, sequence}, {{fmt::format("k{}", sequence % 3), std::to_string(sequence)}}});
-    EXPECT_EQ(history.batches(), kHistoryBatches);
+    EXPECT_EQ(history.batches(), kMaxHistoryBatches);
     const Position now = history.position();
     EXPECT_TRUE(history.updateSince(now).changes.empty());
     const TableUpdate recent = history.updateSince({1, now.sequence - 2});
--- a/tests/replica/voters_test.cpp
+++ b/tests/replica/voters_test.cpp
@@ -1,4 +1,4 @@
-// Who decides on the next view: the rules of the set, and members that are away while another disk is lost.
+// The voters of the next view: rules of the set, and absent members while another disk is lost.
 #include "replica/voters.hpp"
 
 #include <gtest/gtest.h>
@@ -90,7 +90,7 @@
     voters[3].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("abc"), kOne)), "abc");
     EXPECT_EQ(namesOf(nextVoters(voters, chainOf("abc"), {2, 1})), "abcd");
-    // Nothing is tolerated: those that are away are kept all the same, those that leave are not.
+    // With no tolerated loss, unreachable voters are still kept, but leaving ones are not.
     std::vector<Voter> three = here("abc");
     three[2].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(three, chainOf("ab"), {0, 0})), "abc");
@@ -100,18 +100,18 @@
 
 TEST(NextVoters, LeaveOutUncountedIfCountedSuffice) {
     std::vector<Member> chain = chainOf("abcd");
-    chain[3].counted = false;
+    chain[3].countsAsLoss = false;
     std::vector<Voter> voters = here("abc");
     voters[2].state = VoterState::unreachable;
     EXPECT_EQ(namesOf(nextVoters(voters, chain, kOne)), "abc");
-    for (Member& each : chain) each.counted = false;
+    for (Member& each : chain) each.countsAsLoss = false;
     EXPECT_EQ(namesOf(nextVoters(voters, chain, kOne)), "abd");
 }
 
 TEST(NextVoters, OfViewWithoutVotersAreItsMembers) {
     View view;
     view.members = chainOf("ab");
-    EXPECT_EQ(namesOf(view.electorate()), "ab");
+    EXPECT_EQ(namesOf(view.effectiveVoters()), "ab");
     EXPECT_EQ(view.majority(), 2u);
     view.voters = chainOf("abc");
     EXPECT_EQ(view.majority(), 2u);
@@ -152,7 +152,7 @@
     ClusterOptions options_;
 };
 
-// A minority misses changes; then one of the others loses its disk, the rest are dark, and the cut heals.
+// A minority misses changes; then one of the others loses its disk, the rest are down, and the partition heals.
 TEST_P(VotersTest, PartitionedMinorityCountsWhenAnotherDiskIsLost) {
     Cluster cluster(options_);
     founded(cluster);
@@ -171,7 +171,7 @@
     requireServedAgain(cluster);
 }
 
-// A planned restart leaves a view of the others; one of these loses its disk before the first one is back.
+// A planned restart leaves a view of the others; one of them loses its disk before the first one is back.
 TEST_P(VotersTest, PlannedRestartKeepsVote) {
     Cluster cluster(options_);
     founded(cluster);
@@ -186,7 +186,7 @@
     requireServedAgain(cluster);
 }
 
-// In halves nobody goes on, or the larger one does; together they all do, also if one loses its disk meanwhile.
+// Partitioned into halves, none or only the larger one continues; after healing all do, also if one loses its disk meanwhile.
 TEST_P(VotersTest, PartitionedHalvesRecoverOnceHealed) {
     Cluster cluster(options_);
     founded(cluster);
@@ -201,7 +201,7 @@
     requireServedAgain(cluster);
 }
 
-// A machine that is gone for good hands its vote to the one that comes in its place; then the next disk may be lost.
+// A permanently lost machine's vote is transferred to its replacement; then the next disk may be lost.
 TEST_P(VotersTest, ReplacementTakesOverVoteOfRemovedMachine) {
     Cluster cluster(options_);
     founded(cluster);
@@ -212,7 +212,7 @@
     cluster.start(successor);
     ASSERT_TRUE(cluster.runUntil(4'000, [&] { return cluster.isComplete(); })) << cluster.describe();
     EXPECT_NE(cluster.replica(1).view().findVoter(cluster.replica(successor).self()), nullptr);
-    EXPECT_EQ(cluster.replica(1).view().electorate().size(), options_.nodes);
+    EXPECT_EQ(cluster.replica(1).view().effectiveVoters().size(), options_.nodes);
     cluster.losePower(1);
     cluster.wipe(1);
     const std::uint64_t before = cluster.acknowledged();
